--- a/walkcart/routing/instanceroom.py
+++ b/walkcart/routing/instanceroom.py
@@ -1,12 +1,12 @@
-"""How many questions an instance works on at once, and which of the others wait.
+"""Limits how many questions an instance works on at once.
 
-The load it answers: more questions than an instance's processor can carry, seen as an
-event loop that is behind without a break. Every question passes the loop several
-times, so while it is behind all of them become late together. Then a limit holds:
-what is over it waits before any work is spent on it, by urgency, and within a rank by
-the claims of the teams (start-time fair queueing), and is refused at once when the
-measured drain says that its turn comes too late for an answer. Without a standing
-delay there is no limit.
+An instance is overloaded when its event loop is behind schedule without a break. Each
+question passes the loop several times, so all questions in progress become late
+together. A concurrency limit then applies. Questions above it wait before any work is
+spent on them, ordered by urgency and within a rank by the weights of the teams
+(start-time fair queueing). A question is refused at once when the measured completion
+rate says that its turn would come too late for an answer. Without a standing delay
+there is no limit.
 
 Examples:
     >>> room = InstanceRoom()
@@ -24,33 +24,33 @@
 
 from walkcart.routing.urgency import Urgency, UrgencyQueue
 
-#: Seconds by which the event loop may be behind: a question passes it four times or
-#: so, and at this delay that alone takes up an objective of 100 ms.
-MOST_DELAY = 0.025
-#: Seconds for which it must be behind at each look: what comes in one piece, such as a
-#: large configuration, drains by itself.
+#: Longest acceptable event loop delay, in seconds. A question passes the loop about
+#: four times, so this delay alone uses up an objective of 100 ms.
+MAX_LOOP_DELAY = 0.025
+#: Seconds for which each sample must show that delay. A single burst of work, such as
+#: a large configuration, drains by itself.
 STANDING_TIME = 0.25
-#: The limit after a standing delay, as a share of the questions in progress.
+#: Factor on the questions in progress that gives the limit after a standing delay.
 DECREASE = 0.7
-#: Growth of the limit in each `STANDING_TIME` without delay.
+#: Factor by which the limit grows in each `STANDING_TIME` without a standing delay.
 INCREASE = 1.25
-#: Questions that are worked on at once whatever the delay: their ends tell the drain.
-LEAST_LIMIT = 2.0
-#: Seconds without a delay and without anybody who waits after which no limit holds.
-CALM_TIME = 2.0
-#: Seconds after which a completion counts half in the rate of completions.
+#: Lower bound of the limit: some questions must complete to measure the drain rate.
+MIN_LIMIT = 2.0
+#: Seconds without a standing delay after which the limit is lifted if nothing waits.
+RECOVERY_TIME = 2.0
+#: Half-life of a completion in the completion rate, in seconds.
 RATE_TIME = 2.0
-#: Weight of a new time in the mean of those for which questions are in progress.
-TIME_GAIN = 0.2
-#: Factor on the expected wait of a question that comes in: one that can't be answered
-#: in time is better refused at once than after a wait.
-CAUTION = 1.25
-#: Shortest and longest time to come back, in seconds.
-LEAST_RETRY = 0.05
-LONGEST_RETRY = 30.0
-#: Seconds to come back while no completion was seen of late.
-BLIND_RETRY = 1.0
-#: By it the decayed sum of completions is their rate a second.
+#: Weight of a new observation in the mean time that questions are in progress.
+TIME_WEIGHT = 0.2
+#: Safety factor on the expected wait of a new question: refusing at once is better
+#: than refusing after a wait.
+WAIT_SAFETY_FACTOR = 1.25
+#: Bounds of the time after which a refused caller may retry, in seconds.
+MIN_RETRY = 0.05
+MAX_RETRY = 30.0
+#: Seconds until a retry while no recent completion was seen.
+DEFAULT_RETRY = 1.0
+#: ln 2: turns the exponentially decayed sum of completions into a rate per second.
 _LN_2 = 0.693
 
 T = TypeVar("T")
@@ -58,15 +58,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A question that wants to be worked on.
+    """A question that asks to be worked on.
 
     Args:
-        rank: 0 is the most urgent.
-        due: when its objective ends, in seconds; infinite where it has none.
-        deadline: when its caller leaves.
+        rank: urgency; 0 is the most urgent.
+        due: when its objective ends, in seconds; infinite without an objective.
+        deadline: when its caller stops waiting, in seconds.
         time: seconds that such a question usually takes.
-        team: that asks; empty where there are no teams.
-        weight: claim of the team, relative to others.
+        team: the team that asks; empty without teams.
+        weight: share of the team, relative to other teams.
     """
 
     rank: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The question may be worked on; tell `InstanceRoom.leave` when it ends."""
+    """The question may be worked on; call `InstanceRoom.leave` when it ends."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,11 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Crowded:
-    """The question can't be answered in time.
+    """The question is refused, since it can't be answered in time.
 
     Args:
-        retry_after: seconds until there is likely room.
-        wait: seconds for which it would have waited.
+        retry_after: seconds until there is likely capacity.
+        wait: seconds that the question would have waited.
     """
 
     retry_after: float
@@ -101,102 +101,108 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Held(Generic[T]):
+class _Queued(Generic[T]):
     item: T
     entry: Entry
     turn: float
 
     @property
     def order(self) -> tuple[int, float]:
-        """What goes first is less."""
+        """The sort key; the smallest goes first."""
         return self.entry.rank, self.turn
 
 
 class InstanceRoom(Generic[T]):
-    """What one instance works on; each question is told by an item of the caller's."""
+    """Limits the questions that one instance works on.
+
+    Each question is identified by an item that the user of this class chooses.
+    """
 
     def __init__(self) -> None:
         self.limit = float("inf")
         self.in_progress = 0
-        self._queue: UrgencyQueue[_Held[T]] = UrgencyQueue()
+        self._queue: UrgencyQueue[_Queued[T]] = UrgencyQueue()
         self._delays: deque[tuple[float, float]] = deque()
-        self._changed_at = 0.0
-        self._behind_at = float("-inf")
+        self._adapted_at = 0.0
+        self._overloaded_at = float("-inf")
         self._rate = 0.0
         self._rate_at = 0.0
-        #: Seconds for which a question was in progress, of late.
-        self._time = 0.0
-        #: Virtual time of fair queueing, and where each team's next turn begins.
-        self._virtual = 0.0
-        self._turns: dict[str, float] = {}
+        #: Moving average of the seconds that a question is in progress.
+        self._mean_time = 0.0
+        #: Virtual time of fair queueing, and where each team's last turn ended.
+        self._virtual_time = 0.0
+        self._team_turns: dict[str, float] = {}
 
     @property
     def waiting(self) -> int:
-        """Questions that wait for their turn."""
+        """Number of questions that wait for their turn."""
         return len(self._queue)
 
     def note_delay(self, delay: float, now: float) -> None:
-        """Take in by how many seconds the event loop was behind at one look."""
+        """Record one sample of the event loop's delay, in seconds."""
         self._delays.append((now, delay))
         while self._delays[0][0] < now - STANDING_TIME:
             self._delays.popleft()
-        if now - self._changed_at >= STANDING_TIME:
+        if now - self._adapted_at >= STANDING_TIME:
             self._adapt(now)
 
     def standing_delay(self) -> float:
-        """Return the least delay of late, in seconds."""
+        """Return the minimum of the recent delays, in seconds."""
         if len(self._delays) < 2:
             return 0.0
         return min(delay for _, delay in self._delays)
 
     def enter(self, item: T, entry: Entry, now: float) -> Started | Waiting | Crowded:
-        """Start a question, have it wait, or refuse it.
+        """Start a question, queue it, or refuse it.
 
         Args:
-            item: names the question.
-            entry: what is known of it.
-            now: the present, in seconds.
+            item: identifies the question.
+            entry: its properties.
+            now: current time, in seconds.
         """
         if self.in_progress < self.limit and not len(self._queue):
             self._start(entry.team, self._find_turn(entry))
             return Started()
         turn = self._find_turn(entry)
-        held = _Held(item, entry, turn)
+        held = _Queued(item, entry, turn)
         ahead = sum(1 for other in self._queue if other.order < held.order)
-        wait = self._expect_wait(ahead, now)
-        if now + wait * CAUTION + entry.time > entry.deadline:
+        wait = self._estimate_wait(ahead, now)
+        if now + wait * WAIT_SAFETY_FACTOR + entry.time > entry.deadline:
             return Crowded(self._find_retry(now), wait)
-        self._turns[entry.team] = turn
+        self._team_turns[entry.team] = turn
         urgency = Urgency(entry.rank, entry.due, now, turn)
         self._queue.add(held, urgency)
         return Waiting()
 
     def leave(self, now: float, elapsed: float) -> None:
-        """Note that a question ended; see `take_started` and `take_hopeless`.
+        """Record that a question ended.
+
+        Waiting questions may then start: see `InstanceRoom.take_started` and
+        `InstanceRoom.take_hopeless`.
 
         Args:
-            now: the present, in seconds.
-            elapsed: seconds for which it was in progress.
+            now: current time, in seconds.
+            elapsed: seconds that the question was in progress.
         """
-        self._rate = self._completions(now) + _LN_2 / RATE_TIME
+        self._rate = self._completion_rate(now) + _LN_2 / RATE_TIME
         self._rate_at = now
-        gain = TIME_GAIN if self._time else 1.0
-        self._time += gain * (elapsed - self._time)
+        gain = TIME_WEIGHT if self._mean_time else 1.0
+        self._mean_time += gain * (elapsed - self._mean_time)
         self.in_progress -= 1
 
     def withdraw(self) -> None:
-        """Take back a question that was started and never worked on."""
+        """Undo the start of a question that was never worked on."""
         self.in_progress -= 1
 
     def give_up(self, item: T) -> None:
-        """Forget a question that waits, since its caller left."""
+        """Remove a waiting question whose caller stopped waiting."""
         for held in self._queue:
             if held.item is item:
                 self._queue.remove(held)
                 return
 
     def take_started(self, now: float) -> list[T]:
-        """Return the questions whose turn has come."""
+        """Start the waiting questions that fit the limit, and return them."""
         started = []
         while self.in_progress < self.limit:
             held = self._queue.take(now)
@@ -207,75 +213,76 @@
         return started
 
     def take_hopeless(self, now: float) -> list[tuple[T, Crowded]]:
-        """Take out and return what waits and won't be answered in time any more.
+        """Remove and return the waiting questions that can't be answered in time.
 
-        More urgent questions that came later may have taken its turn.
+        A question becomes late when more urgent ones that came later go before it.
         """
-        hopeless = []
+        late = []
         ahead = 0
         for held in sorted(self._queue, key=lambda held: held.order):
-            wait = self._expect_wait(ahead, now)
+            wait = self._estimate_wait(ahead, now)
             if now + wait + held.entry.time > held.entry.deadline:
                 self._queue.remove(held)
-                hopeless.append((held.item, Crowded(self._find_retry(now), wait)))
+                late.append((held.item, Crowded(self._find_retry(now), wait)))
             else:
                 ahead += 1
-        return hopeless
+        return late
 
     def _start(self, team: str, turn: float) -> None:
         self.in_progress += 1
-        self._virtual = max(self._virtual, turn)
-        self._turns[team] = max(turn, self._turns.get(team, 0.0))
+        self._virtual_time = max(self._virtual_time, turn)
+        self._team_turns[team] = max(turn, self._team_turns.get(team, 0.0))
         if not self.waiting:
-            # Nobody waits: claims on the past bind nobody.
-            self._turns.clear()
+            # Without a queue, earlier use must not count against a team.
+            self._team_turns.clear()
 
     def _find_turn(self, entry: Entry) -> float:
-        """Return the virtual time at which a team's next question is due."""
-        before = max(self._virtual, self._turns.get(entry.team, 0.0))
+        """Return the virtual finish time of a team's next question."""
+        before = max(self._virtual_time, self._team_turns.get(entry.team, 0.0))
         return before + 1.0 / max(entry.weight, 1e-9)
 
-    def _expect_wait(self, ahead: int, now: float) -> float:
-        """Return the seconds for which a question waits behind others."""
-        over = max(0.0, self.in_progress - self.limit)
-        rate = self._find_drain(now)
-        return (ahead + over + 1) / rate if rate > 0 else 0.0
+    def _estimate_wait(self, ahead: int, now: float) -> float:
+        """Return the seconds that a question waits behind `ahead` others."""
+        excess = max(0.0, self.in_progress - self.limit)
+        rate = self._find_drain_rate(now)
+        return (ahead + excess + 1) / rate if rate > 0 else 0.0
 
     def _find_retry(self, now: float) -> float:
-        """Return when what waits now will have drained, in seconds from now."""
-        rate = self._find_drain(now)
+        """Return the seconds until the current queue has drained, within bounds."""
+        rate = self._find_drain_rate(now)
         if rate <= 0:
-            return BLIND_RETRY
-        over = max(0.0, self.in_progress - self.limit)
-        wait = (self.waiting + over + 1) / rate
-        return min(LONGEST_RETRY, max(LEAST_RETRY, wait))
+            return DEFAULT_RETRY
+        excess = max(0.0, self.in_progress - self.limit)
+        wait = (self.waiting + excess + 1) / rate
+        return min(MAX_RETRY, max(MIN_RETRY, wait))
 
-    def _find_drain(self, now: float) -> float:
-        """Return how many questions a second end, rather too many than too few.
+    def _find_drain_rate(self, now: float) -> float:
+        """Return the drain rate in questions per second, rather too high than too low.
 
-        By the completions, or while few were seen by what is in progress and for how
-        long: who could have been served must not be refused.
+        It is the higher one of the measured completion rate and of the questions in
+        progress over their mean time: a question that could have been served must not
+        be refused while few completions were seen.
         """
-        if not self._time:
+        if not self._mean_time:
             return 0.0
-        return max(self._completions(now), self.in_progress / self._time)
+        return max(self._completion_rate(now), self.in_progress / self._mean_time)
 
-    def _completions(self, now: float) -> float:
-        """Return completions a second of late."""
+    def _completion_rate(self, now: float) -> float:
+        """Return the recent completions per second."""
         return self._rate * 0.5 ** ((now - self._rate_at) / RATE_TIME)
 
     def _adapt(self, now: float) -> None:
-        self._changed_at = now
-        if self.standing_delay() > MOST_DELAY:
-            self._behind_at = now
+        self._adapted_at = now
+        if self.standing_delay() > MAX_LOOP_DELAY:
+            self._overloaded_at = now
             limit = min(self.limit, float(self.in_progress)) * DECREASE
-            self.limit = max(LEAST_LIMIT, limit)
+            self.limit = max(MIN_LIMIT, limit)
         elif self.limit < float("inf"):
             self._relax(now)
 
     def _relax(self, now: float) -> None:
-        """Let the limit grow while it is used up, and fall away after a while."""
+        """Raise the limit while it is fully used; lift it after a calm time."""
         if self.in_progress >= int(self.limit):
             self.limit *= INCREASE
-        if now - self._behind_at >= CALM_TIME and not self.waiting:
+        if now - self._overloaded_at >= RECOVERY_TIME and not self.waiting:
             self.limit = float("inf")
--- a/walkcart/routing/leafroom.py
+++ b/walkcart/routing/leafroom.py
@@ -1,10 +1,10 @@
-"""How much of an instance's work a leaf gets at once, and what is kept for the urgent.
+"""Limits the requests that one instance sends to a leaf at once.
 
-The load it answers: leafs that take several times as long as usual. What waits in such
-a leaf's own queue can't be put in order any more, so what would come too late from
-there for its objective is kept inside this instance. Where a single long request would
-make an urgent one miss its objective, one slot is left to the urgent. Neither binds at
-a leaf that works at its usual pace with little to do.
+It matters when leaves take several times as long as usual. Requests in a leaf's own
+queue can't be reordered any more, so a request that would miss its objective there
+waits inside this instance instead. Where a single long request would make an urgent
+one miss its objective, one slot is reserved for urgent requests. Neither rule has an
+effect at a leaf that works at its usual speed with little load.
 
 Examples:
     >>> room = LeafRoom(slots=2)
@@ -23,16 +23,16 @@
 
 from dataclasses import dataclass
 
-#: Share of an urgent kind's objective that it may wait for a slow leaf's slot: the
-#: other half is for the work, the way and the merge.
-WAIT_SHARE = 0.5
-#: Slots that requests of lower urgency leave free for urgent ones at a slow leaf.
+#: Share of an urgent request's objective that it may wait for a slot of a slow leaf.
+#: The other half is for the work itself, the network and the merge.
+MAX_WAIT_SHARE = 0.5
+#: Slots of a slow leaf that less urgent requests leave free for urgent ones.
 RESERVED_SLOTS = 1
-#: Seconds after which an urgent kind that wasn't asked for is no longer expected: the
-#: reserve would cost the others a slot for nothing.
+#: Seconds after its last request at which an urgent rank is no longer expected.
+#: Reserving for it any longer would cost the others a slot for nothing.
 EXPECTED_TIME = 2.0
-#: Factor by which an expected delay may be too long: a request is refused for want of
-#: room only when it surely comes too late.
+#: Factor by which an expected delay may be overestimated: a request is refused for
+#: lack of capacity only when it is certain to be late.
 DELAY_MARGIN = 1.5
 
 
@@ -40,9 +40,9 @@
     """Return the seconds until a request gets its turn at a leaf.
 
     Args:
-        ahead: requests that go before it.
-        slots: requests that the leaf runs at once.
-        time: seconds that one takes there of late.
+        ahead: number of requests that go before it.
+        slots: number of requests that the leaf runs at once.
+        time: seconds that one request recently takes there.
 
     Examples:
         >>> find_turn(ahead=6, slots=2, time=0.2)
@@ -52,11 +52,11 @@
 
 
 def comes_too_late(delay: float, left: float) -> bool:
-    """Return whether a request surely can't be served any more.
+    """Return whether a request is certain to be served too late.
 
     Args:
-        delay: seconds until its turn, as expected.
-        left: seconds until its caller leaves.
+        delay: expected seconds until its turn.
+        left: seconds until its caller stops waiting.
     """
     return delay / DELAY_MARGIN > left
 
@@ -66,9 +66,9 @@
     """A request that is to be sent to a leaf.
 
     Args:
-        rank: 0 is the most urgent.
-        left: seconds to the end of its objective; infinite where it has none.
-        time: seconds that such a request takes at this leaf of late.
+        rank: urgency; 0 is the most urgent.
+        left: seconds to the end of its objective; infinite without an objective.
+        time: seconds that such a request recently takes at this leaf.
     """
 
     rank: int
@@ -77,39 +77,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Expected:
-    """An urgent kind that may come: its objective and when it was seen last."""
+class _ExpectedRank:
+    """The objective of a rank that may come, and when it was last seen."""
 
     objective: float
     at: float
 
 
 class LeafRoom:
-    """What one leaf may be sent by this instance.
+    """Decides what this instance may send to one leaf.
 
     Args:
-        slots: requests that the leaf runs at once.
+        slots: number of requests that the leaf runs at once.
     """
 
     def __init__(self, slots: int) -> None:
         self._slots = max(1, slots)
-        self._expected: dict[int, _Expected] = {}
+        self._expected: dict[int, _ExpectedRank] = {}
 
     def note_urgent(self, rank: int, objective: float, now: float) -> None:
-        """Note that requests of a rank come, with so many seconds of objective."""
-        self._expected[rank] = _Expected(objective, now)
+        """Record that requests of a rank arrive.
+
+        Args:
+            rank: urgency; 0 is the most urgent.
+            objective: seconds within which they are to be answered.
+            now: current time, in seconds.
+        """
+        self._expected[rank] = _ExpectedRank(objective, now)
 
     def allows(self, demand: Demand, sent: int, others: float, now: float) -> bool:
-        """Return whether a request may be sent now, or else waits here.
+        """Return whether a request may be sent now; otherwise it waits here.
 
         Args:
             demand: the request.
-            sent: requests of this instance that the leaf has.
-            others: requests of other instances that it likely has.
-            now: the present, in seconds.
+            sent: number of requests of this instance at the leaf.
+            others: estimated number of requests of other instances at the leaf.
+            now: current time, in seconds.
         """
         if not sent:
-            # Its reply is what tells that there is room again.
+            # One request may always go: its reply shows when there is capacity again.
             return True
         load = sent + others
         if load + 1 > self._slots - self._reserved(demand, now):
@@ -117,7 +123,7 @@
         return True
 
     def _may_queue(self, demand: Demand, load: float, now: float) -> bool:
-        """Return whether a request comes in time from the leaf's own queue."""
+        """Return whether a request meets its objective from the leaf's own queue."""
         if self._reserved(demand, now):
             return False
         ahead = load + 1 - self._slots
@@ -125,11 +131,11 @@
         return wait + demand.time <= demand.left
 
     def _reserved(self, demand: Demand, now: float) -> int:
-        """Return the slots that a request leaves to more urgent ones."""
+        """Return the number of slots that a request leaves to more urgent ones."""
         wait = demand.time / self._slots
         for rank, expected in self._expected.items():
             if rank >= demand.rank or now - expected.at > EXPECTED_TIME:
                 continue
-            if wait > WAIT_SHARE * expected.objective:
+            if wait > MAX_WAIT_SHARE * expected.objective:
                 return RESERVED_SLOTS
         return 0
--- a/walkcart/routing/peerchoice.py
+++ b/walkcart/routing/peerchoice.py
@@ -1,10 +1,10 @@
-"""Which other instance gathers the next question for this one.
+"""Chooses the peer instance that gathers the next question for this one.
 
-It is the first of those that are wanted for it, unless another is expected to be much
-faster, among those that answered of late or that nothing bad is known of. Expected is
-its average time, times the questions of this instance that it has already, and the time
-for which they keep its processor: its average shows little of that, since most answers
-wait for the slowest leaf.
+The first peer in order of preference is chosen, unless another one is expected to be
+much faster. Peers that recently failed to answer are left out. The expected time of a
+peer is its average time, which grows with the questions of this instance that it
+already has, plus the processor time of those questions. The average shows little of
+that processor time, since most answers wait for the slowest leaf.
 
 Examples:
     >>> accounts, work = PeerAccounts(), {"a": 0.01, "b": 0.01}
@@ -24,173 +24,173 @@
 
 from walkcart.routing.latency import DecayedLatency
 
-#: Expected seconds of an instance that nothing is known of.
+#: Expected time of a peer without observations, in seconds.
 FIRST_TIME = 0.1
-#: Seconds to wait for the word that a question was taken: so many round trips, within
-#: these bounds. The lower one covers a busy event loop; the upper one is half of the
-#: shortest objective of the users' requests, or a share of the time that a question has
-#: if that is longer: busy machines of an eighth of a core need 70 to 160 ms.
-TAKEN_ROUND_TRIPS = 2.5
-LEAST_PATIENCE = 0.03
-LONGEST_PATIENCE = 0.06
-PATIENCE_SHARE = 0.25
-#: However much time a question has: an instance gives up what isn't renewed for 0.4 s,
-#: and renewals begin with that word.
-MOST_PATIENCE = 0.3
-#: Factor by which the expected round trip grows with each word that didn't come.
-LOST_FACTOR = 1.5
-#: Seconds for which an instance that stayed silent gets nothing; doubles each time.
-FIRST_SILENCE = 0.5
-LONGEST_SILENCE = 4.0
-#: Seconds between two greetings of one that stayed silent: a fifth of what callers of
-#: the shortest objective wait for, so that one that is back is asked soon.
-GREETING_PAUSE = 0.2
-#: How much each question in progress adds to the expected time, as a share of it.
-PER_QUESTION = 0.1
-#: Another instance than the first of those for a group gets it only if that one is
-#: expected to take this many times as long: the same one keeps getting the same
-#: services, learns three times as soon which of their leafs are slow, and has
-#: connections to them.
+#: Time to wait for the message that a question was accepted: so many round trips,
+#: within the bounds below, in seconds. The lower bound covers a busy event loop. The
+#: upper one is half of the shortest objective of the users' requests, or a share of the
+#: time that the question has if that is longer: busy machines of an eighth of a core
+#: need 70 to 160 ms.
+TIMEOUT_ROUND_TRIPS = 2.5
+MIN_TIMEOUT = 0.03
+BASE_MAX_TIMEOUT = 0.06
+TIMEOUT_SHARE = 0.25
+#: Upper bound however much time a question has, in seconds: a peer gives up a question
+#: that isn't renewed for 0.4 s, and renewals begin when it was accepted.
+MAX_TIMEOUT = 0.3
+#: Factor by which the expected round trip grows with each timeout.
+TIMEOUT_FACTOR = 1.5
+#: First backoff after a timeout, in seconds; it doubles each time.
+FIRST_BACKOFF = 0.5
+MAX_BACKOFF = 4.0
+#: Seconds between two greetings of a silent peer: a fifth of what callers with the
+#: shortest objective wait for, so that a peer that is back is used soon.
+GREETING_INTERVAL = 0.2
+#: Share of the expected time that each question in progress adds to it.
+TIME_PER_QUESTION = 0.1
+#: A group goes to another peer than its first one only if the first one is expected to
+#: take this many times as long. A peer that keeps getting the same services learns
+#: three times as soon which of their leaves are slow, and has connections to them.
 SWITCH_FACTOR = 1.25
 #: Weight of a new round trip.
-ROUND_TRIP_GAIN = 0.2
+ROUND_TRIP_WEIGHT = 0.2
 FIRST_ROUND_TRIP = 0.02
 
 
 @dataclass(slots=True)
-class _Account:
-    """How one instance did."""
+class _Peer:
+    """The observations of one peer."""
 
     time: DecayedLatency
     in_progress: int = 0
     heard_at: float = float("-inf")
     silent_until: float = float("-inf")
-    silence: float = FIRST_SILENCE
+    silence: float = FIRST_BACKOFF
     unheard: bool = False
     greeted_at: float = float("-inf")
     round_trip: float = FIRST_ROUND_TRIP
 
 
 class PeerAccounts:
-    """Keeps how the other instances did."""
+    """Records the response times and timeouts of the peers, and chooses by them."""
 
     def __init__(self) -> None:
-        self._accounts: dict[str, _Account] = {}
+        self._peers: dict[str, _Peer] = {}
 
     def choose(
         self, names: Sequence[str], now: float, work: Mapping[str, float]
     ) -> str | None:
-        """Return the instance for the next question, or None when none may get it.
+        """Return the peer for the next question, or None when none may get it.
 
         Args:
-            names: of the instances; those that are wanted more go first.
-            now: the present, in seconds.
-            work: seconds for which the question keeps the processor of each.
+            names: names of the peers, in order of preference.
+            now: current time, in seconds.
+            work: processor time of the question at each peer, in seconds.
         """
         usable = [
             name
             for name in names
-            if self._account(name).silent_until <= now
-            and not self._account(name).unheard
+            if self._peer(name).silent_until <= now and not self._peer(name).unheard
         ]
         if not usable:
             return None
-        times = {name: self._expect(name, now, work[name]) for name in usable}
+        times = {name: self._estimate_time(name, now, work[name]) for name in usable}
         least = min(times.values())
         return next(name for name in usable if times[name] <= SWITCH_FACTOR * least)
 
     def find_unheard(self, names: Sequence[str], now: float) -> list[str]:
-        """Return those to be greeted now: they stayed silent, and may be back.
+        """Return the silent peers that are to be greeted now, since they may be back.
 
-        No question waits for the answer to a greeting. The load it answers: a lost data
-        centre, and instances that have a question only each few seconds, longer than a
-        silent instance is left out; each question would wait for one of them in vain.
+        No question waits for the answer to a greeting. Without greetings, after the
+        loss of a data centre, an instance that has a question only every few seconds,
+        longer than the backoff of a silent peer, would lose time on a silent peer with
+        each question.
 
         Args:
-            names: of the instances that may be wanted.
-            now: the present, in seconds.
+            names: names of the peers that may be used.
+            now: current time, in seconds.
         """
         found = []
         for name in names:
-            account = self._account(name)
-            due = max(account.silent_until, account.greeted_at + GREETING_PAUSE)
-            if account.unheard and due <= now:
-                account.greeted_at = now
+            peer = self._peer(name)
+            due = max(peer.silent_until, peer.greeted_at + GREETING_INTERVAL)
+            if peer.unheard and due <= now:
+                peer.greeted_at = now
                 found.append(name)
         return found
 
     def note_sent(self, name: str, now: float) -> None:
-        """Note that a question was sent."""
-        self._account(name).in_progress += 1
+        """Record that a question was sent to a peer."""
+        self._peer(name).in_progress += 1
 
     def note_ended(self, name: str) -> None:
-        """Note that a question is no longer waited for."""
-        self._account(name).in_progress -= 1
+        """Record that this instance no longer waits for a question."""
+        self._peer(name).in_progress -= 1
 
     def note_taken(self, name: str, now: float, elapsed: float) -> None:
-        """Note the word that a question was taken, so many seconds after it went."""
-        account = self._account(name)
-        account.heard_at = now
-        account.unheard = False
-        account.round_trip += ROUND_TRIP_GAIN * (elapsed - account.round_trip)
+        """Record that a question was accepted, `elapsed` seconds after it was sent."""
+        peer = self._peer(name)
+        peer.heard_at = now
+        peer.unheard = False
+        peer.round_trip += ROUND_TRIP_WEIGHT * (elapsed - peer.round_trip)
 
     def note_answer(self, name: str, now: float, elapsed: float) -> None:
-        """Note an answer, so many seconds after the question."""
-        account = self._account(name)
-        account.heard_at = now
-        account.unheard = False
-        account.time.observe(now, elapsed)
-        account.silence = FIRST_SILENCE
+        """Record an answer, `elapsed` seconds after the question was sent."""
+        peer = self._peer(name)
+        peer.heard_at = now
+        peer.unheard = False
+        peer.time.observe(now, elapsed)
+        peer.silence = FIRST_BACKOFF
 
     def note_silent(self, name: str, now: float) -> None:
-        """Note that an instance didn't answer in time.
+        """Record that a peer didn't answer in time.
 
-        It gets nothing until it was heard of, and for some time in any case.
+        It gets no question until it is heard from, and none during its backoff.
         """
-        account = self._account(name)
-        account.unheard = True
-        limit = MOST_PATIENCE / TAKEN_ROUND_TRIPS
-        account.round_trip = min(limit, account.round_trip * LOST_FACTOR)
-        account.silent_until = now + account.silence
-        account.silence = min(LONGEST_SILENCE, account.silence * 2)
+        peer = self._peer(name)
+        peer.unheard = True
+        limit = MAX_TIMEOUT / TIMEOUT_ROUND_TRIPS
+        peer.round_trip = min(limit, peer.round_trip * TIMEOUT_FACTOR)
+        peer.silent_until = now + peer.silence
+        peer.silence = min(MAX_BACKOFF, peer.silence * 2)
 
     def note_greeting(self, name: str) -> None:
-        """Note that an instance made itself known: it likely has just started."""
-        account = self._account(name)
-        account.silent_until = float("-inf")
-        account.silence = FIRST_SILENCE
-        account.unheard = False
+        """Record a greeting from a peer, which has likely just started."""
+        peer = self._peer(name)
+        peer.silent_until = float("-inf")
+        peer.silence = FIRST_BACKOFF
+        peer.unheard = False
 
     def heard_at(self, name: str) -> float:
-        """Return when an instance was heard of last."""
-        return self._account(name).heard_at
+        """Return when a peer was last heard from, in seconds; -inf if never."""
+        return self._peer(name).heard_at
 
     def round_trip(self, name: str) -> float:
-        """Return the seconds to an instance and back."""
-        return self._account(name).round_trip
+        """Return the expected round trip to a peer, in seconds."""
+        return self._peer(name).round_trip
 
     def patience(self, name: str, time: float) -> float:
-        """Return the seconds to wait for the word that a question was taken.
+        """Return the timeout for the acceptance of a question, in seconds.
 
         Args:
-            name: of the instance that was asked.
-            time: that the question has, in seconds.
+            name: name of the peer that was asked.
+            time: time that the question has, in seconds.
         """
-        account = self._account(name)
-        longest = min(MOST_PATIENCE, max(LONGEST_PATIENCE, PATIENCE_SHARE * time))
-        if account.heard_at == float("-inf"):
-            # How far away it is isn't known.
+        peer = self._peer(name)
+        longest = min(MAX_TIMEOUT, max(BASE_MAX_TIMEOUT, TIMEOUT_SHARE * time))
+        if peer.heard_at == float("-inf"):
+            # Its round trip isn't known yet.
             return longest
-        wanted = TAKEN_ROUND_TRIPS * account.round_trip
-        return min(longest, max(LEAST_PATIENCE, wanted))
-
-    def _expect(self, name: str, now: float, work: float) -> float:
-        account = self._account(name)
-        time = account.time.estimate(now, FIRST_TIME)
-        time *= 1.0 + PER_QUESTION * account.in_progress
-        return time + work * (1 + account.in_progress)
-
-    def _account(self, name: str) -> _Account:
-        if name not in self._accounts:
-            self._accounts[name] = _Account(DecayedLatency())
-        return self._accounts[name]
+        wanted = TIMEOUT_ROUND_TRIPS * peer.round_trip
+        return min(longest, max(MIN_TIMEOUT, wanted))
+
+    def _estimate_time(self, name: str, now: float, work: float) -> float:
+        peer = self._peer(name)
+        time = peer.time.estimate(now, FIRST_TIME)
+        time *= 1.0 + TIME_PER_QUESTION * peer.in_progress
+        return time + work * (1 + peer.in_progress)
+
+    def _peer(self, name: str) -> _Peer:
+        if name not in self._peers:
+            self._peers[name] = _Peer(DecayedLatency())
+        return self._peers[name]
--- a/walkcart/routing/placement.py
+++ b/walkcart/routing/placement.py
@@ -1,9 +1,9 @@
-"""Which leaf of a service gets the next request of a routed question.
+"""Chooses the leaf of a service for the next request of a routed question.
 
-The leaf with the least expected time wins. That is what such a request takes there
-by itself, plus the wait behind what is already there, over the share of requests that
-it answers well; the bytes that a leaf in another region costs count as a longer time,
-and so does a failure, which costs a repeat or a part of an answer.
+The leaf with the lowest estimated time is chosen. The estimate is the service time of
+such a request plus the wait behind the requests already there, divided by the share of
+requests that the leaf answers well. The cost of traffic to another region is added as
+time, and so is the cost of a failure: a repeat, or a missing part of the answer.
 
 Examples:
     >>> here, there = Distance.SAME_DATA_CENTRE, Distance.OTHER_REGION
@@ -27,43 +27,43 @@
 
 from walkcart.routing.distance import Distance
 
-#: Share of a request's objective that the bytes of a leaf in another region are worth:
-#: operators pay for them. Measured: see ``docs/design/platform.md``.
-FAR_SHARE = 0.2
-#: That cost by distance, as a share of the one for another region: one user pays more
-#: for bytes between data centres than between regions, the other a quarter.
-COST_SHARES = {
+#: Cost of traffic to a leaf in another region, as a share of the request's objective:
+#: operators pay for those bytes. See ``docs/design/platform.md`` for the measurement.
+OTHER_REGION_COST = 0.2
+#: Cost of traffic by distance, as a share of the cost to another region. One user pays
+#: more for bytes between data centres than between regions, the other one a quarter.
+COST_BY_DISTANCE = {
     Distance.SAME_DATA_CENTRE: 0.0,
     Distance.SAME_REGION: 0.5,
     Distance.OTHER_REGION: 1.0,
 }
-#: Share of a request's objective that a failure costs beside the time to try again: a
-#: repeat of those that are allowed, or else a part of the answer. At 0.5 a leaf that
-#: fails six of ten loses to a good one in another region, one that fails one of ten
-#: doesn't.
-FAILURE_SHARE = 0.5
-#: Seconds added for a leaf that has been silent for longer than it should: about the
-#: pause of a leaf that stopped to tidy up.
+#: Cost of a failure beside the time of another attempt, as a share of the request's
+#: objective: it uses up an allowed repeat, or else loses a part of the answer. At 0.5 a
+#: leaf that fails six of ten requests loses to a good one in another region; one that
+#: fails one of ten doesn't.
+FAILURE_COST = 0.5
+#: Seconds added for a leaf whose replies are overdue: about the pause of a leaf that
+#: stops for housekeeping.
 STALLED_COST = 0.25
-#: A leaf that has just started is slower by up to this factor.
+#: Factor by which a leaf that has just started may be slower.
 COLD_FACTOR = 1.6
-#: Expected times closer than this share are drawn lots over.
+#: Relative difference of estimated times within which the choice is random.
 NEAR_TIE = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """One leaf, as its choice sees it.
+    """The properties of a leaf that decide the choice.
 
     Args:
-        key: names the leaf.
-        load: requests that wait or run there.
-        slots: requests that it runs at once.
-        time: seconds that such a request likely takes there by itself.
-        distance: how far away it is.
+        key: identifies the leaf.
+        load: number of requests that wait or run there.
+        slots: number of requests that it runs at once.
+        time: expected service time of such a request there, in seconds.
+        distance: distance from this instance.
         cold: whether it has just started.
-        stalled: whether it owes replies for longer than it should.
-        ejected: whether it failed lately.
+        stalled: whether its replies are overdue.
+        ejected: whether it is ejected after recent failures.
         good_share: share of such requests that it answers well.
     """
 
@@ -78,11 +78,11 @@
     good_share: float = 1.0
 
 
-def expect_time(standing: Standing, objective: float) -> float:
-    """Return the seconds that a request would likely take at a leaf, with its costs.
+def estimate_time(standing: Standing, objective: float) -> float:
+    """Return the estimated time of a request at a leaf, with its costs, in seconds.
 
     Args:
-        standing: of the leaf.
+        standing: the leaf.
         objective: seconds within which the request is to be answered.
     """
     service = standing.time
@@ -91,8 +91,8 @@
     waiting = max(0.0, standing.load + 1.0 - standing.slots)
     time = service * (1.0 + waiting / max(1, standing.slots))
     time /= standing.good_share
-    time += (1.0 - standing.good_share) * FAILURE_SHARE * objective
-    time += FAR_SHARE * objective * COST_SHARES[standing.distance]
+    time += (1.0 - standing.good_share) * FAILURE_COST * objective
+    time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[standing.distance]
     if standing.stalled:
         time += STALLED_COST
     return time
@@ -101,19 +101,19 @@
 def choose_leaf(
     standings: Sequence[Standing], objective: float, random: Random
 ) -> Standing | None:
-    """Return the leaf for the next request, or None without any.
+    """Return the leaf for the next request, or None without leaves.
 
-    Ejected leafs are used only when no others are left.
+    Ejected leaves are used only when no others are left.
 
     Args:
-        standings: of the leafs.
+        standings: the leaves to choose from.
         objective: seconds within which the request is to be answered.
-        random: draws lots among those that are about as good.
+        random: breaks ties between leaves that are about equally good.
     """
     usable = [item for item in standings if not item.ejected] or standings
     if len(usable) <= 1:
         return usable[0] if usable else None
-    timed = [(expect_time(item, objective), item) for item in usable]
+    timed = [(estimate_time(item, objective), item) for item in usable]
     least = min(time for time, _ in timed)
     best = [item for time, item in timed if time <= least * (1.0 + NEAR_TIE)]
     return best[0] if len(best) == 1 else random.choice(best)
--- a/walkcart/routing/quarantine.py
+++ b/walkcart/routing/quarantine.py
@@ -1,22 +1,22 @@
-"""Which requests are kept from leafs, because leafs ended whenever they ran them.
+"""Quarantines requests that crash the leaves that run them.
 
 A request that ends each leaf that runs it takes a whole service down within a few
-tries: its callers ask again, at whichever instance. So what leafs ended under it is
-kept from one try to the next, by the request's fingerprint.
+attempts, since its callers ask again at any instance. So the crashes under a request
+are remembered across attempts, by the request's fingerprint.
 
-One loss proves little: leafs also crash for reasons of their own, many at a time, and
-each such leaf had requests. What tells the request apart is that it happens again to
-leafs that were well, and that no leaf ever answers. So the evidence is counted in
-strikes, each of them independent of the others: leafs that ended together under one
-try are one strike, a leaf that was asked by itself and ended is one. Any answer of a
-leaf proves the request harmless and voids all of them.
+One crash proves little: leaves also crash for reasons of their own, many at a time, and
+each of them had requests. A harmful request is recognised by crashes that happen again
+to healthy leaves while no leaf ever answers. The evidence is counted in strikes, which
+are independent of each other: leaves that ended together under one attempt count as one
+strike, and so does a leaf that was asked alone and ended. Any answer of a leaf proves
+the request harmless and voids all strikes.
 
 * One strike changes nothing.
-* After two a try goes to one leaf first, and to the others once that one answered.
-* After three it is refused, for a while; then it goes to one leaf first again.
+* After two an attempt goes to one leaf first, and to the others once that one answered.
+* After three it is refused for a while; then it goes to one leaf first again.
 
-Strikes are named by random numbers, so that news of them may come in any order, and
-more than once, by way of any instance: they are sets, and sets are united.
+Strikes are identified by random numbers. News of them may arrive in any order, more
+than once and through any instance: sets of strikes are merged by union.
 
 Examples:
     >>> quarantine = Quarantine()
@@ -37,25 +37,27 @@
 from enum import Enum
 
 #: Strikes after which a request goes to one leaf first. A leaf that crashes for its own
-#: reasons strikes whichever requests it has, a second one those that were sent again.
+#: reasons gives a strike to all requests it has; a second such leaf gives another one
+#: to those that were sent again.
 CAREFUL_STRIKES = 2
-#: Strikes after which it is refused. Where one leaf in seven goes down and up each
-#: second, a request of 0.2 s loses its leaf in 3 of 100 tries: three times in turn,
-#: with no answer in between, in 3 of 100,000 (worked out).
+#: Strikes after which a request is refused. Where one leaf in seven goes down and up
+#: each second, a request of 0.2 s loses its leaf in 3 of 100 attempts, and three times
+#: in a row without an answer in 3 of 100,000 (calculated).
 REFUSED_STRIKES = 3
-#: Seconds for which it is refused after the last strike. A try after that costs one
-#: leaf, some seconds of one of a shard's replicas: a thousandth of what it serves.
+#: Seconds for which a request is refused after its last strike. An attempt after that
+#: may cost one leaf, which is some seconds of one replica of a shard: a thousandth of
+#: what the replica serves.
 REFUSAL_TIME = 300.0
-#: Seconds after its last strike, or its answer, at which a request is forgotten.
-#: Callers come back for minutes; a release that mends the leafs takes hours.
+#: Seconds after its last strike or answer at which a request is forgotten. Callers
+#: retry for minutes; a release that repairs the leaves takes hours.
 MEMORY_TIME = 1800.0
-#: Requests that are remembered. With their strikes 100 KB (worked out); a flood of
-#: different requests displaces only those with as few strikes.
+#: Requests that are remembered, with their strikes about 100 KB (calculated). A flood
+#: of different requests displaces only those with as few strikes.
 MOST_ENTRIES = 256
 
 
 class Standing(Enum):
-    """What a request may do."""
+    """How a request is treated."""
 
     USUAL = 1
     CAREFUL = 2
@@ -64,12 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """What is known of one request.
+    """The evidence about one request.
 
     Args:
-        strikes: numbers that name them, `REFUSED_STRIKES` at the most.
-        struck_at: when the last one was noted, in seconds.
-        answered_at: when a leaf answered it last; infinitely long ago if none did.
+        strikes: identifiers of its strikes, at most `REFUSED_STRIKES` of them.
+        struck_at: when the last strike was recorded, in seconds.
+        answered_at: when a leaf last answered it, in seconds; -inf if none did.
     """
 
     strikes: frozenset[int]
@@ -78,17 +80,17 @@
 
     @property
     def latest(self) -> float:
-        """When it was heard of last."""
+        """Time of the last strike or answer, in seconds."""
         return max(self.struck_at, self.answered_at)
 
     @property
     def weight(self) -> tuple[int, float]:
-        """What decides which one stays where there is room for one only."""
+        """Sort key for eviction; the smallest is evicted first."""
         return len(self.strikes), self.latest
 
 
 class Quarantine:
-    """Remembers the requests under which leafs ended.
+    """Remembers the requests under which leaves ended.
 
     Times are seconds of the kernel's monotonic clock.
     """
@@ -100,11 +102,11 @@
         return len(self._entries)
 
     def find(self, fingerprint: bytes) -> Suspicion | None:
-        """Return what is known of a request."""
+        """Return the evidence about a request, or None without any."""
         return self._entries.get(fingerprint)
 
     def find_standing(self, fingerprint: bytes, now: float) -> Standing:
-        """Return what a request may do."""
+        """Return how a request is to be treated."""
         held = self._entries.get(fingerprint)
         if held is None or now - held.latest > MEMORY_TIME:
             return Standing.USUAL
@@ -120,11 +122,11 @@
         return held.struck_at + REFUSAL_TIME - now if held else 0.0
 
     def note_strike(self, fingerprint: bytes, strike: int, now: float) -> None:
-        """Note a strike, named by a random number."""
+        """Record a strike, identified by a random number."""
         self.merge(fingerprint, Suspicion(frozenset((strike,)), now), now)
 
     def note_answer(self, fingerprint: bytes, now: float) -> bool:
-        """Note that a leaf answered a request; return whether that is news."""
+        """Record that a leaf answered a request; return whether it voided strikes."""
         held = self._entries.get(fingerprint)
         if held is None or not held.strikes:
             return False
@@ -132,32 +134,32 @@
         return True
 
     def merge(self, fingerprint: bytes, told: Suspicion, now: float) -> bool:
-        """Take in what another instance knows; return whether that is news."""
+        """Merge the evidence of another instance; return whether it changed anything."""
         if now - told.latest > MEMORY_TIME:
             return False
         held = self._entries.get(fingerprint)
-        merged = told if held is None else _unite(held, told)
+        merged = told if held is None else _merge_records(held, told)
         if merged.struck_at <= merged.answered_at:
             merged = Suspicion(frozenset(), merged.struck_at, merged.answered_at)
         if held is not None and merged.strikes == held.strikes:
-            # Its times may still have moved on.
+            # The times may still be newer.
             self._entries[fingerprint] = merged
             return False
-        if held is None and not self._make_room(merged, now):
+        if held is None and not self._ensure_capacity(merged, now):
             return False
         self._entries[fingerprint] = merged
         return held is not None or bool(merged.strikes)
 
     def entries(self, now: float) -> Iterable[tuple[bytes, Suspicion]]:
-        """Return what is remembered, forgetting what is old."""
-        self._forget_old(now)
+        """Return the remembered requests with their evidence; drop expired ones."""
+        self._drop_expired(now)
         return tuple(self._entries.items())
 
-    def _make_room(self, wanted: Suspicion, now: float) -> bool:
-        """Return whether there is room, or one that weighs less gave way."""
+    def _ensure_capacity(self, wanted: Suspicion, now: float) -> bool:
+        """Return whether an entry fits; evict one of lower weight if necessary."""
         if len(self._entries) < MOST_ENTRIES:
             return True
-        self._forget_old(now)
+        self._drop_expired(now)
         if len(self._entries) < MOST_ENTRIES:
             return True
         least = min(self._entries, key=lambda item: self._entries[item].weight)
@@ -166,18 +168,18 @@
         del self._entries[least]
         return True
 
-    def _forget_old(self, now: float) -> None:
-        old = [
+    def _drop_expired(self, now: float) -> None:
+        expired = [
             fingerprint
             for fingerprint, held in self._entries.items()
             if now - held.latest > MEMORY_TIME
         ]
-        for fingerprint in old:
+        for fingerprint in expired:
             del self._entries[fingerprint]
 
 
-def _unite(one: Suspicion, other: Suspicion) -> Suspicion:
-    """Return what two instances know together; strikes before an answer are void."""
+def _merge_records(one: Suspicion, other: Suspicion) -> Suspicion:
+    """Return the union of two records; strikes before the last answer are void."""
     answered_at = max(one.answered_at, other.answered_at)
     strikes: frozenset[int] = frozenset()
     for item in (one, other):
--- a/walkcart/routing/quotas.py
+++ b/walkcart/routing/quotas.py
@@ -1,11 +1,11 @@
-"""Rate limits of teams, shared by all instances: what an accountant grants.
+"""Rate limits of teams over all instances: the side that grants requests.
 
-The load this answers: a team's callers come to any instance, a few requests a second at
-each, some teams far above their limit. The limit holds for all instances together, so
-each is cut into shares, and one instance at a time accounts a share of all teams
-(`walkcart.membership.quotashares`). Its token buckets live in memory. Whoever takes a
-share over can't know what was granted before it, so it starts with empty buckets, but
-for a small start level that the bound has room for.
+A team's callers come to any instance, with a few requests per second at each, and some
+teams are far above their limit. The limit holds for all instances together. So each
+limit is divided into shares, and one instance at a time is the accountant of a share of
+all teams (`walkcart.membership.quotashares`). It keeps token buckets in memory. An
+instance that takes over a share can't know what was granted before, so it starts with
+empty buckets, except for a small start level that the bound allows for.
 
 Examples:
     >>> bounds = QuotaBounds(window=5.0, tolerance=0.1, slack=36.0)
@@ -33,36 +33,36 @@
 from walkcart.routing.shares import rank_rendezvous
 from walkcart.routing.tokenbucket import LONGEST_TURN, BucketSize, TokenBucket
 
-#: Shares of a limit at the most: one that is lost leaves five sixths in use.
+#: Shares of a limit at most: when one is lost, five sixths of the limit stay usable.
 SHARES = 6
-#: Tokens of one share's bucket at the least: of smaller ones much lies idle as parts of
-#: a request, so that small limits are cut into fewer shares.
-LEAST_DEPTH = 2.0
-#: Part of the slack that is added to the burst: short rushes of requests within the
+#: Minimum depth of one share's bucket, in tokens. In smaller buckets much of the limit
+#: lies idle as fractions of a request, so small limits get fewer shares.
+MIN_DEPTH = 2.0
+#: Fraction of the slack that is added to the burst, so that short bursts within the
 #: limit, which fall unevenly on the shares, aren't refused.
 DEPTH_PART = 1 / 2
-#: Part of the slack with which the buckets of all shares start anew together.
+#: Fraction of the slack that is the start level of all shares' buckets together.
 START_PART = 1 / 6
-#: Starts of one share within a window that get it.
+#: Starts of one share within a window that get the start level.
 MOST_STARTS = 2
-#: Part of the tolerance that grants may use by being held; the rest is for the way
-#: from the grant to the leafs.
-HOLD_PART = 0.5
-#: Seconds for which a grant holds at the least: a round trip between regions and a
-#: busy processor at both ends.
-LEAST_HOLD = 0.1
-#: Buckets kept at the most before full ones are forgotten; those come back full.
-MOST_BUCKETS = 4096
+#: Fraction of the tolerance that held grants may use up; the rest covers the time from
+#: the grant to the leaves.
+HOLD_FRACTION = 0.5
+#: Minimum validity of a grant, in seconds: a round trip between regions with a busy
+#: processor at both ends.
+MIN_HOLD = 0.1
+#: Buckets kept before full ones are dropped; a dropped bucket is recreated full.
+MAX_BUCKETS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaBounds:
-    """By how much a limit may be passed in any window.
+    """By how much a limit may be exceeded in any window.
 
     Args:
         window: length of the window, in seconds.
-        tolerance: share of the limit by which it may be passed.
-        slack: requests on top.
+        tolerance: excess as a share of the limit.
+        slack: further excess, in requests.
     """
 
     window: float = 5.0
@@ -71,19 +71,19 @@
 
     @property
     def hold(self) -> float:
-        """Seconds for which a grant holds."""
-        return max(LEAST_HOLD, HOLD_PART * self.tolerance * self.window)
+        """Validity of a grant, in seconds."""
+        return max(MIN_HOLD, HOLD_FRACTION * self.tolerance * self.window)
 
     def most(self, limit: RateLimit) -> float:
-        """Return the requests of a team that may run within a window."""
+        """Return how many requests of a team may run within a window."""
         due = limit.rate * self.window + limit.burst
         return due * (1.0 + self.tolerance) + self.slack
 
 
 def list_shares(limit: RateLimit, bounds: QuotaBounds, team: str) -> tuple[int, ...]:
-    """Return the shares that a limit is cut into, from one that the name chooses."""
+    """Return the shares of a team's limit, beginning at one that its name selects."""
     depth = limit.burst + bounds.slack * DEPTH_PART
-    count = min(SHARES, max(1, math.floor(depth / LEAST_DEPTH)))
+    count = min(SHARES, max(1, math.floor(depth / MIN_DEPTH)))
     first = rank_rendezvous(team, "quota")
     return tuple((first + step) % SHARES for step in range(count))
 
@@ -91,7 +91,7 @@
 def size_bucket(
     limit: RateLimit, bounds: QuotaBounds, team: str, share: int
 ) -> BucketSize | None:
-    """Return how a share of a limit is accounted; None if it has no part of it."""
+    """Return the bucket size of a share of a limit; None if the share has no part."""
     shares = list_shares(limit, bounds, team)
     if share not in shares:
         return None
@@ -99,15 +99,15 @@
     return BucketSize(
         limit.rate / len(shares),
         max(1.0, depth / len(shares)),
-        _cut_start(bounds.slack * START_PART, shares.index(share), len(shares)),
+        _find_start_level(bounds.slack * START_PART, shares.index(share), len(shares)),
     )
 
 
-def _cut_start(tokens: float, place: int, count: int) -> float:
-    """Return the start level of one of `count` shares.
+def _find_start_level(tokens: float, place: int, count: int) -> float:
+    """Return the start level of the share at `place` of `count`, in tokens.
 
-    Where there isn't a whole token for each, the first shares get one: with parts of
-    a token nobody could run anything.
+    If there isn't a whole token for each, the first shares get one: a fraction of a
+    token can't admit a request.
     """
     if tokens >= count:
         return tokens / count
@@ -116,14 +116,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """What is asked for.
+    """A request to an accountant for a grant.
 
     Args:
-        team: whose requests.
-        limit: of the team.
-        version: of the configuration that says so.
-        amount: requests, at least 1.
-        full: shares that had no room, as far as the asker knows.
+        team: the team whose requests are to run.
+        limit: the rate limit of the team.
+        version: version of the configuration that sets the limit.
+        amount: number of requests asked for, at least 1.
+        full: exhausted shares that the asking instance knows of.
     """
 
     team: str
@@ -135,14 +135,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What an accountant answers.
+    """The reply of an accountant.
 
     Args:
-        granted: requests that may run; 0 when there is no room.
-        wait: seconds until there is room for one; infinite if never here.
+        granted: number of requests that may run; 0 when the share is exhausted.
+        wait: seconds until one request may run; infinite if never in this share.
         turn: seconds until the asker's turn, behind others that were refused.
-        use: requests of the team that this accountant granted a second of late.
-        full: other shares that had no room, as far as the accountant was told.
+        use: requests of the team per second that this accountant recently granted.
+        full: other exhausted shares that the accountant was told of.
     """
 
     granted: int
@@ -154,7 +154,7 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """A bucket, the version that gave its size, and what is known of other shares."""
+    """A bucket, the configuration version of its size, and the exhausted shares."""
 
     bucket: TokenBucket
     version: int
@@ -162,13 +162,13 @@
 
 
 class ShareAccount:
-    """The buckets of all teams in one share, for as long as one holds it.
+    """The buckets of all teams in one share, while this instance is its accountant.
 
     Args:
-        share: which one.
-        bounds: by how much limits may be passed.
-        started_at: when it was taken, in seconds.
-        with_start: whether its buckets get the start level.
+        share: index of the share.
+        bounds: by how much limits may be exceeded.
+        started_at: when this instance took the share, in seconds.
+        with_start: whether the buckets get the start level.
     """
 
     def __init__(
@@ -181,7 +181,7 @@
         self._entries: dict[str, _Entry] = {}
 
     def ask(self, want: Want, now: float) -> Reply:
-        """Grant what there is room for."""
+        """Grant as much of a request as the bucket allows."""
         size = size_bucket(want.limit, self._bounds, want.team, self._share)
         entry = self._entries.get(want.team)
         if entry is None:
@@ -190,9 +190,9 @@
             entry = self._add(want, size, now)
         elif want.version > entry.version:
             entry.version = want.version
-            entry.bucket.resize(size or _NOTHING, now)
+            entry.bucket.resize(size or _NO_BUCKET, now)
         bucket = entry.bucket
-        if bucket.size is _NOTHING:
+        if bucket.size is _NO_BUCKET:
             return Reply(0, math.inf, LONGEST_TURN)
         entry.full.take(want.full, now)
         granted = bucket.take(want.amount, now)
@@ -202,20 +202,20 @@
         return Reply(0, wait, turn, bucket.find_use(now), entry.full.tell(now))
 
     def _add(self, want: Want, size: BucketSize, now: float) -> _Entry:
-        """Keep a team's bucket as if it were there since the start."""
-        if len(self._entries) >= MOST_BUCKETS:
-            self._forget_full(now)
+        """Add a team's bucket, filled as if it had existed since the start."""
+        if len(self._entries) >= MAX_BUCKETS:
+            self._drop_full(now)
         level = size.start if self._with_start else 0.0
         level += size.rate * (now - self._started_at)
         bucket = TokenBucket(size, level, now)
         entry = self._entries[want.team] = _Entry(bucket, want.version)
         return entry
 
-    def _forget_full(self, now: float) -> None:
+    def _drop_full(self, now: float) -> None:
         for team, entry in list(self._entries.items()):
             if entry.bucket.is_full(now):
                 del self._entries[team]
 
 
-#: What a share has of a limit that lies whole in another one.
-_NOTHING = BucketSize(rate=1e-9, depth=0.0, start=0.0)
+#: Bucket size of a share that has no part of a limit.
+_NO_BUCKET = BucketSize(rate=1e-9, depth=0.0, start=0.0)
--- a/walkcart/routing/tests/test_gatherers.py
+++ b/walkcart/routing/tests/test_gatherers.py
@@ -11,8 +11,8 @@
     rank_by_capacity,
 )
 from walkcart.routing.peerchoice import (
-    LONGEST_PATIENCE,
-    MOST_PATIENCE,
+    BASE_MAX_TIMEOUT,
+    MAX_TIMEOUT,
     PeerAccounts,
 )
 
@@ -86,6 +86,6 @@
     near = accounts.patience("a", 2.0)
     for second in range(10):
         accounts.note_silent("a", float(second))
-    assert near < unknown <= MOST_PATIENCE
-    assert near < accounts.patience("a", 2.0) <= MOST_PATIENCE
-    assert accounts.patience("a", 0.1) == LONGEST_PATIENCE
+    assert near < unknown <= MAX_TIMEOUT
+    assert near < accounts.patience("a", 2.0) <= MAX_TIMEOUT
+    assert accounts.patience("a", 0.1) == BASE_MAX_TIMEOUT
--- a/walkcart/routing/tests/test_instance_room.py
+++ b/walkcart/routing/tests/test_instance_room.py
@@ -4,8 +4,8 @@
 from itertools import count
 
 from walkcart.routing.instanceroom import (
-    CALM_TIME,
-    MOST_DELAY,
+    MAX_LOOP_DELAY,
+    RECOVERY_TIME,
     STANDING_TIME,
     Crowded,
     Entry,
@@ -175,7 +175,7 @@
 
 def test_the_limit_falls_away_when_the_loop_has_caught_up():
     play = Play()
-    play.run(arrive("plain", PACE * 2, 4.0), until=4.0 + CALM_TIME + 4.0)
+    play.run(arrive("plain", PACE * 2, 4.0), until=4.0 + RECOVERY_TIME + 4.0)
     assert play.room.limit == float("inf")
     assert play.room.in_progress == 0
 
@@ -196,6 +196,6 @@
         room.enter(number, Entry(0, 1.0, 1.0), 0.0)
     now = 0.0
     while now < 3 * STANDING_TIME:
-        room.note_delay(2 * MOST_DELAY, now)
+        room.note_delay(2 * MAX_LOOP_DELAY, now)
         now += INTERVAL
     assert room.limit < 10
--- a/walkcart/routing/tests/test_urgency.py
+++ b/walkcart/routing/tests/test_urgency.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from walkcart.routing.urgency import AGE_TURN, Urgency, UrgencyQueue
+from walkcart.routing.urgency import OLDEST_FIRST_INTERVAL, Urgency, UrgencyQueue
 
 
 def serve(arrivals, time, until):
@@ -61,7 +61,7 @@
     share = served[2] / 100
     overall = sum(served.values()) / 2100
     assert share >= overall / 4
-    assert served[0] > 900 - 1000 / AGE_TURN
+    assert served[0] > 900 - 1000 / OLDEST_FIRST_INTERVAL
 
 
 def test_the_less_urgent_never_wait_less_than_the_more_urgent():
--- a/walkcart/routing/urgency.py
+++ b/walkcart/routing/urgency.py
@@ -1,12 +1,12 @@
-"""In which order requests go that wait for room, at a leaf or in an instance.
+"""The order in which waiting requests go to a leaf or start in an instance.
 
-The load it answers: leafs that have turned slow, or a burst, where more is asked than
-can be taken at once. Three of four times the most urgent goes first: the lowest rank,
-then the team whose turn it is, then what has least time left to its objective. What
-has missed its objective goes after what can still meet one of the same rank, since an
-answer loses little by being later still. The fourth time the one goes that has waited
-longest, so that no rank waits for ever, and none gains on a more urgent one that came
-before it.
+It matters when leaves turn slow or a burst arrives, and more is asked than can be taken
+at once. Three of four times the most urgent request goes first: the lowest rank, then
+the team whose turn it is, then the earliest objective. Within a rank and turn, a
+request that has missed its objective goes after those that can still meet theirs, since
+its answer loses little by being later still. Each fourth time the request that has
+waited longest goes, so that no rank starves, and none overtakes a more urgent one that
+came before it.
 
 Examples:
     >>> queue = UrgencyQueue()
@@ -24,22 +24,22 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-#: Of so many requests that are taken, one is the one that has waited longest: callers
-#: of the least urgent kind are promised a quarter of what the others get.
-AGE_TURN = 4
+#: One in so many requests is taken by age: callers of the least urgent kind are
+#: promised a quarter of what the others get.
+OLDEST_FIRST_INTERVAL = 4
 
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
 class Urgency:
-    """How urgent a request that waits is.
+    """The urgency of a waiting request.
 
     Args:
-        rank: 0 is the most urgent.
-        due: when its objective ends, in seconds; infinite where it has none.
+        rank: urgency class; 0 is the most urgent.
+        due: when its objective ends, in seconds; infinite without an objective.
         since: when it began to wait, in seconds.
-        turn: of its team among the teams; the lowest goes first.
+        turn: fair queueing turn of its team; the lowest goes first.
     """
 
     rank: int
@@ -49,9 +49,9 @@
 
 
 class UrgencyQueue(Generic[T]):
-    """Requests that wait, taken out by urgency.
+    """A queue of waiting requests, ordered by urgency.
 
-    Each call looks at all of them, which suits some dozens.
+    Each call is linear in the length of the queue, which suits some dozens of requests.
     """
 
     def __init__(self) -> None:
@@ -65,45 +65,45 @@
         return (item for _, item in self._waiting)
 
     def count_ahead(self, rank: int) -> int:
-        """Return the requests that are as urgent as a rank, or more."""
+        """Return the number of requests that are as urgent as `rank`, or more."""
         return sum(1 for urgency, _ in self._waiting if urgency.rank <= rank)
 
     def add(self, item: T, urgency: Urgency) -> None:
-        """Have a request wait."""
+        """Add a waiting request."""
         self._waiting.append((urgency, item))
 
     def remove(self, item: T) -> None:
-        """Take a request out; nothing happens when it doesn't wait."""
+        """Remove a request; a request that doesn't wait is ignored."""
         self._waiting = [entry for entry in self._waiting if entry[1] is not item]
 
     def clear(self) -> list[T]:
-        """Take all requests out, in the order in which they came."""
+        """Remove and return all requests, in the order in which they were added."""
         waiting, self._waiting = self._waiting, []
         return [item for _, item in waiting]
 
     def take(
         self, now: float, may_go: Callable[[T], bool] = lambda item: True
     ) -> T | None:
-        """Return the request that goes next, or None when none may go.
+        """Remove and return the request that goes next, or None when none may go.
 
         Args:
-            now: the present, in seconds.
-            may_go: returns whether there is room for a request.
+            now: current time, in seconds.
+            may_go: returns whether there is capacity for a request.
         """
-        able = [entry for entry in self._waiting if may_go(entry[1])]
-        if not able:
+        eligible = [entry for entry in self._waiting if may_go(entry[1])]
+        if not eligible:
             return None
-        by_age = len(able) > 1 and (self._taken + 1) % AGE_TURN == 0
-        if len(able) > 1:
+        by_age = len(eligible) > 1 and (self._taken + 1) % OLDEST_FIRST_INTERVAL == 0
+        if len(eligible) > 1:
             self._taken += 1
         if by_age:
-            chosen = min(able, key=lambda entry: entry[0].since)
+            chosen = min(eligible, key=lambda entry: entry[0].since)
         else:
-            chosen = min(able, key=lambda entry: _order(entry[0], now))
+            chosen = min(eligible, key=lambda entry: _sort_key(entry[0], now))
         self._waiting.remove(chosen)
         return chosen[1]
 
 
-def _order(urgency: Urgency, now: float) -> tuple[int, float, bool, float, float]:
+def _sort_key(urgency: Urgency, now: float) -> tuple[int, float, bool, float, float]:
     late = urgency.due <= now
     return urgency.rank, urgency.turn, late, urgency.due, urgency.since
