--- a/walkcart/routing/__init__.py
+++ b/walkcart/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: small modules whose inputs are plain data and a clock."""
+"""Routing and load decisions: small modules whose inputs are plain data and a clock."""
 
 from walkcart.lazyimport import attach_names
 
--- a/walkcart/routing/accountants.py
+++ b/walkcart/routing/accountants.py
@@ -1,8 +1,8 @@
-"""Which instances may account a share of the rate limits, and when they try to.
+"""Selects the instances that may account a share of the rate limits.
 
-All instances rank alike as far as they know the same others, so that few of them try
-and each finds the accountant by asking one of them. Who really accounts a share is
-decided by a key in the shared store alone.
+All instances that know the same fleet compute the same ranking. So only a few
+candidates try to take a share, and any instance finds the accountant by asking one of
+them. A key in the shared store alone decides which one is the accountant.
 
 Examples:
     >>> places = {"a": Site("north", 1.0), "b": Site("south", 2.0)}
@@ -19,32 +19,32 @@
 
 from walkcart.routing.shares import rank_by_weight, rank_rendezvous
 
-#: Instances that may take a share.
+#: Number of instances that may take a share.
 CANDIDATES = 3
-#: Seconds after which an accountant that isn't heard of may have ended.
-SILENT = 3.0
-#: Seconds by which each candidate waits longer than the one before it, and by which an
-#: instance that accounts a share waits longer than one that accounts none.
-STAGGER = 1.0
-BUSY_STAGGER = 3.0
-#: Seconds between two tries to take a share.
+#: Seconds of silence after which an accountant may have ended.
+SILENCE_TIMEOUT = 3.0
+#: Seconds that each candidate waits longer than the one before it.
+CANDIDATE_DELAY = 1.0
+#: Seconds that an instance with a share waits longer than one without.
+BUSY_DELAY = 3.0
+#: Seconds between two attempts to take a share.
 RETRY = 1.0
-#: Tries before they become rare: for as long as a lost accountant's lease lasts. Past
-#: them the accountant lives and knows other candidates.
-QUICK_TRIES = 12
-#: Longest time between two tries, in seconds.
-LONGEST_RETRY = 30.0
-#: Least cores that count: an instance that states none still has a rank.
-LEAST_CORES = 0.01
+#: Attempts before the backoff begins. They last as long as a lost accountant's lease;
+#: after that the accountant must be alive and know other candidates.
+QUICK_ATTEMPTS = 12
+#: Upper bound of the backoff, in seconds.
+MAX_RETRY = 30.0
+#: Lower bound of the cores that count, so that an instance that states none has a rank.
+MIN_CORES = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """What a rank depends on.
+    """The properties of an instance that determine its rank.
 
     Args:
-        region: of the instance.
-        cores: of its machine.
+        region: region of the instance.
+        cores: processor cores of its machine.
     """
 
     region: str
@@ -52,22 +52,22 @@
 
 
 def rank_candidates(share: int, instances: Mapping[str, Site]) -> list[str]:
-    """Return the instances that may account a share, in order.
+    """Return the names of the instances that may account a share, in order of rank.
 
-    Those of one region first, another for each share as far as there are several, so
-    that most requests find an accountant near; and of those the large ones more often,
-    as an accountant works for all others.
+    Instances of one region come first. The region differs from share to share where
+    there are several, so that most requests find an accountant nearby. Within a region
+    large machines come first more often, since an accountant works for all others.
 
     Args:
-        share: its number.
-        instances: by name.
+        share: index of the share.
+        instances: the instances by name.
     """
     regions = sorted({site.region for site in instances.values()})
     regions.sort(key=lambda region: rank_rendezvous("quota", region))
 
     def rank(name: str) -> tuple[bool, float, str]:
         site = instances[name]
-        weight = max(site.cores, LEAST_CORES) ** 2
+        weight = max(site.cores, MIN_CORES) ** 2
         order = rank_by_weight(f"quota/{share}", name, weight)
         return (site.region != regions[share % len(regions)], order, name)
 
@@ -78,14 +78,14 @@
     """Return how long a candidate waits before it tries to take a share, in seconds.
 
     Args:
-        place: of the candidate among them, from 0.
+        place: rank of the candidate, from 0.
         is_busy: whether it accounts another share.
-        was_heard: whether an accountant was heard of, which may live; the time counts
-            from then.
+        was_heard: whether an accountant was heard from, which may be alive; the wait
+            then counts from that time.
     """
-    return place * STAGGER + is_busy * BUSY_STAGGER + was_heard * SILENT
+    return place * CANDIDATE_DELAY + is_busy * BUSY_DELAY + was_heard * SILENCE_TIMEOUT
 
 
 def find_retry(tries: int) -> float:
-    """Return the seconds until the next try after so many."""
-    return float(min(LONGEST_RETRY, RETRY * 2.0 ** max(0, tries - QUICK_TRIES)))
+    """Return the seconds until the next attempt, after `tries` attempts."""
+    return float(min(MAX_RETRY, RETRY * 2.0 ** max(0, tries - QUICK_ATTEMPTS)))
--- a/walkcart/routing/admission.py
+++ b/walkcart/routing/admission.py
@@ -1,15 +1,15 @@
-"""Early refusal of what can't be served in time, with fair shares of partners.
+"""Admission control with early refusal and fair shares of the partners.
 
 An instance runs a limited number of queries of a service at once. The limit
-follows the time of a query's median shard: it shrinks when that is far longer
-than unloaded, since then requests only queue at the leaves. The slowest shard,
-which makes the query's own time, says nothing of the kind: a few stragglers are
-no overload, see ``docs/design/admission.md``. Past the limit a
-request waits briefly, by turns of the partners, and is refused at once when the
-queue is longer than can be drained in that time.
-
-The time to come back is the queue's length over the measured rate of
-completions, so a refused caller comes back when there is room.
+adapts to the time of a query's median shard: it shrinks when that is far longer
+than without load, since then requests only queue at the leaves. The slowest
+shard, which determines the query's own time, isn't a sign of overload: there may
+be a few stragglers at any load, see ``docs/design/admission.md``. Above the limit
+a request waits briefly, in a queue that is fair among the partners, and is refused
+at once when the queue can't be drained in that time.
+
+The time to retry after is the queue's length over the measured completion rate,
+so a refused caller comes back when there is capacity.
 """
 
 from __future__ import annotations
@@ -22,25 +22,28 @@
 
 from walkcart.kernel.clock import Clock
 
-#: Share of a request's time that it may spend waiting for admission.
-WAIT_SHARE = 0.1
-LEAST_RETRY = timedelta(milliseconds=50)
-LONGEST_RETRY = timedelta(seconds=30)
+#: Share of a request's remaining time that it may wait for admission.
+MAX_WAIT_SHARE = 0.1
+#: Bounds of the time to retry after.
+MIN_RETRY = timedelta(milliseconds=50)
+MAX_RETRY = timedelta(seconds=30)
+#: First limit and lower bound of the limit, in queries.
 FIRST_LIMIT = 32.0
-LEAST_LIMIT = 2.0
-#: A query slower than this many times the fastest of late is a sign of overload.
+MIN_LIMIT = 2.0
+#: A query slower than this many times the recently fastest one is a sign of overload.
 SLOW_FACTOR = 2.5
+#: Factor on the limit at overload, and seconds between two decreases.
 DECREASE = 0.8
-DECREASE_GAP = 0.1
-#: Seconds over which the completion rate is measured.
+DECREASE_INTERVAL = 0.1
+#: Half-life of the completion rate, in seconds.
 RATE_TIME = 2.0
-#: The fastest query of late is forgotten this fast, as a share a second.
+#: Growth per second of the recently fastest time, so that it is forgotten.
 BASE_DRIFT = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may run; tell `Admission.leave` when it ends."""
+    """The request may run; call `Admission.leave` when it ends."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +51,7 @@
     """The request is refused.
 
     Args:
-        retry_after: when there will likely be room.
+        retry_after: time until there will likely be capacity.
     """
 
     retry_after: timedelta
@@ -74,13 +77,13 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._limit = FIRST_LIMIT
-        self._most = FIRST_LIMIT
+        self._max_limit = FIRST_LIMIT
         self._running: dict[str, int] = {}
         self._total = 0
         self._queues: OrderedDict[str, deque[_Waiter]] = OrderedDict()
-        self._shares: dict[str, float] = {}
+        self._weights: dict[str, float] = {}
         self._waiting = 0
-        self._base: float | None = None
+        self._base_latency: float | None = None
         self._base_at = 0.0
         self._decreased_at = float("-inf")
         self._rate = 0.0
@@ -88,57 +91,57 @@
 
     @property
     def in_progress(self) -> int:
-        """Queries that are running."""
+        """Number of queries that are running."""
         return self._total
 
     @property
     def limit(self) -> int:
-        """Queries that may run at once."""
-        return int(min(self._limit, self._most))
+        """Number of queries that may run at once."""
+        return int(min(self._limit, self._max_limit))
 
     async def enter(
         self, partner: str, share: float, most: int, remaining: float
     ) -> Admitted | TurnedAway:
-        """Admit a request, or refuse it.
+        """Admit a request or refuse it, possibly after a short wait.
 
         Args:
-            partner: whose request it is.
+            partner: name of the partner that sent the request.
             share: weight of the partner.
-            most: bound of the limit, from the routing intent.
+            most: upper bound of the limit, from the routing intent.
             remaining: time left for the request, in seconds.
         """
-        self._most = most
-        self._shares[partner] = share
+        self._max_limit = most
+        self._weights[partner] = share
         if self._total < self.limit and not self._waiting:
             return self._admit(partner)
-        patience = remaining * WAIT_SHARE
-        if self._expected_wait(partner) > patience:
+        max_wait = remaining * MAX_WAIT_SHARE
+        if self._expected_wait(partner) > max_wait:
             return TurnedAway(self._retry_after())
-        return await self._wait(partner, patience)
+        return await self._wait(partner, max_wait)
 
     def leave(self, partner: str, typical_time: float | None) -> None:
-        """Note that an admitted request ended.
+        """Record that an admitted request ended.
 
         Args:
-            partner: whose request it was.
+            partner: name of the partner that sent the request.
             typical_time: seconds that the median shard took; None when that
                 says nothing about load, as after a failure.
         """
         now = self._clock.monotonic()
         self._running[partner] -= 1
         self._total -= 1
-        self._note_completion(now)
+        self._record_completion(now)
         if typical_time is not None:
             self._adapt(now, typical_time)
         self._admit_waiting()
 
-    async def _wait(self, partner: str, patience: float) -> Admitted | TurnedAway:
+    async def _wait(self, partner: str, max_wait: float) -> Admitted | TurnedAway:
         waiter = _Waiter()
         queue = self._queues.setdefault(partner, deque())
         queue.append(waiter)
         self._waiting += 1
         try:
-            with trio.move_on_after(patience):
+            with trio.move_on_after(max_wait):
                 await waiter.event.wait()
         except BaseException:
             if waiter.admitted:
@@ -168,62 +171,62 @@
             self._admit(partner)
 
     def _next_partner(self) -> str:
-        """Return the waiting partner that runs least for its share."""
+        """Return the waiting partner with the fewest running queries per weight."""
         waiting = [name for name, queue in self._queues.items() if queue]
-        return min(waiting, key=self._usage)
+        return min(waiting, key=self._usage_per_weight)
 
-    def _usage(self, partner: str) -> float:
-        return self._running.get(partner, 0) / self._shares[partner]
+    def _usage_per_weight(self, partner: str) -> float:
+        return self._running.get(partner, 0) / self._weights[partner]
 
     def _expected_wait(self, partner: str) -> float:
-        """Return the seconds that one more request of `partner` would wait."""
-        ahead = len(self._queues.get(partner, ()))
-        share = self._share_of(partner)
-        rate = self._completions()
-        return (ahead + 1) / (rate * share) if rate > 0 else float("inf")
-
-    def _share_of(self, partner: str) -> float:
-        """Return the part of the service that `partner` gets while it is busy."""
+        """Return the seconds that another request of `partner` would wait."""
+        queued = len(self._queues.get(partner, ()))
+        share = self._find_fraction(partner)
+        rate = self._completion_rate()
+        return (queued + 1) / (rate * share) if rate > 0 else float("inf")
+
+    def _find_fraction(self, partner: str) -> float:
+        """Return the fraction of completions that `partner` gets among the waiting."""
         busy = [name for name, queue in self._queues.items() if queue]
         if partner not in busy:
             busy.append(partner)
-        total = sum(self._shares[name] for name in busy)
-        return self._shares[partner] / total
+        total = sum(self._weights[name] for name in busy)
+        return self._weights[partner] / total
 
     def _retry_after(self) -> timedelta:
-        rate = self._completions()
+        rate = self._completion_rate()
         if rate <= 0:
             return timedelta(seconds=1)
         wait = timedelta(seconds=(self._waiting + 1) / rate)
-        return min(LONGEST_RETRY, max(LEAST_RETRY, wait))
+        return min(MAX_RETRY, max(MIN_RETRY, wait))
 
-    def _completions(self) -> float:
-        """Return completions a second."""
+    def _completion_rate(self) -> float:
+        """Return the recent completions per second."""
         elapsed = self._clock.monotonic() - self._rate_at
         return self._rate * 0.5 ** (elapsed / RATE_TIME)
 
-    def _note_completion(self, now: float) -> None:
+    def _record_completion(self, now: float) -> None:
         elapsed = now - self._rate_at
         kept = 0.5 ** (elapsed / RATE_TIME)
-        # ln 2 / RATE_TIME is the weight at which a steady stream gives its rate.
+        # With weight ln 2 / RATE_TIME a steady stream yields its own rate.
         self._rate = self._rate * kept + 0.693 / RATE_TIME
         self._rate_at = now
 
     def _adapt(self, now: float, latency: float) -> None:
         base = self._update_base(now, latency)
         slow = latency > SLOW_FACTOR * base
-        if slow and now - self._decreased_at >= DECREASE_GAP:
-            self._limit = max(LEAST_LIMIT, self._limit * DECREASE)
+        if slow and now - self._decreased_at >= DECREASE_INTERVAL:
+            self._limit = max(MIN_LIMIT, self._limit * DECREASE)
             self._decreased_at = now
         elif not slow and self._total + 1 >= self.limit:
-            # Room that nobody used says nothing about more room.
-            self._limit = min(float(self._most), self._limit + 1.0 / self._limit)
+            # Only a limit that is fully used may grow.
+            self._limit = min(float(self._max_limit), self._limit + 1.0 / self._limit)
 
     def _update_base(self, now: float, latency: float) -> float:
-        """Return the latency without load: the least of late."""
-        if self._base is None:
-            self._base = latency
+        """Return the latency without load: the recent minimum."""
+        if self._base_latency is None:
+            self._base_latency = latency
         drift = 1.0 + BASE_DRIFT * (now - self._base_at)
-        self._base = min(latency, self._base * drift)
+        self._base_latency = min(latency, self._base_latency * drift)
         self._base_at = now
-        return self._base
+        return self._base_latency
--- a/walkcart/routing/allowances.py
+++ b/walkcart/routing/allowances.py
@@ -1,7 +1,7 @@
-"""What an instance holds of teams' rate limits, and whom it asks for more.
+"""What an instance holds of teams' rate limits, and how long it waits for more.
 
-The load this answers: many instances with a few requests of each team, one instance
-with many, and a team far above its limit whose refusals must cost next to nothing.
+It has to suit many instances with a few requests of each team, one instance with many
+requests, and a team far above its limit, whose refusals must cost next to nothing.
 
 Examples:
     >>> allowance = Allowance(hold=0.25)
@@ -21,88 +21,95 @@
 
 from walkcart.routing.fullshares import FullShares
 
-#: Seconds over which the use of a team at this instance is averaged.
+#: Time constant of the average use of a team at this instance, in seconds.
 USE_TIME = 1.0
-#: Most that is asked for at once: the flow of a very busy instance within the hold.
-MOST_WANTED = 64
-#: Part of the hold within which a request that didn't run gives back what it took.
-GIVE_BACK_PART = 0.5
-#: Least and most seconds that an accountant may take before the next one is asked.
-#: The least is above the pauses of a busy processor; with the most, a request still
-#: reaches several silent accountants before it is refused.
-LEAST_PATIENCE = 0.04
-MOST_PATIENCE = 0.12
-#: Seconds to wait for an answer, as a multiple of the usual time of one.
-PATIENCE_FACTOR = 3.0
-#: Weight of the newest answer in the usual time.
+#: Largest amount asked for at once: what a very busy instance uses while a grant holds.
+MAX_REQUEST_AMOUNT = 64
+#: Fraction of a grant's validity within which a request that didn't run is refunded.
+REFUND_FRACTION = 0.5
+#: Bounds of the timeout after which the next accountant is asked, in seconds. The lower
+#: one is above the pauses of a busy processor. With the upper one a request still asks
+#: several silent accountants before it is refused.
+MIN_TIMEOUT = 0.04
+MAX_TIMEOUT = 0.12
+#: Timeout as a multiple of the usual reply time.
+TIMEOUT_FACTOR = 3.0
+#: Weight of the newest reply in the usual reply time.
 NEWEST_WEIGHT = 0.1
 
 
 class Allowance:
-    """What is held of one team's limit.
+    """The requests that this instance may run of one team's limit.
 
     Args:
-        hold: seconds for which a grant holds.
+        hold: validity of a grant, in seconds.
 
     Attributes:
-        full: the shares that had no room.
+        full: the shares that were recently exhausted.
     """
 
-    __slots__ = ("_at", "_held", "_hold", "_until", "_use", "full")
+    __slots__ = (
+        "_decayed_at",
+        "_expires_at",
+        "_granted",
+        "_hold",
+        "_use_rate",
+        "full",
+    )
 
     def __init__(self, hold: float) -> None:
         self._hold = hold
-        self._held = 0
-        self._until = -math.inf
-        self._use = 0.0
-        self._at = -math.inf
+        self._granted = 0
+        self._expires_at = -math.inf
+        self._use_rate = 0.0
+        self._decayed_at = -math.inf
         self.full = FullShares()
 
     def take(self, now: float) -> bool:
-        """Take one request from what is held; False when nothing is."""
-        if now >= self._until:
-            self._held = 0
-        if self._held < 1:
+        """Use up one held request; return False when none is held."""
+        if now >= self._expires_at:
+            self._granted = 0
+        if self._granted < 1:
             return False
-        self._held -= 1
+        self._granted -= 1
         return True
 
     def put(self, amount: int, until: float) -> None:
-        """Hold what was granted, until the earlier end of what is held."""
+        """Add a grant; everything held expires at the earliest end."""
         if amount < 1:
             return
-        self._until = min(until, self._until) if self._held else until
-        self._held += amount
+        self._expires_at = min(until, self._expires_at) if self._granted else until
+        self._granted += amount
 
     def give_back(self, admitted_at: float, now: float) -> None:
-        """Hold again what a request took that didn't run, if that was just now.
+        """Add back a request that was admitted just now and didn't run.
 
         Args:
-            admitted_at: when the request came, in seconds.
-            now: seconds of the same clock.
+            admitted_at: when the request was admitted, in seconds.
+            now: current time of the same clock, in seconds.
         """
-        until = admitted_at + self._hold * GIVE_BACK_PART
+        until = admitted_at + self._hold * REFUND_FRACTION
         if now < until:
             self.put(1, until)
 
     def note_use(self, now: float) -> None:
-        """Note that a request was admitted."""
-        self._fade(now)
-        self._use += 1.0 / USE_TIME
+        """Record that a request was admitted."""
+        self._decay(now)
+        self._use_rate += 1.0 / USE_TIME
 
     def find_wanted(self, now: float) -> int:
-        """Return how much to ask for: one, and what is used while a grant holds."""
-        self._fade(now)
-        return min(MOST_WANTED, 1 + math.floor(self._use * self._hold))
+        """Return how many requests to ask for: one plus the use while a grant holds."""
+        self._decay(now)
+        return min(MAX_REQUEST_AMOUNT, 1 + math.floor(self._use_rate * self._hold))
 
-    def _fade(self, now: float) -> None:
-        if now > self._at:
-            self._use *= math.exp((self._at - now) / USE_TIME)
-            self._at = now
+    def _decay(self, now: float) -> None:
+        if now > self._decayed_at:
+            self._use_rate *= math.exp((self._decayed_at - now) / USE_TIME)
+            self._decayed_at = now
 
 
 class ReplyPatience:
-    """For how long to wait for an accountant before another is asked.
+    """Adapts the timeout after which another accountant is asked.
 
     Examples:
         >>> patience = ReplyPatience()
@@ -114,17 +121,17 @@
         0.04
     """
 
-    __slots__ = ("_usual",)
+    __slots__ = ("_usual_time",)
 
     def __init__(self) -> None:
-        self._usual = MOST_PATIENCE / PATIENCE_FACTOR
+        self._usual_time = MAX_TIMEOUT / TIMEOUT_FACTOR
 
     def note(self, seconds: float) -> None:
-        """Note how long an answer took; longer ones count at once."""
-        faded = self._usual + NEWEST_WEIGHT * (seconds - self._usual)
-        self._usual = max(seconds, faded)
+        """Record how long a reply took; a longer one counts at once."""
+        average = self._usual_time + NEWEST_WEIGHT * (seconds - self._usual_time)
+        self._usual_time = max(seconds, average)
 
     def find(self) -> float:
-        """Return the seconds to wait."""
-        wanted = PATIENCE_FACTOR * self._usual
-        return min(MOST_PATIENCE, max(LEAST_PATIENCE, wanted))
+        """Return the timeout, in seconds."""
+        wanted = TIMEOUT_FACTOR * self._usual_time
+        return min(MAX_TIMEOUT, max(MIN_TIMEOUT, wanted))
--- a/walkcart/routing/budgets.py
+++ b/walkcart/routing/budgets.py
@@ -1,20 +1,20 @@
-"""Budgets for extra requests, as a share of the first tries."""
+"""Budgets for extra requests, as a share of the first attempts."""
 
 from __future__ import annotations
 
-#: Extra requests that may be saved up; bounds a burst after a quiet time.
+#: Extra requests that may be saved up; this bounds a burst after a quiet time.
 BURST = 20.0
 
 
 class ShareBudget:
-    """Earns a share of an extra request with each first try.
+    """Earns a share of an extra request with each first attempt.
 
-    Over any time the extra requests are at most the share of the first tries in
-    it plus the burst, whatever goes wrong meanwhile; that is what keeps an
-    outage from becoming a storm of retries.
+    In any period the extra requests are at most that share of the first attempts
+    plus the burst, whatever goes wrong meanwhile. This keeps an outage from becoming
+    a storm of retries.
 
     Args:
-        burst: most extra requests that are saved up; also what it starts with.
+        burst: maximum number of saved extra requests; also the initial number.
 
     Examples:
         >>> budget = ShareBudget(burst=1.0)
@@ -32,11 +32,11 @@
         self._saved = burst
 
     def earn(self, tries: int, share: float) -> None:
-        """Note `tries` first tries, each of which earns `share`."""
+        """Record `tries` first attempts, each of which earns `share`."""
         self._saved = min(self._burst, self._saved + tries * share)
 
     def take(self) -> bool:
-        """Take one extra request; False when there is none."""
+        """Spend one extra request; return False when none is left."""
         if self._saved < 1.0 - 1e-9:
             return False
         self._saved -= 1.0
--- a/walkcart/routing/coldleafs.py
+++ b/walkcart/routing/coldleafs.py
@@ -1,10 +1,10 @@
-"""What a cold leaf may get, and how instances divide it.
+"""Limits the requests to cold leaves, divided among the instances.
 
-A leaf that has just started, or whose data centre has just come back, bears a bounded
-rate of requests and falls over well above it. The bound holds for all instances
-together, which can't ask each other at each request. So it is cut into a few shares,
-each of which one instance holds at a time (`walkcart.membership.coldshares`); who holds
-none uses other leafs.
+A leaf that has just started, or whose data centre has just come back, can take a
+bounded rate of requests and fails well above it. The bound holds for all instances
+together, which can't coordinate at each request. So it is divided into a few shares,
+each of which one instance holds at a time (`walkcart.membership.coldshares`). Instances
+without a share use other leaves.
 
 Examples:
     >>> bound = ColdBound(tolerance=1.5, slack=5.0)
@@ -22,29 +22,30 @@
 from collections import deque
 from dataclasses import dataclass
 
-#: Seconds in which the bound holds, wherever they begin.
+#: Length of the sliding window in which the bound holds, in seconds.
 WINDOW = 1.0
-#: Seconds added: what is sent a little more than a window apart may arrive within one.
+#: Seconds added to the window: requests that are sent slightly more than a window apart
+#: may arrive within one.
 WINDOW_MARGIN = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class ColdBound:
-    """How many requests a cold leaf gets within a window.
+    """The number of requests that a cold leaf gets within a window.
 
     Args:
         tolerance: factor on the rate that its service states.
-        slack: requests on top.
+        slack: further requests per window.
     """
 
     tolerance: float = 1.0
     slack: float = 0.0
 
     def most(self, rate: float) -> int | None:
-        """Return the requests within a window, of all instances; None without a bound.
+        """Return the bound per window for all instances; None without a bound.
 
         Args:
-            rate: requests a second that a cold leaf bears; 0 where none is set.
+            rate: requests per second that a cold leaf can take; 0 if none is set.
         """
         if rate <= 0.0:
             return None
@@ -53,23 +54,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """One of the shares that the bound of each cold leaf is cut into.
+    """One of the shares that the bound of each cold leaf is divided into.
 
     Args:
-        index: of the share.
-        count: of the shares.
+        index: index of the share, from 0.
+        count: number of shares.
     """
 
     index: int
     count: int
 
     def of(self, most: int) -> int:
-        """Return the requests within a window that this share stands for."""
+        """Return this share's part of the bound, in requests per window."""
         return most // self.count + (self.index < most % self.count)
 
 
 class SendLog:
-    """The requests that were sent to one cold leaf of late.
+    """A log of the requests that were recently sent to one cold leaf.
 
     Examples:
         >>> log = SendLog()
@@ -87,7 +88,7 @@
         self._sent: deque[float] = deque()
 
     def wait(self, now: float, most: int) -> float:
-        """Return the seconds until a request may be sent; infinite if none ever may."""
+        """Return the seconds until a request may be sent; infinite if never."""
         while self._sent and self._sent[0] <= now - WINDOW - WINDOW_MARGIN:
             self._sent.popleft()
         if most <= 0:
@@ -97,7 +98,7 @@
         return self._sent[len(self._sent) - most] + WINDOW + WINDOW_MARGIN - now
 
     def take(self, now: float, most: int) -> bool:
-        """Take room for a request that is sent now; return False when there is none."""
+        """Log a request that is sent now; return False when the bound is reached."""
         if self.wait(now, most) > 0.0:
             return False
         self._sent.append(now)
@@ -105,10 +106,10 @@
 
 
 def find_offered_share(now: float, cold_until: float, cold_time: float) -> float:
-    """Return the share of choices that a leaf takes part in after it was cold.
+    """Return the share of choices in which a leaf that was cold is offered.
 
-    It rises over as long as the leaf was cold, so that all instances together don't
-    turn to it at once.
+    The share rises to 1 over as long as the leaf was cold, so that not all instances
+    turn to the leaf at once.
 
     Examples:
         >>> find_offered_share(11.5, cold_until=10.0, cold_time=3.0)
--- a/walkcart/routing/comeback.py
+++ b/walkcart/routing/comeback.py
@@ -1,7 +1,7 @@
-"""When callers that were refused come back.
+"""Spreads the times at which refused callers retry.
 
-The load it answers: many callers that are refused together. Told the same time they
-would all be back together.
+Many callers may be refused at the same moment. If all were told the same time to retry
+after, all would return together.
 
 Examples:
     >>> from random import Random
@@ -15,15 +15,15 @@
 from datetime import timedelta
 from random import Random
 
-#: Longest time to come back, as a share of the shortest.
+#: Longest time to retry after, as a multiple of the shortest one.
 SPREAD = 1.5
 
 
 def find_return(drained: float, random: Random) -> timedelta:
-    """Return after which time one of several refused callers is to come back.
+    """Return a random time after which one of several refused callers is to retry.
 
     Args:
-        drained: seconds until there is room again.
-        random: spreads the callers.
+        drained: seconds until there is capacity again.
+        random: source of randomness.
     """
     return timedelta(seconds=drained * random.uniform(1.0, SPREAD))
--- a/walkcart/routing/distance.py
+++ b/walkcart/routing/distance.py
@@ -1,4 +1,4 @@
-"""How far two places are apart, as far as it matters for cost and time."""
+"""Distance between two locations, in the steps that matter for cost and time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Distance(IntEnum):
-    """Steps of distance, each of which costs more time and money."""
+    """Steps of distance; each one costs more time and money than the one before."""
 
     SAME_DATA_CENTRE = 0
     SAME_REGION = 1
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Place:
-    """Where an instance or a leaf stands."""
+    """The location of an instance or a leaf."""
 
     region: str
     data_centre: str
 
 
 def measure_distance(one: Place, other: Place) -> Distance:
-    """Return how far two places are apart.
+    """Return the distance between two locations.
 
     Examples:
         >>> measure_distance(Place("n", "n-a"), Place("n", "n-b")).name
--- a/walkcart/routing/ejection.py
+++ b/walkcart/routing/ejection.py
@@ -1,55 +1,57 @@
-"""Leaves that fail in a row are left out for a while, then tried again."""
+"""Ejection of leaves that fail several times in a row, for a limited time."""
 
 from __future__ import annotations
 
-FAILURES = 3
-FIRST_TIME = 1.0
-LONGEST_TIME = 15.0
-#: Share of a group's leaves that may be ejected at once; past that the fault is
+#: Consecutive failures after which a leaf is ejected.
+MAX_FAILURES = 3
+#: Duration of the first ejection and its upper bound, in seconds; it doubles each time.
+FIRST_DURATION = 1.0
+MAX_DURATION = 15.0
+#: Share of a group's leaves that may be ejected at once. If more fail, the fault is
 #: likely on our side or everywhere, and ejecting more only loses coverage.
-GROUP_SHARE = 0.3
+MAX_EJECTED_SHARE = 0.3
 
 
 class Ejection:
-    """Whether one leaf is ejected.
+    """The ejection state of one leaf.
 
     Times are seconds of the kernel's monotonic clock.
     """
 
-    __slots__ = ("_failures", "_time", "until")
+    __slots__ = ("_duration", "_failures", "until")
 
     def __init__(self) -> None:
         self._failures = 0
-        self._time = FIRST_TIME
+        self._duration = FIRST_DURATION
         self.until = 0.0
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether the leaf is left out at `now`."""
+        """Return whether the leaf is ejected at `now`."""
         return now < self.until
 
     def note_success(self) -> bool:
-        """Note a reply; return whether the leaf had been ejected before."""
+        """Record a reply; return whether the leaf had been ejected before."""
         returned = self.until > 0.0
         self._failures = 0
-        self._time = FIRST_TIME
+        self._duration = FIRST_DURATION
         self.until = 0.0
         return returned
 
     def note_failure(self, now: float, may_eject: bool) -> bool:
-        """Note a failure; return whether that ejects the leaf.
+        """Record a failure; return whether that ejects the leaf.
 
         Args:
-            now: the present.
-            may_eject: whether the group may lose one more leaf.
+            now: current time, in seconds.
+            may_eject: whether one more leaf of the group may be ejected.
         """
         self._failures += 1
-        if self._failures < FAILURES or not may_eject or self.is_ejected(now):
+        if self._failures < MAX_FAILURES or not may_eject or self.is_ejected(now):
             return False
-        self.until = now + self._time
-        self._time = min(LONGEST_TIME, self._time * 2)
+        self.until = now + self._duration
+        self._duration = min(MAX_DURATION, self._duration * 2)
         return True
 
 
 def may_eject(leaves: int, ejected: int) -> bool:
     """Return whether a group of `leaves` may have one more ejected."""
-    return ejected + 1 <= max(1, int(leaves * GROUP_SHARE))
+    return ejected + 1 <= max(1, int(leaves * MAX_EJECTED_SHARE))
--- a/walkcart/routing/eligibility.py
+++ b/walkcart/routing/eligibility.py
@@ -1,11 +1,11 @@
-"""Where a request may go: the one place that decides it.
+"""Decides where a request may go.
 
-Operators keep some requests to some regions, and take data centres out of service;
-leafs leave, are replaced, and bear little while they are cold. Every way by which a
-request travels asks here: first attempts, repeats, hedges, late parts and groups handed
-to other instances. It is asked twice: when a leaf or an instance is chosen, and again
-just before the first byte leaves, since an attempt may have waited for a connection
-while the answer changed.
+Operators restrict some requests to some regions and take data centres out of service.
+Leaves shut down, are replaced, and take little load while they are cold. All requests
+are checked here, whether first attempts, repeats, hedges, late parts or groups that are
+handed to other instances. Each is checked twice: when a leaf or an instance is chosen,
+and again just before the first byte is sent, since the result may change while an
+attempt waits for a connection.
 
 Examples:
     >>> home = Regions(frozenset({"north"}))
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Regions:
-    """Regions that a request may be served in.
+    """The regions that a request may be served in.
 
     Args:
-        names: of the regions; None where any will do, empty where none will.
+        names: names of the regions; None for all regions, empty for none.
     """
 
     names: frozenset[str] | None = None
@@ -43,7 +43,7 @@
         return self.names is None or region in self.names
 
     def intersect(self, other: Regions) -> Regions:
-        """Return the regions that both allow.
+        """Return the regions that are allowed by both.
 
         Examples:
             >>> both = Regions(frozenset("ab")).intersect(Regions(frozenset("bc")))
@@ -57,14 +57,14 @@
         return Regions(self.names & other.names)
 
 
-#: Where operators set no regions.
+#: The default, when operators set no regions.
 ANYWHERE = Regions()
-#: For what may not be served at all any more.
+#: For requests that may no longer be served at all.
 NOWHERE = Regions(frozenset())
 
 
 class Obstacle(Enum):
-    """Why a leaf gets no request."""
+    """The reason why a request may not go to a leaf."""
 
     LEAVING = "leaving"
     REPLACED = "replaced"
@@ -77,12 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeafStanding:
-    """What of a leaf decides whether it may get a request.
+    """The properties of a leaf that decide whether it may get a request.
 
     Args:
-        region: that it stands in; empty where that isn't known.
-        data_centre: that it stands in.
-        leaving: whether it said that it wants no new work.
+        region: region of the leaf; empty if unknown.
+        data_centre: data centre of the leaf.
+        leaving: whether the leaf announced that it takes no new work.
         replaced: whether another leaf answered at its address.
     """
 
@@ -100,9 +100,9 @@
     """Return why a request may not go to a leaf, or None when it may.
 
     Args:
-        leaf: where it stands and how it is.
-        regions: that the request may be served in.
-        evacuated: data centres whose leafs get nothing.
+        leaf: location and state of the leaf.
+        regions: regions that the request may be served in.
+        evacuated: data centres whose leaves get no requests.
     """
     if not regions.allows(leaf.region):
         return Obstacle.OUTSIDE_REGIONS
@@ -118,6 +118,7 @@
 def may_carry(regions: Regions, region: str) -> bool:
     """Return whether a request may be handed to an instance in a region.
 
-    An instance can't know its caller's region, which would be allowed too.
+    The region of the request's caller would be allowed too, but an instance can't
+    know it.
     """
     return regions.allows(region)
--- a/walkcart/routing/fullshares.py
+++ b/walkcart/routing/fullshares.py
@@ -1,8 +1,9 @@
-"""Which shares of a rate limit had no room, told from one instance to the next.
+"""Tracks exhausted shares of a rate limit, and passes them on between instances.
 
-The load this answers: a team far above its limit, whose requests come to many
-instances. Each would ask all accountants before it refuses one. So asks and answers
-tell which shares had no room and until when, and fewer have to be asked.
+When a team is far above its limit and its requests come to many instances, each
+instance would ask all accountants before it refuses a request. So requests to
+accountants and their replies list the exhausted shares and when they may recover, and
+fewer accountants have to be asked.
 
 Examples:
     >>> full = FullShares()
@@ -20,48 +21,48 @@
 from collections.abc import Iterable
 from math import isfinite
 
-#: Longest time for which a share that had no room isn't asked again, in seconds: a
-#: limit may be raised, and another accountant may start anew.
-LONGEST_SKIP = 1.0
-#: What is told at the most.
-MOST_TOLD = 8
+#: Longest time for which an exhausted share isn't asked again, in seconds: a limit may
+#: be raised, and a new accountant may take the share.
+MAX_SKIP_TIME = 1.0
+#: Maximum number of shares that are passed on.
+MAX_TOLD = 8
 
-#: Shares and the seconds until they may have room.
+#: Exhausted shares, each with the seconds until it may recover.
 Told = tuple[tuple[int, float], ...]
 
 
 class FullShares:
-    """The shares of one team's limit that had no room of late."""
+    """The shares of one team's limit that were recently exhausted."""
 
-    __slots__ = ("_room_at",)
+    __slots__ = ("_open_at",)
 
     def __init__(self) -> None:
-        self._room_at: dict[int, float] = {}
+        self._open_at: dict[int, float] = {}
 
     def note(self, share: int, wait: float, now: float) -> None:
-        """Note that a share has no room for some seconds."""
-        self._room_at[share] = now + min(wait, LONGEST_SKIP)
+        """Record that a share is exhausted for `wait` seconds."""
+        self._open_at[share] = now + min(wait, MAX_SKIP_TIME)
 
     def forget(self, share: int) -> None:
-        """Note that a share had room."""
-        self._room_at.pop(share, None)
+        """Record that a share is no longer exhausted."""
+        self._open_at.pop(share, None)
 
     def find_open(self, shares: Iterable[int], now: float) -> list[int]:
-        """Return those shares that may have room."""
-        return [share for share in shares if self._room_at.get(share, 0.0) <= now]
+        """Return those of `shares` that may grant requests."""
+        return [share for share in shares if self._open_at.get(share, 0.0) <= now]
 
     def find_room(self, now: float) -> float:
-        """Return the seconds until a share that was full may have room."""
-        left = [at - now for at in self._room_at.values() if at > now]
+        """Return the seconds until the first exhausted share may recover, 0 if none."""
+        left = [at - now for at in self._open_at.values() if at > now]
         return min(left, default=0.0)
 
     def tell(self, now: float) -> Told:
-        """Return what is known, for another instance."""
-        found = [(share, at - now) for share, at in self._room_at.items() if at > now]
-        return tuple(found[:MOST_TOLD])
+        """Return the exhausted shares, to be sent to another instance."""
+        found = [(share, at - now) for share, at in self._open_at.items() if at > now]
+        return tuple(found[:MAX_TOLD])
 
     def take(self, told: Told, now: float) -> None:
-        """Take what another instance told."""
-        for share, wait in told[:MOST_TOLD]:
+        """Record the exhausted shares that another instance sent."""
+        for share, wait in told[:MAX_TOLD]:
             if isfinite(wait) and wait > 0.0:
                 self.note(share, wait, now)
--- a/walkcart/routing/holders.py
+++ b/walkcart/routing/holders.py
@@ -1,12 +1,12 @@
-"""Holders of many leaves, kept up as instances come and go.
+"""Incremental ranking of the instances that hold connections to each leaf.
 
-Ranking every instance for every leaf costs their product; in a large fleet that
-can't be done at each change. So for each leaf the best few are kept: an instance
-that comes is ranked once for each leaf, one that goes is dropped, and a leaf is
-ranked anew only when its spares are used up.
+Ranking every instance for every leaf is too expensive at each change of a large fleet.
+So only the best few instances of each leaf are kept. A new instance is ranked once for
+each leaf, and one that is removed is removed. A leaf is ranked anew only when its spare
+candidates are used up.
 
 See Also:
-    `walkcart.routing.shares.ConnectionShares`, the rule itself.
+    `walkcart.routing.shares.ConnectionShares`, which defines the ranking.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 from walkcart.routing.shares import ConnectionShares, rank_holder
 
-#: Spare candidates that are kept for each holder.
+#: Number of spare candidates that are kept for each holder.
 SPARES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class HeldLeaf:
-    """A leaf whose connections are divided.
+    """A leaf whose connections are divided among instances.
 
     Args:
-        address: names the leaf.
-        region: that it stands in.
-        shares: the division of its connections.
+        address: address that identifies the leaf.
+        region: region of the leaf.
+        shares: rule by which its connections are divided.
     """
 
     address: str
@@ -37,10 +37,10 @@
 
 
 class HolderTable:
-    """Keeps the holders of each leaf."""
+    """The instances that hold connections to each leaf."""
 
     def __init__(self) -> None:
-        self._instances: dict[str, str] = {}
+        self._regions: dict[str, str] = {}
         self._leaves: dict[str, HeldLeaf] = {}
         self._ranked: dict[str, list[tuple[bool, int, str]]] = {}
 
@@ -49,7 +49,7 @@
         return tuple(self._leaves.values())
 
     def set_leaves(self, leaves: list[HeldLeaf]) -> None:
-        """Take the leaves; only new ones are ranked."""
+        """Replace the leaves; only new and changed ones are ranked."""
         wanted = {leaf.address: leaf for leaf in leaves}
         for address in [item for item in self._leaves if item not in wanted]:
             del self._leaves[address]
@@ -60,53 +60,57 @@
                 self._rank(leaf)
 
     def set_instances(self, instances: Mapping[str, str]) -> bool:
-        """Take the instances, regions by name; return whether they changed."""
-        if instances == self._instances:
+        """Replace the instances; return whether they changed.
+
+        Args:
+            instances: region of each instance by its name.
+        """
+        if instances == self._regions:
             return False
-        gone = [
+        removed = [
             name
-            for name, region in self._instances.items()
+            for name, region in self._regions.items()
             if instances.get(name) != region
         ]
-        come = [
+        added = [
             name
             for name, region in instances.items()
-            if self._instances.get(name) != region
+            if self._regions.get(name) != region
         ]
-        self._instances = dict(instances)
+        self._regions = dict(instances)
         for leaf in self._leaves.values():
-            self._change(leaf, gone, come)
+            self._rerank(leaf, removed, added)
         return True
 
     def holders(self, address: str) -> tuple[str, ...]:
-        """Return the instances that hold connections to a leaf, sorted."""
+        """Return the sorted names of the instances that hold connections to a leaf."""
         leaf = self._leaves.get(address)
         if leaf is None:
             return ()
-        count = leaf.shares.holder_count(len(self._instances))
+        count = leaf.shares.holder_count(len(self._regions))
         return tuple(sorted(name for _, _, name in self._ranked[address][:count]))
 
-    def _kept(self, leaf: HeldLeaf) -> int:
-        return leaf.shares.most_holders * (1 + SPARES)
+    def _max_ranked(self, leaf: HeldLeaf) -> int:
+        return leaf.shares.max_holders * (1 + SPARES)
 
     def _rank(self, leaf: HeldLeaf) -> None:
         ranked = sorted(
             rank_holder(leaf.address, leaf.region, name, region)
-            for name, region in self._instances.items()
+            for name, region in self._regions.items()
         )
-        self._ranked[leaf.address] = ranked[: self._kept(leaf)]
+        self._ranked[leaf.address] = ranked[: self._max_ranked(leaf)]
 
-    def _change(self, leaf: HeldLeaf, gone: list[str], come: list[str]) -> None:
+    def _rerank(self, leaf: HeldLeaf, removed: list[str], added: list[str]) -> None:
         ranked = self._ranked[leaf.address]
-        # Whether some instances rank below what is kept: then an addition that
-        # ranks last may not be put at the end.
-        cut_off = len(ranked) >= self._kept(leaf)
-        if gone:
-            ranked = [item for item in ranked if item[2] not in gone]
-        for name in come:
-            item = rank_holder(leaf.address, leaf.region, name, self._instances[name])
-            if not cut_off or (ranked and item < ranked[-1]):
+        # If the list is full, dropped instances may rank before a new one that would
+        # be last in it, so such an instance must not be appended.
+        is_truncated = len(ranked) >= self._max_ranked(leaf)
+        if removed:
+            ranked = [item for item in ranked if item[2] not in removed]
+        for name in added:
+            item = rank_holder(leaf.address, leaf.region, name, self._regions[name])
+            if not is_truncated or (ranked and item < ranked[-1]):
                 insort(ranked, item)
-        self._ranked[leaf.address] = ranked[: self._kept(leaf)]
-        if len(ranked) < min(len(self._instances), leaf.shares.most_holders):
+        self._ranked[leaf.address] = ranked[: self._max_ranked(leaf)]
+        if len(ranked) < min(len(self._regions), leaf.shares.max_holders):
             self._rank(leaf)
--- a/walkcart/routing/latency.py
+++ b/walkcart/routing/latency.py
@@ -1,20 +1,21 @@
-"""Estimates of latency that forget by time."""
+"""Latency estimates that decay over time."""
 
 from __future__ import annotations
 
-#: Seconds after which half of what was observed is forgotten.
+#: Half-life of the observations, in seconds.
 HALF_LIFE = 5.0
 #: Weight of a new observation.
-GAIN = 0.2
+NEW_WEIGHT = 0.2
+#: Number of observations in a window.
 WINDOW_SIZE = 512
 #: Seconds between two sorts of a window.
-REFRESH = 0.1
+SORT_INTERVAL = 0.1
 
 
 class DecayedLatency:
-    """A moving average that goes back to a prior when nothing is observed.
+    """A moving average that decays to a prior while nothing is observed.
 
-    Forgetting is what brings a leaf that was slow once back into use.
+    The decay brings a leaf that was slow once back into use.
 
     Examples:
         >>> latency = DecayedLatency()
@@ -25,23 +26,23 @@
         0.5
     """
 
-    __slots__ = ("_mean", "_then")
+    __slots__ = ("_mean", "_observed_at")
 
     def __init__(self) -> None:
         self._mean: float | None = None
-        self._then = 0.0
+        self._observed_at = 0.0
 
     def observe(self, now: float, latency: float) -> None:
-        """Take in one latency, in seconds."""
+        """Record one latency, in seconds."""
         if self._mean is None:
             self._mean = latency
         else:
             kept = self.estimate(now, self._mean)
-            self._mean = kept + GAIN * (latency - kept)
-        self._then = now
+            self._mean = kept + NEW_WEIGHT * (latency - kept)
+        self._observed_at = now
 
     def observe_at_least(self, now: float, latency: float) -> None:
-        """Take in that a request has been waiting for `latency` already."""
+        """Record that a request has already been waiting for `latency` seconds."""
         if self._mean is None or latency > self._mean:
             self.observe(now, latency)
 
@@ -49,17 +50,17 @@
         """Return the expected latency, in seconds.
 
         Args:
-            now: the present, in seconds.
-            prior: what to expect of a leaf that nothing is known of.
+            now: current time, in seconds.
+            prior: latency to expect without observations, in seconds.
         """
         if self._mean is None:
             return prior
-        weight = 0.5 ** ((now - self._then) / HALF_LIFE)
+        weight = 0.5 ** ((now - self._observed_at) / HALF_LIFE)
         return weight * self._mean + (1 - weight) * prior
 
 
 class LatencyWindow:
-    """Quantiles over the last latencies of a group of leaves."""
+    """Quantiles of the last latencies of a group of leaves."""
 
     def __init__(self) -> None:
         self._values: list[float] = []
@@ -71,7 +72,7 @@
         return len(self._values)
 
     def observe(self, latency: float) -> None:
-        """Take in one latency, in seconds."""
+        """Record one latency, in seconds."""
         if len(self._values) < WINDOW_SIZE:
             self._values.append(latency)
             return
@@ -79,7 +80,7 @@
         self._next = (self._next + 1) % WINDOW_SIZE
 
     def quantile(self, now: float, share: float) -> float | None:
-        """Return the latency that `share` of the observations don't pass."""
+        """Return the quantile `share` of the observations, None without any."""
         self._refresh(now)
         if not self._sorted:
             return None
@@ -87,6 +88,6 @@
         return self._sorted[place]
 
     def _refresh(self, now: float) -> None:
-        if now - self._sorted_at >= REFRESH or len(self._sorted) < 16:
+        if now - self._sorted_at >= SORT_INTERVAL or len(self._sorted) < 16:
             self._sorted = sorted(self._values)
             self._sorted_at = now
--- a/walkcart/routing/overshoot.py
+++ b/walkcart/routing/overshoot.py
@@ -1,8 +1,8 @@
-"""How long an instance itself delays answers: a busy or slow one begins earlier.
+"""Learns how long an instance itself delays answers, so that it can begin earlier.
 
-Two delays are learned with this: how late an answer leaves that was to be given at its
-objective, since tasks that are ready wait for the processor and the merge takes time;
-and how long the processor is kept by sending a question's requests.
+It is used for two delays. One is how late an answer is sent that was due at its
+objective, since ready tasks wait for the processor and the merge takes time. The other
+is how long sending a question's requests keeps the processor busy.
 
 Examples:
     >>> overshoot = Overshoot()
@@ -16,13 +16,13 @@
 
 from walkcart.routing.latency import LatencyWindow
 
-#: Share of the answers that shall leave in time.
+#: Share of the answers that are to be in time.
 IN_TIME_SHARE = 0.9
-#: Fewer observations say nothing.
-LEAST_OBSERVATIONS = 8
-#: Longest delay that is planned for, in seconds: an instance that lags by more answers
-#: late whatever it plans, and planning for it would cost every answer its parts.
-LONGEST = 0.03
+#: Observations below which no delay is estimated.
+MIN_OBSERVATIONS = 8
+#: Upper bound of the estimate, in seconds. An instance with a longer delay answers late
+#: in any case, and allowing for that delay would cost every answer its parts.
+MAX_DELAY = 0.03
 
 
 class Overshoot:
@@ -32,12 +32,12 @@
         self._window = LatencyWindow()
 
     def observe(self, delay: float) -> None:
-        """Take in how late one answer left, in seconds."""
+        """Record one delay, in seconds."""
         self._window.observe(delay)
 
     def estimate(self, now: float) -> float:
-        """Return the delay to plan for, in seconds."""
-        if len(self._window) < LEAST_OBSERVATIONS:
+        """Return the delay to allow for, in seconds."""
+        if len(self._window) < MIN_OBSERVATIONS:
             return 0.0
         delay = self._window.quantile(now, IN_TIME_SHARE) or 0.0
-        return min(LONGEST, delay)
+        return min(MAX_DELAY, delay)
--- a/walkcart/routing/quarantine.py
+++ b/walkcart/routing/quarantine.py
@@ -134,7 +134,7 @@
         return True
 
     def merge(self, fingerprint: bytes, told: Suspicion, now: float) -> bool:
-        """Merge the evidence of another instance; return whether it changed anything."""
+        """Merge the evidence of another instance; return whether it was news."""
         if now - told.latest > MEMORY_TIME:
             return False
         held = self._entries.get(fingerprint)
--- a/walkcart/routing/replicas.py
+++ b/walkcart/routing/replicas.py
@@ -1,9 +1,9 @@
-"""Which leaf of a shard gets a request.
+"""Chooses the leaf of a shard for a request.
 
-With two slots a leaf, what decides is the work that already waits there, of
-this instance and of others, and how fast the leaf gets through it. Health and
-load that a leaf states about itself are only hints: they are capped, and a leaf
-that understates its load is found out by its latency.
+With two slots per leaf, the decisive factors are the requests that already wait
+there, from this instance and from others, and how fast the leaf processes them.
+Health and load that a leaf reports about itself are only hints: they are capped, and
+a leaf that reports too little load is detected by its latency.
 
 References:
     Wydrowski et al.: Load is not what you should balance: Introducing Prequal,
@@ -19,26 +19,27 @@
 from dataclasses import dataclass
 from random import Random
 
-#: A leaf's own word on its load counts up to this many requests.
-STATED_CAP = 8.0
-#: A leaf that isn't preferred looks this many times slower.
+#: Upper bound of the load that a leaf reports, in requests.
+MAX_REPORTED_LOAD = 8.0
+#: Factor on the estimated time of a leaf that isn't preferred.
 NOT_PREFERRED_FACTOR = 8.0
-#: A cold leaf looks up to this many times slower; falls to 1 as it warms up.
+#: Factor on the estimated time of a new leaf; falls to 1 over the warm-up time.
 COLD_FACTOR = 4.0
-WARM_TIME = 5.0
+#: Warm-up time of a leaf, in seconds.
+WARM_UP_TIME = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """One leaf of a shard, as its choice sees it.
+    """The properties of a leaf of a shard that decide the choice.
 
     Args:
-        key: names the leaf.
-        outstanding: requests of this instance that wait or run there.
-        stated: requests of others, from the leaf's last word, decayed.
-        latency: expected seconds for one request.
-        preferred: whether the routing intent prefers it.
-        ejected: whether it failed lately.
+        key: identifies the leaf.
+        outstanding: number of requests of this instance that wait or run there.
+        stated: requests of others that the leaf last reported, decayed over time.
+        latency: expected time of one request, in seconds.
+        preferred: whether the routing intent prefers the leaf.
+        ejected: whether it is ejected after recent failures.
         age: seconds since this instance first used it.
     """
 
@@ -48,14 +49,14 @@
     latency: float
     preferred: bool = True
     ejected: bool = False
-    age: float = WARM_TIME
+    age: float = WARM_UP_TIME
 
 
 class ReplicaChooser:
-    """Chooses by one of the policies.
+    """Chooses a leaf by one of several policies.
 
     Args:
-        random: breaks ties and drives the random baseline.
+        random: breaks ties, and makes the choice of the random policy.
     """
 
     def __init__(self, random: Random) -> None:
@@ -67,56 +68,56 @@
     ) -> Candidate | None:
         """Return the leaf for the next request, or None without candidates.
 
-        Ejected leaves are used only when no others are left: a try that will
-        likely fail is still better than a hole in the answer.
+        Ejected leaves are used only when no others are left: an attempt that will
+        likely fail is still better than a missing part of the answer.
 
         Args:
             policy: one of `walkcart.intent.policy.REPLICA_POLICIES`.
-            shard: names the shard, for round robin.
-            candidates: its leaves that may get work.
+            shard: identifies the shard, for round robin.
+            candidates: the leaves of the shard that may get requests.
         """
-        usable = [item for item in candidates if not item.ejected] or candidates
-        if not usable:
+        eligible = [item for item in candidates if not item.ejected] or candidates
+        if not eligible:
             return None
-        if len(usable) == 1:
-            return usable[0]
+        if len(eligible) == 1:
+            return eligible[0]
         match policy:
             case "random":
-                return self._random.choice(usable)
+                return self._random.choice(eligible)
             case "round_robin":
-                return self._choose_next(shard, usable)
+                return self._choose_next(shard, eligible)
             case "outstanding":
-                return self._choose_least(usable, _rank_outstanding)
+                return self._choose_least(eligible, _rank_outstanding)
             case _:
-                return self._choose_least(usable, _rank_wait)
+                return self._choose_least(eligible, _rank_expected_time)
 
-    def _choose_next(self, shard: object, usable: Sequence[Candidate]) -> Candidate:
+    def _choose_next(self, shard: object, eligible: Sequence[Candidate]) -> Candidate:
         turn = self._turns.get(shard, -1) + 1
         self._turns[shard] = turn
-        return usable[turn % len(usable)]
+        return eligible[turn % len(eligible)]
 
-    def _choose_least(self, usable: Sequence[Candidate], rank) -> Candidate:
-        ranks = [rank(item) for item in usable]
+    def _choose_least(self, eligible: Sequence[Candidate], rank) -> Candidate:
+        ranks = [rank(item) for item in eligible]
         least = min(ranks)
         best = [
-            item for item, value in zip(usable, ranks, strict=True) if value == least
+            item for item, value in zip(eligible, ranks, strict=True) if value == least
         ]
         return best[0] if len(best) == 1 else self._random.choice(best)
 
 
-def _load_of(candidate: Candidate) -> float:
-    return candidate.outstanding + min(candidate.stated, STATED_CAP)
+def _find_load(candidate: Candidate) -> float:
+    return candidate.outstanding + min(candidate.stated, MAX_REPORTED_LOAD)
 
 
 def _rank_outstanding(candidate: Candidate) -> tuple[bool, float, float]:
-    return (not candidate.preferred, _load_of(candidate), candidate.latency)
+    return (not candidate.preferred, _find_load(candidate), candidate.latency)
 
 
-def _rank_wait(candidate: Candidate) -> float:
-    """Return the time that a request would likely spend there."""
-    wait = (1.0 + _load_of(candidate)) * candidate.latency
+def _rank_expected_time(candidate: Candidate) -> float:
+    """Return the estimated time of a request at a leaf, with its penalties."""
+    wait = (1.0 + _find_load(candidate)) * candidate.latency
     if not candidate.preferred:
         wait *= NOT_PREFERRED_FACTOR
-    if candidate.age < WARM_TIME:
-        wait *= COLD_FACTOR - (COLD_FACTOR - 1.0) * candidate.age / WARM_TIME
+    if candidate.age < WARM_UP_TIME:
+        wait *= COLD_FACTOR - (COLD_FACTOR - 1.0) * candidate.age / WARM_UP_TIME
     return wait
--- a/walkcart/routing/replyshare.py
+++ b/walkcart/routing/replyshare.py
@@ -1,9 +1,9 @@
-"""What share of a leaf's requests bring a good reply, of late.
+"""Estimates the share of a leaf's recent requests that get a good reply.
 
-A leaf may refuse or fail part of what it gets while its checks are good, and be quick
-about it: by its load and its times alone it looks better than its siblings. The share
-is decayed by time, so that a leaf that has mended is tried again, and begins with a
-few good replies, so that one bad one doesn't condemn it.
+A leaf may quickly refuse or fail part of its requests while its health checks succeed.
+By its load and its times alone it then looks better than its siblings. Observations
+decay over time, so that a leaf that has recovered is used again. The estimate begins
+with a few good replies, so that a single bad one has little effect.
 
 Examples:
     >>> share = ReplyShare()
@@ -17,51 +17,51 @@
     0.89
 
 See Also:
-    `walkcart.routing.ejection.Ejection`, for leafs that fail in a row.
+    `walkcart.routing.ejection.Ejection`, for leaves that fail several times in a row.
 """
 
 from __future__ import annotations
 
-#: Seconds after which half of what was observed is forgotten. Leafs that fail in part
-#: mostly do so for some seconds; tried again too soon each try costs a repeat.
+#: Half-life of the observations, in seconds. Partial failures of leaves mostly last
+#: some seconds; an attempt that is made too soon costs a repeat.
 HALF_LIFE = 2.0
-#: Good replies that a leaf nothing is known of is credited with.
+#: Number of good replies that a leaf without observations is credited with.
 PRIOR = 2.0
-#: Weight of an answer that was lost after the leaf may have run the request; a refusal
-#: weighs 1. A loss is seen only when the answer was due, and uses up one of the leafs
-#: that may run the request.
+#: Weight of a reply that was lost after the leaf may have run the request; a refusal
+#: has weight 1. A loss is noticed only when the reply is due, and it uses up one of the
+#: leaves that may run the request.
 LOSS_WEIGHT = 2.0
 
 
 class ReplyShare:
-    """The share of good replies of one leaf."""
+    """The recent share of good replies of one leaf."""
 
-    __slots__ = ("_bad", "_good", "_then")
+    __slots__ = ("_bad", "_good", "_recorded_at")
 
     def __init__(self) -> None:
         self._good = 0.0
         self._bad = 0.0
-        self._then = 0.0
+        self._recorded_at = 0.0
 
     def note(self, now: float, good: bool, lost: bool = False) -> None:
-        """Take in how one request ended.
+        """Record how one request ended.
 
         Args:
-            now: the present, in seconds.
-            good: whether it brought a good reply.
-            lost: whether it may have run, and its answer was lost.
+            now: current time, in seconds.
+            good: whether it got a good reply.
+            lost: whether it may have run and its reply was lost.
         """
-        kept = self._keep(now)
+        decay = self._find_decay(now)
         bad = LOSS_WEIGHT if lost else 1.0
-        self._good = self._good * kept + (1.0 if good else 0.0)
-        self._bad = self._bad * kept + (0.0 if good else bad)
-        self._then = now
+        self._good = self._good * decay + (1.0 if good else 0.0)
+        self._bad = self._bad * decay + (0.0 if good else bad)
+        self._recorded_at = now
 
     def estimate(self, now: float) -> float:
-        """Return the share to expect, over 0 and up to 1."""
-        kept = self._keep(now)
-        good = self._good * kept + PRIOR
-        return good / (good + self._bad * kept)
+        """Return the expected share of good replies, above 0 and at most 1."""
+        decay = self._find_decay(now)
+        good = self._good * decay + PRIOR
+        return good / (good + self._bad * decay)
 
-    def _keep(self, now: float) -> float:
-        return 0.5 ** ((now - self._then) / HALF_LIFE)
+    def _find_decay(self, now: float) -> float:
+        return 0.5 ** ((now - self._recorded_at) / HALF_LIFE)
--- a/walkcart/routing/settling.py
+++ b/walkcart/routing/settling.py
@@ -1,9 +1,9 @@
-"""When the late parts of a question are asked for in another region, all together.
+"""Decides when the late parts of a question are requested together in another region.
 
-Where a leaf of each shard stands in every region, a second attempt at a late shard
-goes to another region. One message there that brings back merged records costs less
-than a request and a reply for each late shard. It is sent once a near leaf has taken
-longer than nine in ten do: what waits there in vain is then found in time.
+Where every region has a leaf of each shard, a second attempt for a late shard goes to
+another region. A single message that returns merged records costs less than a request
+and a reply for each late shard. It is sent once the nearby leaves have taken longer
+than nine in ten requests do, which is early enough to find stuck requests in time.
 
 Examples:
     >>> round(find_settle_time(0.0, objective=0.2, near_high=0.04, late_high=0.06), 3)
@@ -17,20 +17,21 @@
 
 from __future__ import annotations
 
-#: Seconds from an instance's reply to the asker's next step: both are busy.
+#: Seconds from a peer's reply to the next step of the asking instance; both are busy.
 STEP_TIME = 0.01
-#: Seconds past the time to settle for which other instances' replies are waited for.
+#: Seconds after the request time during which replies of other instances are still
+#: waited for.
 SETTLE_GRACE = 0.008
-#: Seconds kept back from the objective for the merge of the last reply.
-SETTLE_RESERVE = 0.005
-#: Seconds between regions and back before any was observed.
-FIRST_WAY = 0.02
+#: Seconds of the objective that are reserved for the merge of the last reply.
+MERGE_RESERVE = 0.005
+#: Round trip between regions before any observation, in seconds.
+FIRST_ROUND_TRIP = 0.02
 #: Weight of a new observation.
-GAIN = 0.2
+NEW_WEIGHT = 0.2
 
 
 class GroupTimes:
-    """Learns what decides how long parts from other instances take.
+    """Learns how long parts from other instances take.
 
     Examples:
         >>> times = GroupTimes()
@@ -40,46 +41,52 @@
     """
 
     def __init__(self) -> None:
-        self._near: dict[str, float] = {}
-        self._way = FIRST_WAY
+        self._near_high: dict[str, float] = {}
+        self._round_trip = FIRST_ROUND_TRIP
 
     def note_near(self, kind: str, high: float) -> None:
-        """Note what an instance says is a long time for a leaf near to it."""
-        before = self._near.get(kind, high)
-        self._near[kind] = before + GAIN * (high - before)
+        """Record the high time of a leaf near another instance, as that one reports.
+
+        Args:
+            kind: kind of the request.
+            high: the high time, in seconds.
+        """
+        before = self._near_high.get(kind, high)
+        self._near_high[kind] = before + NEW_WEIGHT * (high - before)
 
     def note_way(self, elapsed: float) -> None:
-        """Note the seconds to an instance in another region and back."""
-        self._way += GAIN * (elapsed - self._way)
+        """Record the round trip to an instance in another region, in seconds."""
+        self._round_trip += NEW_WEIGHT * (elapsed - self._round_trip)
 
     def expect_near(self, kind: str, own: float) -> float:
-        """Return a long time for a leaf near the instance that asks it.
+        """Return the high time of a leaf near the instance that asks it, in seconds.
 
         Args:
-            kind: of the request.
-            own: what it is for leafs near this instance, if no other one said.
+            kind: kind of the request.
+            own: high time of leaves near this instance, used if no other instance
+                reported one.
         """
-        return self._near.get(kind, own)
+        return self._near_high.get(kind, own)
 
     def expect_late(self, kind: str, own: float) -> float:
-        """Return a long time for late parts from another region."""
-        return self.expect_near(kind, own) + self._way + STEP_TIME
+        """Return the high time of late parts from another region, in seconds."""
+        return self.expect_near(kind, own) + self._round_trip + STEP_TIME
 
 
 def find_settle_time(
     now: float, objective: float, near_high: float, late_high: float
 ) -> float:
-    """Return when late parts are asked for together; infinite when that's too late.
+    """Return when late parts are requested together; infinite when it is too late.
 
     Args:
-        now: the present, in seconds.
-        objective: by when the answer is wanted.
-        near_high: a long time for a leaf that is near.
-        late_high: a long time for late parts from another region.
+        now: current time, in seconds.
+        objective: when the answer is wanted, in seconds.
+        near_high: high time of a nearby leaf, in seconds.
+        late_high: high time of late parts from another region, in seconds.
     """
     if objective == float("inf"):
         return objective
-    latest = objective - late_high - SETTLE_RESERVE
+    latest = objective - late_high - MERGE_RESERVE
     earliest = now + near_high + STEP_TIME
     if earliest > latest + late_high / 2:
         return float("inf")
--- a/walkcart/routing/shares.py
+++ b/walkcart/routing/shares.py
@@ -1,10 +1,10 @@
-"""Which instances hold connections to a leaf, and how many each.
+"""Division of a leaf's connections among the instances.
 
-A leaf takes a fixed number of connections from all instances together. They are
-divided over its holders, chosen by rendezvous hash over the instances, those of
-the leaf's own region first. While there are few instances all of them hold some;
-in a large fleet only some do and the others reach the leaf through those. It is
-one rule at both sizes.
+A leaf accepts a fixed number of connections from all instances together. They are
+divided among its holders, which are chosen by rendezvous hashing with instances of
+the leaf's own region first. In a small fleet all instances hold connections. In a
+large one only some do, and the others reach the leaf through those. The same rule
+applies at both sizes.
 
 References:
     Thaler, Ravishankar: A name-based mapping scheme for rendezvous, 1996.
@@ -25,10 +25,10 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-#: Share of the cap that is given out; the rest is for views that disagree.
-GIVEN_OUT = 0.85
-#: A holder has at least so many connections: fewer can't carry a leaf's slots.
-LEAST_SHARE = 2
+#: Share of the cap that is assigned; the rest covers different views of the fleet.
+ASSIGNED_SHARE = 0.85
+#: Minimum connections of a holder; fewer can't make use of a leaf's slots.
+MIN_CONNECTIONS = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     """The division of one leaf's connections.
 
     Args:
-        cap: connections that the leaf takes.
+        cap: number of connections that the leaf accepts.
     """
 
     cap: int
@@ -44,12 +44,12 @@
     def holders(
         self, leaf: str, instances: Mapping[str, str], region: str
     ) -> tuple[str, ...]:
-        """Return the instances that hold connections to `leaf`, sorted.
+        """Return the sorted names of the instances that hold connections to `leaf`.
 
         Args:
-            leaf: names the leaf.
-            instances: region by name of all instances that may hold any.
-            region: of the leaf.
+            leaf: identifies the leaf.
+            instances: region by name of all instances that may hold connections.
+            region: region of the leaf.
         """
         ranked = sorted(
             rank_holder(leaf, region, name, own) for name, own in instances.items()
@@ -58,24 +58,24 @@
         return tuple(sorted(name for _, _, name in ranked[:count]))
 
     def share_of(self, holders: int) -> int:
-        """Return how many connections each of `holders` instances may have."""
-        return max(1, int(self.cap * GIVEN_OUT / max(1, holders)))
+        """Return how many connections each of `holders` instances may hold."""
+        return max(1, int(self.cap * ASSIGNED_SHARE / max(1, holders)))
 
     def gatherer_share(self, gatherers: int) -> int:
-        """Return how many connections each instance that gathers for others may have.
+        """Return how many connections each instance that gathers for others may hold.
 
-        Half of those that are given out are theirs; the others rarely need one.
+        Half of the assigned connections are theirs; other instances rarely need one.
         """
         return self.share_of(max(1, 2 * gatherers))
 
     @property
-    def most_holders(self) -> int:
-        """Holders that there are in a large fleet."""
-        return max(1, int(self.cap * GIVEN_OUT / LEAST_SHARE))
+    def max_holders(self) -> int:
+        """Maximum number of holders, reached in a large fleet."""
+        return max(1, int(self.cap * ASSIGNED_SHARE / MIN_CONNECTIONS))
 
     def holder_count(self, instances: int) -> int:
         """Return how many of `instances` hold connections."""
-        return min(instances, self.most_holders)
+        return min(instances, self.max_holders)
 
 
 _MASK = (1 << 64) - 1
@@ -87,9 +87,9 @@
 
 
 def mix_hashes(one: int, other: int) -> int:
-    """Return a 64-bit hash of two; the finaliser of SplitMix64.
+    """Return a 64-bit hash of two hashes, by the finaliser of SplitMix64.
 
-    Much cheaper than hashing the joined names for each pair.
+    It is much cheaper than hashing the joined names of each pair.
     """
     value = (one ^ other) & _MASK
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & _MASK
@@ -100,10 +100,10 @@
 def rank_holder(
     leaf: str, leaf_region: str, name: str, region: str
 ) -> tuple[bool, int, str]:
-    """Return the rank of an instance for a leaf; the lowest hold connections.
+    """Return the rank of an instance for a leaf; the lowest ranks hold connections.
 
-    A region that isn't known puts nobody last: an instance would rank itself, whose
-    region it does know, behind all that it hasn't heard of yet.
+    An unknown region doesn't lower the rank. Otherwise an instance, which knows its own
+    region, would rank itself behind all instances that it hasn't heard from yet.
     """
     far = bool(region and leaf_region) and region != leaf_region
     return (far, rank_rendezvous(leaf, name), name)
@@ -117,7 +117,7 @@
 def rank_by_weight(key: str, name: str, weight: float) -> float:
     """Return the rank of `name` for `key`; the lowest comes first.
 
-    Over many keys each name comes first as often as its share of the weights.
+    Over many keys each name comes first in proportion to its weight.
 
     Examples:
         >>> weights = {"small": 0.5, "large": 2.0}
--- a/walkcart/routing/splits.py
+++ b/walkcart/routing/splits.py
@@ -1,7 +1,7 @@
-"""Division of requests over services by weight.
+"""Weighted division of requests among services.
 
-Smooth weighted round robin: any run of requests is divided close to the weights,
-without bursts to one part.
+It is a smooth weighted round robin: any sequence of requests is divided closely by the
+weights, without bursts to one service.
 
 Examples:
     >>> split = WeightedSplit()
@@ -18,8 +18,8 @@
     """Divides the requests of one route.
 
     Args:
-        offset: shifts where the division begins, from 0 to 1, so that many instances
-            don't all begin with the same part.
+        offset: where the division begins, from 0 to 1, so that not all instances
+            begin with the same service.
     """
 
     def __init__(self, offset: float = 0.0) -> None:
@@ -30,21 +30,21 @@
         """Return the service of the next request.
 
         Args:
-            parts: services and their weights, at least one above 0.
+            parts: services and their weights, at least one of them above 0.
         """
         total = sum(weight for _, weight in parts)
         if not self._credits:
-            self._credits = self._first_credits(parts, total)
+            self._credits = self._find_initial_credits(parts, total)
         for service, weight in parts:
             self._credits[service] = self._credits.get(service, 0.0) + weight
         chosen = max(parts, key=lambda part: (self._credits[part[0]], part[1]))[0]
         self._credits[chosen] -= total
         return chosen
 
-    def _first_credits(
+    def _find_initial_credits(
         self, parts: Sequence[tuple[str, float]], total: float
     ) -> dict[str, float]:
-        """Return credits as they stand after some requests, as far as the offset."""
+        """Return the initial credits, shifted by the offset."""
         credits = dict.fromkeys((service for service, _ in parts), 0.0)
         if self._offset:
             credits[parts[-1][0]] += total * self._offset
--- a/walkcart/routing/tests/test_gatherers.py
+++ b/walkcart/routing/tests/test_gatherers.py
@@ -4,7 +4,7 @@
 
 from walkcart.routing.gatherers import (
     AVERAGING_TIME,
-    LEAST_GATHERERS,
+    MIN_GATHERERS,
     PartRate,
     choose_gatherers,
     find_needed_capacity,
@@ -55,8 +55,8 @@
             rate.note(now, 87)
         needed = find_needed_capacity(rate.estimate(now), 195, 2)
         sizes.append(len(choose_gatherers(ranked, fleet, needed)))
-    assert min(sizes) >= LEAST_GATHERERS
-    assert max(sizes) <= 4 * LEAST_GATHERERS
+    assert min(sizes) >= MIN_GATHERERS
+    assert max(sizes) <= 4 * MIN_GATHERERS
 
 
 def test_a_rate_that_wavers_moves_nobody():
--- a/walkcart/routing/tests/test_quotas.py
+++ b/walkcart/routing/tests/test_quotas.py
@@ -14,8 +14,8 @@
 
 from walkcart.intent.teams import RateLimit
 from walkcart.routing.allowances import (
-    LEAST_PATIENCE,
-    MOST_PATIENCE,
+    MAX_TIMEOUT,
+    MIN_TIMEOUT,
     Allowance,
     ReplyPatience,
 )
@@ -308,8 +308,8 @@
     patience = ReplyPatience()
     for _ in range(100):
         patience.note(0.001)
-    assert patience.find() == LEAST_PATIENCE
+    assert patience.find() == MIN_TIMEOUT
     patience.note(0.03)
     assert patience.find() == pytest.approx(0.09)
     patience.note(2.0)
-    assert patience.find() == MOST_PATIENCE
+    assert patience.find() == MAX_TIMEOUT
