--- a/walkcart/routing/holders.py
+++ b/walkcart/routing/holders.py
@@ -2,7 +2,7 @@
 
 Ranking every instance for every leaf is too expensive at each change of a large fleet.
 So only the best few instances of each leaf are kept. A new instance is ranked once for
-each leaf, and one that is removed is removed. A leaf is ranked anew only when its spare
+each leaf, and one that is gone is gone. A leaf is ranked anew only when its spare
 candidates are used up.
 
 See Also:
@@ -67,7 +67,7 @@
         """
         if instances == self._regions:
             return False
-        removed = [
+        gone = [
             name
             for name, region in self._regions.items()
             if instances.get(name) != region
@@ -79,7 +79,7 @@
         ]
         self._regions = dict(instances)
         for leaf in self._leaves.values():
-            self._rerank(leaf, removed, added)
+            self._rerank(leaf, gone, added)
         return True
 
     def holders(self, address: str) -> tuple[str, ...]:
@@ -100,13 +100,13 @@
         )
         self._ranked[leaf.address] = ranked[: self._max_ranked(leaf)]
 
-    def _rerank(self, leaf: HeldLeaf, removed: list[str], added: list[str]) -> None:
+    def _rerank(self, leaf: HeldLeaf, gone: list[str], added: list[str]) -> None:
         ranked = self._ranked[leaf.address]
         # If the list is full, dropped instances may rank before a new one that would
         # be last in it, so such an instance must not be appended.
         is_truncated = len(ranked) >= self._max_ranked(leaf)
-        if removed:
-            ranked = [item for item in ranked if item[2] not in removed]
+        if gone:
+            ranked = [item for item in ranked if item[2] not in gone]
         for name in added:
             item = rank_holder(leaf.address, leaf.region, name, self._regions[name])
             if not is_truncated or (ranked and item < ranked[-1]):
--- a/walkcart/routing/replicas.py
+++ b/walkcart/routing/replicas.py
@@ -76,31 +76,31 @@
             shard: identifies the shard, for round robin.
             candidates: the leaves of the shard that may get requests.
         """
-        eligible = [item for item in candidates if not item.ejected] or candidates
-        if not eligible:
+        usable = [item for item in candidates if not item.ejected] or candidates
+        if not usable:
             return None
-        if len(eligible) == 1:
-            return eligible[0]
+        if len(usable) == 1:
+            return usable[0]
         match policy:
             case "random":
-                return self._random.choice(eligible)
+                return self._random.choice(usable)
             case "round_robin":
-                return self._choose_next(shard, eligible)
+                return self._choose_next(shard, usable)
             case "outstanding":
-                return self._choose_least(eligible, _rank_outstanding)
+                return self._choose_least(usable, _rank_outstanding)
             case _:
-                return self._choose_least(eligible, _rank_expected_time)
+                return self._choose_least(usable, _rank_expected_time)
 
-    def _choose_next(self, shard: object, eligible: Sequence[Candidate]) -> Candidate:
+    def _choose_next(self, shard: object, usable: Sequence[Candidate]) -> Candidate:
         turn = self._turns.get(shard, -1) + 1
         self._turns[shard] = turn
-        return eligible[turn % len(eligible)]
+        return usable[turn % len(usable)]
 
-    def _choose_least(self, eligible: Sequence[Candidate], rank) -> Candidate:
-        ranks = [rank(item) for item in eligible]
+    def _choose_least(self, usable: Sequence[Candidate], rank) -> Candidate:
+        ranks = [rank(item) for item in usable]
         least = min(ranks)
         best = [
-            item for item, value in zip(eligible, ranks, strict=True) if value == least
+            item for item, value in zip(usable, ranks, strict=True) if value == least
         ]
         return best[0] if len(best) == 1 else self._random.choice(best)
 
