--- a/walkcart/routing/holders.py
+++ b/walkcart/routing/holders.py
@@ -79,7 +79,7 @@
         ]
         self._regions = dict(instances)
         for leaf in self._leaves.values():
-            self._rerank(leaf, gone, added)
+            self._update(leaf, gone, added)
         return True
 
     def holders(self, address: str) -> tuple[str, ...]:
@@ -100,7 +100,7 @@
         )
         self._ranked[leaf.address] = ranked[: self._max_ranked(leaf)]
 
-    def _rerank(self, leaf: HeldLeaf, gone: list[str], added: list[str]) -> None:
+    def _update(self, leaf: HeldLeaf, gone: list[str], added: list[str]) -> None:
         ranked = self._ranked[leaf.address]
         # If the list is full, dropped instances may rank before a new one that would
         # be last in it, so such an instance must not be appended.
--- a/walkcart/routing/tests/test_cold_leafs.py
+++ b/walkcart/routing/tests/test_cold_leafs.py
@@ -1,4 +1,4 @@
-"""What cold leafs may get, over plain data."""
+"""Tests of the bound on requests to cold leaves, with plain data."""
 
 from itertools import pairwise
 
@@ -15,7 +15,7 @@
 
 
 @given(st.lists(st.floats(0.0, 0.4), max_size=80), st.integers(0, 12))
-def test_no_window_holds_more_than_the_share_wherever_it_begins(gaps, most):
+def test_no_sliding_window_holds_more_than_the_share(gaps, most):
     log, now, sent = SendLog(), 0.0, []
     for gap in gaps:
         now += gap
@@ -26,7 +26,7 @@
 
 
 @given(st.floats(0.0, 0.9), st.integers(1, 12))
-def test_a_wait_that_is_told_is_enough(now, most):
+def test_the_returned_wait_is_long_enough(now, most):
     log = SendLog()
     for _ in range(most):
         assert log.take(now, most)
@@ -36,7 +36,7 @@
 
 
 @given(st.floats(0.01, 200.0), st.floats(1.0, 3.0), st.floats(0.0, 20.0))
-def test_the_shares_make_up_the_bound_and_never_more(rate, tolerance, slack):
+def test_the_shares_add_up_to_the_bound(rate, tolerance, slack):
     most = ColdBound(tolerance, slack).most(rate)
     assert most <= rate * tolerance + slack + 1e-6
     assert sum(Share(index, 3).of(most) for index in range(3)) == most
@@ -46,7 +46,7 @@
     assert ColdBound(1.5, 5.0).most(0.0) is None
 
 
-def test_a_leaf_that_was_cold_is_turned_to_without_a_jump():
+def test_a_leaf_that_was_cold_is_offered_gradually():
     shares = [find_offered_share(10.0 + 0.1 * n, 10.0, 3.0) for n in range(40)]
     assert shares[0] == 0.0
     assert max(b - a for a, b in pairwise(shares)) < 0.05
--- a/walkcart/routing/tests/test_decisions.py
+++ b/walkcart/routing/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions on their own, with plain data and a clock passed in."""
+"""Tests of the routing decisions in isolation, with plain data and a given clock."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
     return ReplicaChooser(Random(1)).choose(policy, 0, candidates).key
 
 
-def test_less_outstanding_goes_first():
+def test_the_leaf_with_fewer_outstanding_requests_goes_first():
     busy = Candidate("busy", 2, 0.0, 0.01)
     idle = Candidate("idle", 0, 0.0, 0.01)
     assert choose("expected_wait", busy, idle) == "idle"
@@ -33,24 +33,24 @@
     assert choose("expected_wait", slow, fast) == "fast"
 
 
-def test_lying_load_counts_only_so_far():
+def test_reported_load_is_capped():
     liar = Candidate("liar", 0, 1000.0, 0.01)
     slow = Candidate("slow", 0, 0.0, 0.2)
     assert choose("expected_wait", liar, slow) == "liar"
 
 
-def test_leaf_that_states_no_load_is_found_out_by_its_latency():
+def test_a_leaf_that_reports_no_load_is_detected_by_its_latency():
     liar = Candidate("liar", 0, 0.0, 0.05)
     honest = Candidate("honest", 0, 2.0, 0.01)
     assert choose("expected_wait", liar, honest) == "honest"
 
 
-def test_preferred_goes_first_until_it_is_much_slower():
+def test_a_preferred_leaf_goes_first_until_it_is_much_slower():
     near = Candidate("near", 1, 0.0, 0.01)
     far = Candidate("far", 0, 0.0, 0.01, preferred=False)
     assert choose("expected_wait", near, far) == "near"
-    drowned = Candidate("near", 30, 0.0, 0.01)
-    assert choose("expected_wait", drowned, far) == "far"
+    overloaded = Candidate("near", 30, 0.0, 0.01)
+    assert choose("expected_wait", overloaded, far) == "far"
 
 
 def test_cold_leaf_gets_less():
@@ -74,7 +74,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 50), st.integers(0, 20)), max_size=60))
-def test_extra_requests_stay_within_the_share(history):
+def test_extra_requests_stay_within_their_budget(history):
     budget = ShareBudget(burst=5.0)
     tries = taken = 0
     for earned, wanted in history:
@@ -84,7 +84,7 @@
     assert taken <= 5 + tries * 0.1 + 1e-6
 
 
-def test_latency_is_forgotten():
+def test_latency_decays():
     latency = DecayedLatency()
     latency.observe(0.0, 1.0)
     assert latency.estimate(0.0, 0.01) == 1.0
@@ -111,14 +111,14 @@
     assert delay.is_group_slow(12.0)
 
 
-def test_hedges_are_for_few_late_shards():
+def test_only_few_late_shards_are_hedged():
     assert may_hedge(20, 2)
     assert may_hedge(20, 6)
     assert not may_hedge(20, 10)
     assert may_hedge(1, 1)
 
 
-def test_ejection_comes_after_failures_in_a_row_and_ends_by_itself():
+def test_ejection_follows_consecutive_failures_and_ends_by_itself():
     ejection = Ejection()
     assert not ejection.note_failure(0.0, True)
     assert not ejection.note_failure(0.0, True)
@@ -128,7 +128,7 @@
     assert ejection.note_success()
 
 
-def test_ejection_takes_only_a_share_of_a_group():
+def test_only_a_share_of_a_group_is_ejected():
     assert may_eject(40, 11)
     assert not may_eject(40, 12)
     assert may_eject(2, 0)
@@ -136,7 +136,14 @@
 
 
 def serve(arrivals, slots=4, service=0.05, seconds=20.0):
-    """Run partners' arrivals through an admission; return who was served."""
+    """Run arrivals through an admission; return the served counts and refusals.
+
+    Args:
+        arrivals: requests per second by partner.
+        slots: requests that the simulated service runs at once.
+        service: service time of a request, in seconds.
+        seconds: duration of the arrivals.
+    """
 
     async def run():
         admission = Admission(TrioClock())
@@ -167,7 +174,7 @@
     return run_mocked(run)
 
 
-def test_overload_is_refused_early_with_when_to_come_back():
+def test_overload_is_refused_early_with_a_retry_time():
     served, refused = serve({"red": 400})
     assert refused
     assert all(wait.total_seconds() > 0 for wait in refused)
--- a/walkcart/routing/tests/test_gatherers.py
+++ b/walkcart/routing/tests/test_gatherers.py
@@ -1,4 +1,4 @@
-"""Which instances gather, and how many."""
+"""Tests of which instances gather, and how many."""
 
 from random import Random
 
@@ -21,7 +21,7 @@
     return {f"instance-{n}": 2.15 if n < 2 else 0.516 for n in range(count)}
 
 
-def test_a_small_data_centre_gathers_with_all():
+def test_all_instances_of_a_small_data_centre_gather():
     fleet = make_fleet(3)
     ranked = rank_by_capacity("north", fleet)
     assert sorted(choose_gatherers(ranked, fleet, 0.0)) == sorted(fleet)
@@ -32,19 +32,19 @@
     assert set(rank_by_capacity("north", fleet)[:2]) == {"instance-0", "instance-1"}
 
 
-def test_the_number_follows_the_load_and_not_the_fleet():
+def test_the_number_follows_the_load_and_not_the_fleet_size():
     counts = []
     for instances in (60, 195, 620):
         fleet = make_fleet(instances // 6)
         ranked = rank_by_capacity("north", fleet)
-        # 2,400 parts a second of the whole fleet.
+        # The whole fleet asks for 2,400 parts per second.
         needed = find_needed_capacity(2400 / instances, instances, 2)
         counts.append(len(choose_gatherers(ranked, fleet, needed)))
     assert counts[0] == counts[1] == counts[2] < 10
 
 
-def test_instances_with_a_few_questions_each_choose_nearly_the_same():
-    """Each of 195 has 0.12 questions a second over 87 parts, at random."""
+def test_instances_with_a_few_questions_each_choose_nearly_the_same_number():
+    """Each of 195 instances gets 0.12 questions per second of 87 parts, at random."""
     fleet = make_fleet(32)
     ranked = rank_by_capacity("north", fleet)
     random = Random(3)
@@ -59,7 +59,7 @@
     assert max(sizes) <= 4 * MIN_GATHERERS
 
 
-def test_a_rate_that_wavers_moves_nobody():
+def test_a_fluctuating_rate_keeps_the_gatherers():
     rate = PartRate()
     seen = set()
     for second in range(600):
@@ -70,7 +70,7 @@
     assert rate.estimate(600.0 + 10 * AVERAGING_TIME) < min(seen)
 
 
-def test_an_instance_that_greets_is_asked_again_at_once():
+def test_a_peer_that_greets_is_used_again_at_once():
     accounts = PeerAccounts()
     for second in range(6):
         accounts.note_silent("a", float(second))
@@ -79,7 +79,7 @@
     assert accounts.choose(["a"], 6.0, {"a": 0.0}) == "a"
 
 
-def test_patience_follows_the_peer_and_the_time_that_a_question_has():
+def test_the_timeout_follows_the_peer_and_the_time_of_the_question():
     accounts = PeerAccounts()
     unknown = accounts.patience("a", 2.0)
     accounts.note_taken("a", 1.0, 0.01)
--- a/walkcart/routing/tests/test_holders.py
+++ b/walkcart/routing/tests/test_holders.py
@@ -1,4 +1,4 @@
-"""The kept holders are those of the rule, whatever came and went."""
+"""Tests that the incremental ranking agrees with the rule as instances change."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
 
 
 @given(fleets, st.integers(1, 30))
-def test_kept_holders_are_those_of_the_rule(history, cap):
+def test_the_incremental_ranking_agrees_with_the_rule(history, cap):
     shares = ConnectionShares(cap)
     table = HolderTable()
     table.set_leaves([HeldLeaf(f"leaf-{n}", "n", shares) for n in range(3)])
@@ -23,7 +23,7 @@
 
 
 @given(st.integers(1, 100), st.integers(1, 700))
-def test_cap_is_never_given_out_twice(cap, instances):
+def test_no_more_connections_than_the_cap_are_assigned(cap, instances):
     shares = ConnectionShares(cap)
     holders = shares.holder_count(instances)
     assert holders * shares.share_of(holders) <= max(cap, 1)
--- a/walkcart/routing/tests/test_instance_room.py
+++ b/walkcart/routing/tests/test_instance_room.py
@@ -1,4 +1,4 @@
-"""What an instance that has fallen behind works on, holds and refuses."""
+"""Tests of the limit on the questions that an overloaded instance works on."""
 
 import heapq
 from itertools import count
@@ -14,16 +14,18 @@
     Waiting,
 )
 
+#: Seconds between two samples of the delay; simulations sample five times as often.
 INTERVAL = 0.05
-#: Questions a second that the emulated instance can work on, and the time of each.
-PACE = 40.0
-TIME = 0.1
+#: Questions per second that the simulated instance can work on.
+CAPACITY = 40.0
+#: Seconds that each question takes.
+DURATION = 0.1
 
 
-class Play:
-    """Serves questions at a fixed pace and notes what became of each.
+class Simulation:
+    """Simulates an instance with a fixed capacity and records how each question ends.
 
-    The event loop is behind by how much more is in progress than the pace allows.
+    The event loop's delay follows the questions in progress beyond that capacity.
     """
 
     def __init__(self):
@@ -35,65 +37,65 @@
         self._free_at = 0.0
 
     def run(self, arrivals, until):
-        """Play arrivals: a time, a name of its team or rank, and an entry."""
+        """Simulate arrivals: tuples of a time, a name of the group, and an entry."""
         arrivals = sorted(arrivals, key=lambda item: item[0])
         now = 0.0
         while now < until:
             while arrivals and arrivals[0][0] <= now:
                 at, name, entry = arrivals.pop(0)
-                self._enter((name, at, entry), now)
+                self._submit((name, at, entry), now)
             while self._ends and self._ends[0][0] <= now:
-                _, _, item, begun = heapq.heappop(self._ends)
-                self._note(self.done, item, now)
-                self.room.leave(now, now - begun)
-            behind = max(0.0, self.room.in_progress / PACE - TIME) / 4
-            self.room.note_delay(behind, now)
+                _, _, item, started_at = heapq.heappop(self._ends)
+                self._record(self.done, item, now)
+                self.room.leave(now, now - started_at)
+            loop_delay = max(0.0, self.room.in_progress / CAPACITY - DURATION) / 4
+            self.room.note_delay(loop_delay, now)
             for item in self.room.take_started(now):
-                self._begin(item, now)
+                self._start(item, now)
             for item, _ in self.room.take_hopeless(now):
-                self._note(self.refused, item, now)
+                self._record(self.refused, item, now)
             now += INTERVAL / 5
 
-    def _enter(self, item, now):
+    def _submit(self, item, now):
         match self.room.enter(item, item[2], now):
             case Started():
-                self._begin(item, now)
+                self._start(item, now)
             case Crowded():
-                self._note(self.refused, item, now)
+                self._record(self.refused, item, now)
 
-    def _begin(self, item, now):
-        self._free_at = max(now, self._free_at) + 1 / PACE
-        end = max(self._free_at, now + TIME)
+    def _start(self, item, now):
+        self._free_at = max(now, self._free_at) + 1 / CAPACITY
+        end = max(self._free_at, now + DURATION)
         heapq.heappush(self._ends, (end, next(self._numbers), item, now))
 
-    def _note(self, found, item, now):
-        found.setdefault(item[0], []).append((now - item[1], item[2]))
+    def _record(self, result, item, now):
+        result.setdefault(item[0], []).append((now - item[1], item[2]))
 
     def count(self, name):
         return len(self.done.get(name, ()))
 
 
 def arrive(name, rate, seconds, rank=0, patience=1.2, objective=0.3, **fields):
-    """Return arrivals at an even rate."""
+    """Return arrivals at a constant rate."""
     return [
         (
             n / rate,
             name,
-            Entry(rank, n / rate + objective, n / rate + patience, TIME, **fields),
+            Entry(rank, n / rate + objective, n / rate + patience, DURATION, **fields),
         )
         for n in range(int(rate * seconds))
     ]
 
 
 def test_without_a_standing_delay_nothing_waits_and_nothing_is_refused():
-    play = Play()
-    play.run(arrive("plain", rate=PACE * 0.9, seconds=5.0), until=6.0)
-    assert play.room.limit == float("inf")
-    assert play.count("plain") == int(PACE * 0.9 * 5.0)
-    assert not play.refused
+    simulation = Simulation()
+    simulation.run(arrive("plain", rate=CAPACITY * 0.9, seconds=5.0), until=6.0)
+    assert simulation.room.limit == float("inf")
+    assert simulation.count("plain") == int(CAPACITY * 0.9 * 5.0)
+    assert not simulation.refused
 
 
-def test_a_single_late_look_is_no_overload():
+def test_single_late_samples_are_no_overload():
     room = InstanceRoom()
     now = 0.0
     for number in range(20):
@@ -102,85 +104,85 @@
     assert room.limit == float("inf")
 
 
-def test_overload_refuses_at_once_and_keeps_nothing_waiting_in_vain():
-    play = Play()
-    play.run(arrive("plain", rate=PACE * 2, seconds=6.0), until=9.0)
-    assert play.refused
-    served = play.done["plain"]
+def test_overload_refuses_at_once_and_leaves_nothing_waiting():
+    simulation = Simulation()
+    simulation.run(arrive("plain", rate=CAPACITY * 2, seconds=6.0), until=9.0)
+    assert simulation.refused
+    served = simulation.done["plain"]
     in_time = sum(1 for elapsed, _ in served if elapsed <= 1.2)
-    # What was begun before the delay was seen may come late.
+    # Questions that were started before the delay was detected may be late.
     assert in_time >= 0.9 * len(served)
-    assert len(served) >= 0.8 * PACE * 6.0
-    waits = sorted(elapsed for elapsed, _ in play.refused["plain"])
+    assert len(served) >= 0.8 * CAPACITY * 6.0
+    waits = sorted(elapsed for elapsed, _ in simulation.refused["plain"])
     assert waits[len(waits) // 2] < 0.05
-    assert play.room.waiting == 0
+    assert simulation.room.waiting == 0
 
 
-def test_the_urgent_are_served_first_and_the_others_still_are():
-    play = Play()
-    urgent = arrive("urgent", rate=PACE, seconds=8.0, rank=0)
-    lesser = arrive("lesser", rate=PACE, seconds=8.0, rank=2, patience=4.0)
-    play.run(urgent + lesser, until=12.0)
-    total = 2 * int(PACE * 8.0)
-    overall = (play.count("urgent") + play.count("lesser")) / total
-    assert play.count("urgent") > play.count("lesser")
-    assert play.count("lesser") / int(PACE * 8.0) >= overall / 4
+def test_urgent_questions_are_served_first_and_others_do_not_starve():
+    simulation = Simulation()
+    urgent = arrive("urgent", rate=CAPACITY, seconds=8.0, rank=0)
+    lesser = arrive("lesser", rate=CAPACITY, seconds=8.0, rank=2, patience=4.0)
+    simulation.run(urgent + lesser, until=12.0)
+    total = 2 * int(CAPACITY * 8.0)
+    overall = (simulation.count("urgent") + simulation.count("lesser")) / total
+    assert simulation.count("urgent") > simulation.count("lesser")
+    assert simulation.count("lesser") / int(CAPACITY * 8.0) >= overall / 4
 
 
-def test_a_team_that_sends_many_times_its_usual_takes_no_room_of_others():
+def test_a_team_that_sends_many_times_its_usual_load_takes_no_capacity_of_others():
     teams = [
         arrival
         for number in range(8)
         for arrival in arrive(f"small-{number}", 2.0, 8.0, team=f"small-{number}")
     ]
-    hot = arrive("hot", PACE * 2, 8.0, team="hot")
-    play = Play()
-    play.run(teams + hot, until=10.0)
+    hot = arrive("hot", CAPACITY * 2, 8.0, team="hot")
+    simulation = Simulation()
+    simulation.run(teams + hot, until=10.0)
     for number in range(8):
-        assert play.count(f"small-{number}") >= 14
-    # What the others leave goes to who can use it.
-    assert play.count("hot") >= 0.4 * (PACE - 16.0) * 8.0
+        assert simulation.count(f"small-{number}") >= 14
+    # The hot team gets the capacity that the others leave.
+    assert simulation.count("hot") >= 0.4 * (CAPACITY - 16.0) * 8.0
 
 
-def test_a_teams_claim_follows_its_weight():
-    large = arrive("large", PACE * 1.5, 8.0, team="large", weight=3.0)
-    small = arrive("small", PACE * 1.5, 8.0, team="small", weight=1.0)
-    play = Play()
-    play.run(large + small, until=10.0)
-    assert play.count("large") > 1.5 * play.count("small")
+def test_a_teams_capacity_follows_its_weight():
+    large = arrive("large", CAPACITY * 1.5, 8.0, team="large", weight=3.0)
+    small = arrive("small", CAPACITY * 1.5, 8.0, team="small", weight=1.0)
+    simulation = Simulation()
+    simulation.run(large + small, until=10.0)
+    assert simulation.count("large") > 1.5 * simulation.count("small")
 
 
-def test_who_comes_back_as_told_finds_less_to_do():
+def test_the_retry_time_covers_the_questions_ahead():
     room = InstanceRoom()
     now = 0.0
-    entry = Entry(rank=0, due=0.3, deadline=0.6, time=TIME)
+    entry = Entry(rank=0, due=0.3, deadline=0.6, time=DURATION)
     for number in range(60):
         room.enter(number, entry, now)
-    # The loop stays behind, and ten questions end each tenth of a second.
-    found = None
+    # The loop stays behind, and two questions end every 50 ms.
+    result = None
     for _ in range(8):
         now += INTERVAL
         room.note_delay(0.2, now)
         for _ in range(2):
             room.leave(now, elapsed=1.5)
-    entry = Entry(rank=0, due=now + 0.3, deadline=now + 0.3, time=TIME)
+    entry = Entry(rank=0, due=now + 0.3, deadline=now + 0.3, time=DURATION)
     waiting = 0
-    while not isinstance(found, Crowded):
-        found = room.enter(f"new-{waiting}", entry, now)
-        waiting += isinstance(found, Waiting)
-    # Fewer than 40 a second are done; the time told covers all that is ahead.
+    while not isinstance(result, Crowded):
+        result = room.enter(f"new-{waiting}", entry, now)
+        waiting += isinstance(result, Waiting)
+    # Fewer than 40 a second end; the retry time must cover all questions ahead.
     ahead = room.waiting + room.in_progress - room.limit
-    assert found.retry_after >= ahead / 40.0 * 0.9
+    assert result.retry_after >= ahead / 40.0 * 0.9
 
 
-def test_the_limit_falls_away_when_the_loop_has_caught_up():
-    play = Play()
-    play.run(arrive("plain", PACE * 2, 4.0), until=4.0 + RECOVERY_TIME + 4.0)
-    assert play.room.limit == float("inf")
-    assert play.room.in_progress == 0
+def test_the_limit_is_lifted_when_the_loop_has_caught_up():
+    simulation = Simulation()
+    simulation.run(arrive("plain", CAPACITY * 2, 4.0), until=4.0 + RECOVERY_TIME + 4.0)
+    assert simulation.room.limit == float("inf")
+    assert simulation.room.in_progress == 0
 
 
-def test_a_question_whose_caller_left_is_forgotten():
+def test_a_question_whose_caller_left_is_removed():
     room = InstanceRoom()
     room.in_progress, room.limit = 2, 2.0
     entry = Entry(rank=0, due=1.0, deadline=9.0)
@@ -190,7 +192,7 @@
     assert room.take_started(0.1) == []
 
 
-def test_a_limit_needs_a_delay_at_each_look():
+def test_a_standing_delay_sets_a_limit():
     room = InstanceRoom()
     for number in range(10):
         room.enter(number, Entry(0, 1.0, 1.0), 0.0)
--- a/walkcart/routing/tests/test_peer_choice.py
+++ b/walkcart/routing/tests/test_peer_choice.py
@@ -1,9 +1,9 @@
-"""Which instance gathers a group."""
+"""Tests of the choice of the instance that gathers a group."""
 
 from walkcart.routing.peerchoice import SWITCH_FACTOR, PeerAccounts
 from walkcart.routing.shares import rank_by_weight
 
-#: Seconds of processor for a group of 24 parts, at 2.15 cores and at 0.5.
+#: Processor time of a group of 24 parts, in seconds, with 2.15 cores and with 0.5.
 LARGE, SMALL = 0.0067, 0.028
 
 
@@ -19,17 +19,17 @@
     return accounts.choose(names, 1.0, work or dict.fromkeys(names, 0.0))
 
 
-def test_the_first_one_keeps_a_group_while_others_are_about_as_fast():
+def test_the_first_peer_keeps_a_group_while_others_are_about_as_fast():
     accounts = make_accounts(first=0.06, other=0.06 / SWITCH_FACTOR + 0.001)
     assert choose(accounts, ["first", "other"]) == "first"
 
 
-def test_one_that_takes_much_longer_loses_the_group():
+def test_a_peer_that_takes_much_longer_loses_the_group():
     accounts = make_accounts(first=0.1, other=0.05)
     assert choose(accounts, ["first", "other"]) == "other"
 
 
-def test_a_small_machine_is_spared_though_most_answers_take_as_long_there():
+def test_a_small_machine_is_avoided_though_its_answers_take_equally_long():
     accounts = make_accounts(small=0.06, large=0.06)
     names = ["small", "large"]
     assert choose(accounts, names, small=SMALL, large=LARGE) == "large"
@@ -52,7 +52,7 @@
     assert abs(share - 4.3 / 5.332) < 0.03
 
 
-def test_one_that_stayed_silent_is_greeted_and_asked_again_once_it_was_heard_of():
+def test_a_silent_peer_is_greeted_and_used_again_once_it_was_heard_from():
     accounts = make_accounts(first=0.06, other=0.06)
     names = ["first", "other"]
     accounts.note_silent("first", 1.0)
@@ -66,7 +66,7 @@
     assert accounts.find_unheard(names, 60.0) == []
 
 
-def test_an_answer_that_comes_late_shows_that_an_instance_is_back():
+def test_a_late_answer_shows_that_a_peer_is_back():
     accounts = make_accounts(first=0.06)
     accounts.note_silent("first", 1.0)
     accounts.note_answer("first", 1.2, 0.3)
--- a/walkcart/routing/tests/test_quarantine.py
+++ b/walkcart/routing/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from leafs, and which never are."""
+"""Tests of which requests are quarantined, and which never are."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -20,7 +20,7 @@
         quarantine.note_strike(request, number, now)
 
 
-def test_strikes_lead_from_the_usual_to_one_leaf_first_to_refusal():
+def test_strikes_lead_to_one_leaf_first_and_then_to_refusal():
     quarantine = Quarantine()
     standings = []
     for number in range(4):
@@ -34,18 +34,18 @@
     ]
 
 
-def test_an_answer_voids_strikes_for_good():
+def test_an_answer_voids_earlier_strikes_permanently():
     quarantine = Quarantine()
     strike(quarantine, 1, 2, 3)
     assert quarantine.note_answer(REQUEST, 1.0)
-    # News of the old strikes may still come round.
+    # News of the old strikes may still arrive through other instances.
     assert not quarantine.merge(REQUEST, Suspicion(frozenset((1, 2, 3)), 0.0), 2.0)
     assert quarantine.find_standing(REQUEST, 2.0) is Standing.USUAL
     strike(quarantine, 4, 5, 6, now=3.0)
     assert quarantine.find_standing(REQUEST, 3.0) is Standing.REFUSED
 
 
-def test_a_refused_request_is_tried_at_one_leaf_after_a_while_and_later_forgotten():
+def test_a_refused_request_goes_to_one_leaf_after_a_while_and_is_later_forgotten():
     quarantine = Quarantine()
     strike(quarantine, 1, 2, 3)
     assert quarantine.find_standing(REQUEST, REFUSAL_TIME - 1) is Standing.REFUSED
@@ -57,7 +57,7 @@
     assert quarantine.entries(later + MEMORY_TIME) == ()
 
 
-def test_a_flood_of_requests_displaces_nothing_that_is_refused():
+def test_a_flood_of_requests_evicts_no_refused_request():
     quarantine = Quarantine()
     strike(quarantine, 1, 2, 3)
     for number in range(10 * MOST_ENTRIES):
@@ -66,7 +66,7 @@
     assert quarantine.find_standing(REQUEST, 2.0) is Standing.REFUSED
 
 
-def test_a_request_that_strikes_again_finds_room_in_a_flood():
+def test_a_request_with_more_strikes_gets_an_entry_in_a_flood():
     quarantine = Quarantine()
     for number in range(10 * MOST_ENTRIES):
         strike(quarantine, number, now=float(number), request=b"%d" % number)
@@ -87,7 +87,7 @@
 
 
 @given(news, st.randoms(use_true_random=False))
-def test_news_may_come_in_any_order_and_more_than_once(told, random):
+def test_news_may_arrive_in_any_order_and_more_than_once(told, random):
     shuffled = [*told, *told]
     random.shuffle(shuffled)
     one, other = Quarantine(), Quarantine()
@@ -105,7 +105,7 @@
         assert first.struck_at == second.struck_at
 
 
-def test_an_instance_that_was_cut_off_learns_by_union():
+def test_an_instance_that_was_cut_off_merges_strikes_by_union():
     one, other = Quarantine(), Quarantine()
     strike(one, 1, 2)
     strike(other, 3)
--- a/walkcart/routing/tests/test_quota_ways.py
+++ b/walkcart/routing/tests/test_quota_ways.py
@@ -1,12 +1,13 @@
-"""Three ways to hold a rate limit over all instances, played on the same events.
+"""Compares three schemes for a rate limit over all instances, on the same events.
 
-Accounts: the way in use, shares that few instances account and all others ask.
-Told: each instance counts for itself and tells the others with messages that go anyway;
-what it last heard of them is taken from the limit, and who hears nothing uses a part of
-the slack. Parts: each uses an equal part of the limit by its view of the fleet.
+* Accounts, the scheme in use: a few instances account shares, and all others ask them.
+* Told: each instance counts its own use and reports it to others with messages that are
+  sent anyway. It subtracts the reported use of the others from the limit; an instance
+  without reports uses a part of the slack.
+* Parts: each instance uses an equal part of the limit, by its view of the fleet.
 
-All three are played over plain data: no network, messages and store calls are counted
-where they would be made.
+All three are simulated with plain data and no network. Messages and calls of the store
+are counted where they would be made.
 """
 
 from collections import Counter, deque
@@ -30,32 +31,32 @@
 BOUNDS = QuotaBounds(window=5.0, tolerance=0.1, slack=20.0)
 LIMIT = RateLimit(12.0, 6.0)
 TEAM = "fitters"
-#: What the team sends in calm times, as a share of its limit.
-USUAL = 0.6
-#: Seconds after which a share of an accountant that ended is taken by another.
-TAKE_TIME = 9.0
-#: Seconds between two words of what an instance has used, and after which one that
-#: wasn't heard of counts as gone.
-TELL_TIME = 1.0
-FORGET_TIME = 5.0
-#: Others to which an instance has links ready.
-MOST_LINKS = 20
+#: Normal load of the team, as a share of its limit.
+NORMAL_LOAD = 0.6
+#: Seconds after which another instance takes over the share of a lost accountant.
+TAKEOVER_TIME = 9.0
+#: Seconds between two reports of an instance.
+REPORT_INTERVAL = 1.0
+#: Seconds without a report after which an instance counts as gone.
+REPORT_TTL = 5.0
+#: Number of other instances to which an instance has links ready.
+MAX_LINKS = 20
 
 
 @dataclass
-class Play:
-    """Events that all ways see, and what came of them.
+class Simulation:
+    """Simulates the same events for any scheme, and records the outcome.
 
     Args:
-        count: instances.
-        seed: of chance.
-        troubles: whether instances are cut off and restart.
-        busy: whether the team sends eight times its usual.
+        count: number of instances.
+        seed: seed of the random numbers.
+        with_faults: whether instances are cut off and restart.
+        busy: whether the team sends eight times its normal load.
     """
 
     count: int
     seed: int
-    troubles: bool
+    with_faults: bool
     busy: bool
     now: float = 100.0
     ran: list = field(default_factory=list)
@@ -64,29 +65,29 @@
 
     def __post_init__(self):
         self.random = Random(self.seed)
-        #: Instances that hear nobody, by when that ends.
+        #: When each instance's network cut ends, in seconds.
         self.cut_until = [0.0] * self.count
-        #: Instances that each instance knows of, itself included.
+        #: Number of instances that each instance knows of, itself included.
         self.views = [self.count] * self.count
 
-    def reach(self, one, other):
+    def can_reach(self, one, other):
         return self.now >= max(self.cut_until[one], self.cut_until[other])
 
-    def run(self, way, seconds):
+    def run(self, scheme, seconds):
         until = self.now + seconds
-        rate = LIMIT.rate * USUAL * (8 if self.busy else 1)
-        trouble_at = self.now + 3.0
+        rate = LIMIT.rate * NORMAL_LOAD * (8 if self.busy else 1)
+        fault_at = self.now + 3.0
         while self.now < until:
             self.now += self.random.expovariate(rate)
-            if self.troubles and self.now >= trouble_at:
-                trouble_at += self.random.uniform(0.5, 4.0)
-                self.trouble(way)
+            if self.with_faults and self.now >= fault_at:
+                fault_at += self.random.uniform(0.5, 4.0)
+                self.inject_fault(scheme)
             instance = self.random.randrange(self.count)
-            admitted = way.admit(instance)
+            admitted = scheme.admit(instance)
             (self.ran if admitted else self.refused).append(self.now)
 
-    def trouble(self, way):
-        """Cut a part of the fleet off, or let a part start anew without a view."""
+    def inject_fault(self, scheme):
+        """Cut off a part of the fleet, or restart a part with a partial view."""
         part = self.random.sample(range(self.count), max(1, self.count // 3))
         if self.random.random() < 0.5:
             for instance in part:
@@ -94,36 +95,37 @@
             return
         for instance in part:
             self.views[instance] = self.random.randrange(1, self.count + 1)
-            way.restart(instance)
+            scheme.restart(instance)
 
-    def find_most(self):
-        """Return the most that ran within a window."""
-        window, most = deque(), 0
+    def find_max_in_window(self):
+        """Return the maximum number of requests that ran within a window."""
+        window, maximum = deque(), 0
         for at in self.ran:
             window.append(at)
             while window[0] <= at - BOUNDS.window:
                 window.popleft()
-            most = max(most, len(window))
-        return most
+            maximum = max(maximum, len(window))
+        return maximum
 
-    def find_share_refused(self):
+    def find_refused_share(self):
         return len(self.refused) / (len(self.refused) + len(self.ran))
 
 
 class Accounts:
-    """The way in use."""
+    """The scheme in use: accountants grant requests of their shares."""
 
-    def __init__(self, play):
-        self.play = play
-        self.allowances = [Allowance(BOUNDS.hold) for _ in range(play.count)]
-        # They began long ago: the buckets are full.
-        began_at = play.now - 60.0
+    def __init__(self, simulation):
+        self.simulation = simulation
+        self.allowances = [Allowance(BOUNDS.hold) for _ in range(simulation.count)]
+        # They started long ago, so the buckets are full.
+        began_at = simulation.now - 60.0
         self.accounts = [
             ShareAccount(share, BOUNDS, began_at, with_start=True)
             for share in range(SHARES)
         ]
-        #: Who accounts each share, or from when on the next one does.
+        #: The accountant of each share.
         self.holders = list(range(SHARES))
+        #: When the next accountant takes over each share, in seconds; 0 if none is due.
         self.free_at = [0.0] * SHARES
         self.began_at = [began_at] * SHARES
         self.starts = [1] * SHARES
@@ -132,174 +134,181 @@
         self.allowances[instance] = Allowance(BOUNDS.hold)
         for share, holder in enumerate(self.holders):
             if holder == instance:
-                self.take(share, instance)
+                self.take_over(share, instance)
 
-    def take(self, share, instance):
-        quick = self.play.now - self.began_at[share] <= BOUNDS.window
-        self.starts[share] = self.starts[share] + 1 if quick else 1
+    def take_over(self, share, instance):
+        recent = self.simulation.now - self.began_at[share] <= BOUNDS.window
+        self.starts[share] = self.starts[share] + 1 if recent else 1
         self.holders[share] = instance
-        self.began_at[share] = self.play.now
+        self.began_at[share] = self.simulation.now
         with_start = self.starts[share] <= MOST_STARTS
-        self.accounts[share] = ShareAccount(share, BOUNDS, self.play.now, with_start)
-        self.play.cost["writes"] += 3
-
-    def see_to(self, share):
-        """Let another instance take a share whose accountant is cut off for long."""
-        play = self.play
-        cut = play.cut_until[self.holders[share]]
-        if play.now < cut:
-            self.free_at[share] = self.free_at[share] or play.now + TAKE_TIME
+        self.accounts[share] = ShareAccount(
+            share, BOUNDS, self.simulation.now, with_start
+        )
+        self.simulation.cost["writes"] += 3
+
+    def reassign_if_cut(self, share):
+        """Let another instance take a share whose accountant stays cut off."""
+        simulation = self.simulation
+        cut = simulation.cut_until[self.holders[share]]
+        if simulation.now < cut:
+            self.free_at[share] = self.free_at[share] or simulation.now + TAKEOVER_TIME
         else:
             self.free_at[share] = 0.0
-        if self.free_at[share] and play.now >= self.free_at[share]:
+        if self.free_at[share] and simulation.now >= self.free_at[share]:
             self.free_at[share] = 0.0
-            self.take(share, play.random.randrange(play.count))
+            self.take_over(share, simulation.random.randrange(simulation.count))
 
     def admit(self, instance):
-        play, allowance = self.play, self.allowances[instance]
-        if allowance.take(play.now):
-            allowance.note_use(play.now)
+        simulation, allowance = self.simulation, self.allowances[instance]
+        if allowance.take(simulation.now):
+            allowance.note_use(simulation.now)
             return True
         shares = list_shares(LIMIT, BOUNDS, TEAM)
-        # An accountant of the own region comes first: one in three.
+        # Accountants of the own region, one in three, are asked first.
         shares = sorted(shares, key=lambda share: (share - instance) % 3)
         for share in shares:
-            if not allowance.full.find_open([share], play.now):
+            if not allowance.full.find_open([share], simulation.now):
                 continue
-            self.see_to(share)
+            self.reassign_if_cut(share)
             holder = self.holders[share]
             if holder != instance:
-                play.cost["messages"] += 2
-                if not play.reach(instance, holder):
+                simulation.cost["messages"] += 2
+                if not simulation.can_reach(instance, holder):
                     continue
-            told = allowance.full.tell(play.now)
-            want = Want(TEAM, LIMIT, 1, allowance.find_wanted(play.now), told)
-            reply = self.accounts[share].ask(want, play.now)
+            told = allowance.full.tell(simulation.now)
+            want = Want(TEAM, LIMIT, 1, allowance.find_wanted(simulation.now), told)
+            reply = self.accounts[share].ask(want, simulation.now)
             if reply.granted:
-                allowance.note_use(play.now)
-                allowance.put(reply.granted - 1, play.now + BOUNDS.hold)
+                allowance.note_use(simulation.now)
+                allowance.put(reply.granted - 1, simulation.now + BOUNDS.hold)
                 return True
-            allowance.full.take(reply.full, play.now)
-            allowance.full.note(share, reply.wait, play.now)
+            allowance.full.take(reply.full, simulation.now)
+            allowance.full.note(share, reply.wait, simulation.now)
         return False
 
 
 class Told:
-    """Each instance counts, and tells some others what it has used."""
+    """Each instance counts its own use and reports it to some others."""
 
-    def __init__(self, play):
-        self.play = play
-        self.used = [deque() for _ in range(play.count)]
-        #: What each has heard: use in the last window by instance, and when.
-        self.heard = [{} for _ in range(play.count)]
-        self.told_at = play.now
+    def __init__(self, simulation):
+        self.simulation = simulation
+        self.used = [deque() for _ in range(simulation.count)]
+        #: Reports that each instance has: use in the last window by sender, and when.
+        self.heard = [{} for _ in range(simulation.count)]
+        self.told_at = simulation.now
 
     def restart(self, instance):
         self.used[instance].clear()
         self.heard[instance].clear()
 
-    def count_own(self, instance):
+    def count_own_use(self, instance):
         used = self.used[instance]
-        while used and used[0] <= self.play.now - BOUNDS.window:
+        while used and used[0] <= self.simulation.now - BOUNDS.window:
             used.popleft()
         return len(used)
 
-    def tell(self):
-        """Let each tell others; what they heard is passed on once."""
-        play = self.play
-        for instance in range(play.count):
-            count = self.count_own(instance)
+    def report(self):
+        """Let each instance report its use to others; reports aren't passed on."""
+        simulation = self.simulation
+        for instance in range(simulation.count):
+            count = self.count_own_use(instance)
             if not count:
                 continue
-            others = min(play.count - 1, MOST_LINKS)
-            for other in play.random.sample(range(play.count), others):
-                play.cost["messages"] += 1
-                if play.reach(instance, other):
-                    self.heard[other][instance] = (count, play.now)
+            others = min(simulation.count - 1, MAX_LINKS)
+            for other in simulation.random.sample(range(simulation.count), others):
+                simulation.cost["messages"] += 1
+                if simulation.can_reach(instance, other):
+                    self.heard[other][instance] = (count, simulation.now)
 
     def admit(self, instance):
-        play = self.play
-        while self.told_at + TELL_TIME <= play.now:
-            self.told_at += TELL_TIME
-            self.tell()
+        simulation = self.simulation
+        while self.told_at + REPORT_INTERVAL <= simulation.now:
+            self.told_at += REPORT_INTERVAL
+            self.report()
         fresh = [
             count
             for other, (count, at) in self.heard[instance].items()
-            if other != instance and at > play.now - FORGET_TIME
+            if other != instance and at > simulation.now - REPORT_TTL
         ]
-        own = self.count_own(instance)
-        most = LIMIT.rate * BOUNDS.window + LIMIT.burst
+        own = self.count_own_use(instance)
+        allowed = LIMIT.rate * BOUNDS.window + LIMIT.burst
         if not fresh:
-            # Nobody was heard: a part of the slack for each, or the whole if alone.
-            alone = play.views[instance] == 1
-            most = most if alone else max(1.0, BOUNDS.slack / play.views[instance])
-        if own + sum(fresh) >= most:
+            # Without reports: a part of the slack, or the whole limit if alone.
+            alone = simulation.views[instance] == 1
+            allowed = (
+                allowed
+                if alone
+                else max(1.0, BOUNDS.slack / simulation.views[instance])
+            )
+        if own + sum(fresh) >= allowed:
             return False
-        self.used[instance].append(play.now)
+        self.used[instance].append(simulation.now)
         return True
 
 
 class Parts:
-    """Each uses an equal part of the limit by its view of the fleet."""
+    """Each instance uses an equal part of the limit, by its view of the fleet."""
 
-    def __init__(self, play):
-        self.play = play
-        self.buckets = [self.make(instance) for instance in range(play.count)]
+    def __init__(self, simulation):
+        self.simulation = simulation
+        self.buckets = [self.make(instance) for instance in range(simulation.count)]
 
     def make(self, instance):
-        count = self.play.views[instance]
+        count = self.simulation.views[instance]
         depth = max(1.0, (LIMIT.burst + BOUNDS.slack / 3) / count)
         size = BucketSize(LIMIT.rate / count, depth, 0.0)
-        return TokenBucket(size, depth, self.play.now)
+        return TokenBucket(size, depth, self.simulation.now)
 
     def restart(self, instance):
         self.buckets[instance] = self.make(instance)
 
     def admit(self, instance):
-        return bool(self.buckets[instance].take(1, self.play.now))
+        return bool(self.buckets[instance].take(1, self.simulation.now))
 
 
-WAYS = {"accounts": Accounts, "told": Told, "parts": Parts}
+SCHEMES = {"accounts": Accounts, "told": Told, "parts": Parts}
 
 
-def play_way(name, count, seed=1, troubles=False, busy=False, seconds=40.0):
-    play = Play(count, seed, troubles, busy)
-    play.run(WAYS[name](play), seconds)
-    return play
+def simulate(name, count, seed=1, with_faults=False, busy=False, seconds=40.0):
+    simulation = Simulation(count, seed, with_faults, busy)
+    simulation.run(SCHEMES[name](simulation), seconds)
+    return simulation
 
 
-def find_worst(name, count, seconds=40.0):
-    """Return the most in a window, of several plays with trouble and eight times."""
+def find_max_with_faults(name, count, seconds=40.0):
+    """Return the maximum in a window, over several simulations with faults and load."""
     seeds = range(5)
     return max(
-        play_way(name, count, seed, True, True, seconds).find_most() for seed in seeds
+        simulate(name, count, seed, True, True, seconds).find_max_in_window()
+        for seed in seeds
     )
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
-def test_accounts_keep_the_bound_and_refuse_nothing_in_calm_times(count):
-    assert find_worst("accounts", count) <= BOUNDS.most(LIMIT)
-    calm = play_way("accounts", count)
-    assert calm.find_share_refused() < 1 / 200
-    # At most an ask and its answer for each share; no call of the store by requests.
-    assert calm.cost["messages"] < 2 * SHARES * len(calm.ran)
-    assert not calm.cost["writes"]
+def test_accounts_keep_the_bound_and_refuse_nothing_at_normal_load(count):
+    assert find_max_with_faults("accounts", count) <= BOUNDS.most(LIMIT)
+    normal = simulate("accounts", count)
+    assert normal.find_refused_share() < 1 / 200
+    # At most a request and a reply for each share, and no call of the store.
+    assert normal.cost["messages"] < 2 * SHARES * len(normal.ran)
+    assert not normal.cost["writes"]
 
 
 @pytest.mark.parametrize("count", [72, 300])
-def test_telling_what_was_used_passes_the_bound_in_large_fleets(count):
-    # Why it isn't used: many instances each run a little before they hear of others.
-    assert find_worst("told", count) > BOUNDS.most(LIMIT)
+def test_reporting_use_exceeds_the_bound_in_large_fleets(count):
+    # This rules the scheme out: many instances each run some before they get reports.
+    assert find_max_with_faults("told", count) > BOUNDS.most(LIMIT)
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
-def test_equal_parts_pass_the_bound_or_refuse_what_is_due(count):
-    # Why they aren't used: a part must hold a whole request, and views differ.
-    calm = play_way("parts", count).find_share_refused()
-    assert find_worst("parts", count) > BOUNDS.most(LIMIT) or calm > 1 / 200
+def test_equal_parts_exceed_the_bound_or_refuse_allowed_requests(count):
+    # This rules the scheme out: a part must hold a whole request, and views differ.
+    normal = simulate("parts", count).find_refused_share()
+    assert find_max_with_faults("parts", count) > BOUNDS.most(LIMIT) or normal > 1 / 200
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
 def test_accounts_use_the_whole_limit_when_more_is_sent(count):
-    play = play_way("accounts", count, busy=True, seconds=60.0)
-    assert len(play.ran) > 0.95 * LIMIT.rate * 60
+    simulation = simulate("accounts", count, busy=True, seconds=60.0)
+    assert len(simulation.ran) > 0.95 * LIMIT.rate * 60
--- a/walkcart/routing/tests/test_quotas.py
+++ b/walkcart/routing/tests/test_quotas.py
@@ -1,6 +1,7 @@
-"""Rate limits that all instances share, over plain data.
+"""Tests of rate limits that all instances share, with plain data.
 
-Whatever is cut, killed, restarted or changed, no window holds more than is allowed.
+No window may hold more requests than allowed, through network cuts, lost replies,
+restarts and changed limits.
 """
 
 import math
@@ -34,8 +35,8 @@
 
 BOUNDS = QuotaBounds(window=5.0, tolerance=0.1, slack=20.0)
 TEAM = "fitters"
-#: Longest time from admission to the leaf in the plays, in seconds.
-WAY = 0.2
+#: Longest simulated time from admission to the leaf, in seconds.
+MAX_DELIVERY_TIME = 0.2
 
 
 def make_want(limit, version=1, amount=1, team=TEAM):
@@ -44,7 +45,7 @@
 
 @dataclass
 class Share:
-    """A share of the play: its account, and how often it began anew of late."""
+    """A simulated share: its account, and its starts within a window."""
 
     account: ShareAccount
     began_at: float
@@ -52,11 +53,12 @@
 
 
 @dataclass
-class Play:
-    """Instances, accountants and leafs without a network.
+class Simulation:
+    """Simulates instances, accountants and leaves without a network.
 
-    Each instance reaches the shares that `cuts` doesn't name; grants take up to the
-    hold to be used, and requests up to `WAY` to run. A share of the answers is lost.
+    Each instance reaches the shares that `cuts` doesn't list. Grants are used within
+    their validity, and requests run after up to `MAX_DELIVERY_TIME`. A share of the
+    replies is lost.
     """
 
     limit: RateLimit
@@ -78,22 +80,22 @@
         self.limits = [(self.now, self.limit)]
 
     def restart(self, number):
-        """Let another accountant begin a share, as the keys in the store allow."""
+        """Let another accountant take over a share, as the keys in the store allow."""
         share = self.shares[number]
-        quick = self.now - share.began_at <= BOUNDS.window
-        starts = share.starts + 1 if quick else 1
+        recent = self.now - share.began_at <= BOUNDS.window
+        starts = share.starts + 1 if recent else 1
         account = ShareAccount(number, BOUNDS, self.now, starts <= MOST_STARTS)
         self.shares[number] = Share(account, self.now, starts)
 
-    def send(self, instance, count, behind):
+    def send(self, instance, count, outdated):
         allowance = self.allowances[instance]
         version, limit = self.version, self.limit
-        if behind and len(self.limits) > 1:
+        if outdated and len(self.limits) > 1:
             version, limit = version - 1, self.limits[-2][1]
         for _ in range(count):
             if self.admit(instance, allowance, limit, version):
                 allowance.note_use(self.now)
-                self.ran.append(self.now + self.random.uniform(0.0, WAY))
+                self.ran.append(self.now + self.random.uniform(0.0, MAX_DELIVERY_TIME))
 
     def admit(self, instance, allowance, limit, version):
         if allowance.take(self.now):
@@ -107,7 +109,7 @@
             want = Want(TEAM, limit, version, amount, told)
             reply = self.shares[number].account.ask(want, self.now)
             if self.random.random() < self.loss:
-                continue  # the answer is lost
+                continue  # the reply is lost
             if reply.granted:
                 allowance.put(reply.granted - 1, self.now + BOUNDS.hold)
                 return True
@@ -116,7 +118,7 @@
         return False
 
     def check(self):
-        """Hold the runs of each window against the highest limit in force in it."""
+        """Check that no window has more runs than its highest limit allows."""
         ran = sorted(self.ran)
         for first, start in enumerate(ran):
             count = 0
@@ -124,16 +126,16 @@
                 if at >= start + BOUNDS.window:
                     break
                 count += 1
-            most = self.find_most(start)
-            assert count <= most + 1e-6, (count, most, start)
+            allowed = self.find_allowed(start)
+            assert count <= allowed + 1e-6, (count, allowed, start)
 
-    def find_most(self, start):
-        """Return the bound of a window: a lower limit holds from one window after."""
+    def find_allowed(self, start):
+        """Return the bound of a window; a lowered limit applies one window later."""
         since = start - BOUNDS.window
         until = start + BOUNDS.window
-        found = [limit for at, limit in self.limits if since < at <= until]
+        limits_in_window = [limit for at, limit in self.limits if since < at <= until]
         before = [limit for at, limit in self.limits if at <= since]
-        return max(BOUNDS.most(limit) for limit in [*found, *before[-1:]])
+        return max(BOUNDS.most(limit) for limit in [*limits_in_window, *before[-1:]])
 
 
 limits = st.builds(
@@ -161,57 +163,57 @@
 
 @settings(max_examples=300, deadline=None)
 @given(limits, steps, st.integers(0, 10))
-def test_no_window_holds_more_than_the_rule_allows(limit, actions, seed):
-    play = Play(limit, seed)
+def test_no_window_holds_more_than_allowed(limit, actions, seed):
+    simulation = Simulation(limit, seed)
     for action in actions:
         match action:
             case ("pass", seconds):
-                play.now += seconds
-            case ("send", instance, count, behind):
-                play.send(instance, count, behind)
+                simulation.now += seconds
+            case ("send", instance, count, outdated):
+                simulation.send(instance, count, outdated)
             case ("restart", number):
-                play.restart(number)
+                simulation.restart(number)
             case ("cut", instance, number):
-                play.cuts ^= {(instance, number)}
+                simulation.cuts ^= {(instance, number)}
             case ("limit", changed):
-                play.version += 1
-                play.limit = changed
-                play.limits.append((play.now, changed))
-            case ("give back", instance) if play.ran:
-                # A request that was admitted a moment ago, and ran nowhere.
-                admitted_at = play.ran.pop() - WAY
-                allowance = play.allowances[instance]
-                allowance.give_back(admitted_at, play.now)
-    play.check()
-
-
-def test_a_team_that_always_asks_gets_its_limit_and_no_more():
+                simulation.version += 1
+                simulation.limit = changed
+                simulation.limits.append((simulation.now, changed))
+            case ("give back", instance) if simulation.ran:
+                # A request that was admitted a moment ago and didn't run.
+                admitted_at = simulation.ran.pop() - MAX_DELIVERY_TIME
+                allowance = simulation.allowances[instance]
+                allowance.give_back(admitted_at, simulation.now)
+    simulation.check()
+
+
+def test_a_team_above_its_limit_gets_its_limit_and_no_more():
     limit = RateLimit(10.0, 5.0)
-    play = Play(limit, seed=1)
+    simulation = Simulation(limit, seed=1)
     for _ in range(6000):
-        play.now += 0.01
-        play.send(play.random.randrange(3), 1, behind=False)
-    play.check()
-    # One answer in ten is lost, with what it granted.
-    assert 0.85 * 600 <= len(play.ran) <= 600 + BOUNDS.slack
+        simulation.now += 0.01
+        simulation.send(simulation.random.randrange(3), 1, outdated=False)
+    simulation.check()
+    # One reply in ten is lost, with the requests that it granted.
+    assert 0.85 * 600 <= len(simulation.ran) <= 600 + BOUNDS.slack
 
 
-def test_a_small_limit_serves_what_is_due_through_restarts_of_all_shares():
+def test_a_small_limit_is_fully_served_through_restarts_of_all_shares():
     limit = RateLimit(1.0, 1.0)
-    play = Play(limit, seed=2, loss=0.0)
+    simulation = Simulation(limit, seed=2, loss=0.0)
     sent = 0
     for step in range(2000):
-        play.now += 0.1
+        simulation.now += 0.1
         if step % 300 == 0:
             for number in range(SHARES):
-                play.restart(number)
+                simulation.restart(number)
         if step % 20 == 0:
-            play.send(step % 3, 1, behind=False)
+            simulation.send(step % 3, 1, outdated=False)
             sent += 1
-    assert len(play.ran) == sent
+    assert len(simulation.ran) == sent
 
 
-def test_a_start_gives_whole_requests_to_some_shares():
+def test_start_levels_give_whole_requests_to_some_shares():
     limit = RateLimit(5.0, 5.0)
     shares = list_shares(limit, BOUNDS, TEAM)
     starts = [size_bucket(limit, BOUNDS, TEAM, share).start for share in shares]
@@ -219,7 +221,7 @@
     assert sum(starts) == pytest.approx(BOUNDS.slack * START_PART)
 
 
-def test_a_limit_that_is_too_small_to_cut_stays_whole():
+def test_a_limit_that_is_too_small_to_divide_stays_whole():
     bounds = QuotaBounds(slack=0.0)
     limit = RateLimit(4.0, 1.0)
     sizes = [size_bucket(limit, bounds, TEAM, number) for number in range(SHARES)]
@@ -232,12 +234,12 @@
         assert bool(reply.granted) == (sizes[number] is not None)
 
 
-def test_the_newer_configuration_counts_whoever_brings_it():
+def test_the_newer_configuration_applies_whichever_instance_sends_it():
     high, low = RateLimit(300.0, 90.0), RateLimit(6.0, 12.0)
     share = list_shares(low, BOUNDS, TEAM)[0]
     account = ShareAccount(share, BOUNDS, 0.0, True)
     assert account.ask(make_want(high, 1), now=100.0).granted == 1
-    # The level is cut to the new depth, and an asker that is behind gets no more.
+    # The level is cut to the new depth, and a request with the old limit gets nothing.
     granted = [account.ask(make_want(low, 2), now=100.0).granted for _ in range(9)]
     size = size_bucket(low, BOUNDS, TEAM, share)
     assert sum(granted) == math.floor(size.depth) == 3
@@ -246,7 +248,7 @@
     assert account.ask(make_want(high, 3), now=100.3).granted > 0
 
 
-def test_near_the_limit_nothing_is_granted_ahead():
+def test_near_the_limit_nothing_is_granted_in_advance():
     limit = RateLimit(60.0, 80.0)
     account = ShareAccount(0, BOUNDS, 0.0, True)
     first = account.ask(make_want(limit, amount=60), now=100.0).granted
@@ -254,7 +256,7 @@
     assert account.ask(make_want(limit, amount=60), now=100.0).granted == 1
 
 
-def test_refused_callers_get_turns_one_after_the_other():
+def test_refused_callers_get_successive_turns():
     limit = RateLimit(12.0, 12.0)
     account = ShareAccount(0, BOUNDS, 0.0, True)
     while account.ask(make_want(limit), now=50.0).granted:
@@ -267,7 +269,7 @@
     assert turn == pytest.approx(LONGEST_TURN)
 
 
-def test_a_steady_flow_asks_ahead_and_a_trickle_does_not():
+def test_steady_use_asks_in_advance_and_rare_use_does_not():
     allowance = Allowance(hold=0.25)
     for number in range(100):
         allowance.note_use(number * 0.02)
@@ -275,7 +277,7 @@
     assert allowance.find_wanted(12.0) == 1
 
 
-def test_a_share_without_room_is_left_out_until_it_may_have_some():
+def test_an_exhausted_share_is_skipped_until_it_may_recover():
     full = FullShares()
     full.note(1, wait=0.4, now=10.0)
     full.note(2, wait=math.inf, now=10.0)
@@ -285,7 +287,7 @@
     assert full.find_room(10.1) == pytest.approx(0.3)
 
 
-def test_accountants_pass_on_which_shares_had_no_room():
+def test_accountants_pass_on_exhausted_shares():
     limit = RateLimit(12.0, 12.0)
     account = ShareAccount(0, BOUNDS, 0.0, True)
     told = ((1, 0.2), (2, 0.3))
@@ -296,7 +298,7 @@
     assert [wait for _, wait in reply.full] == pytest.approx([0.1, 0.2])
 
 
-def test_what_did_not_run_is_held_again_for_a_moment_only():
+def test_a_request_that_did_not_run_is_refunded_only_for_a_moment():
     allowance = Allowance(hold=0.25)
     allowance.give_back(admitted_at=10.0, now=10.01)
     assert allowance.take(10.02)
@@ -304,12 +306,12 @@
     assert not allowance.take(10.21)
 
 
-def test_patience_follows_what_is_usual_within_bounds():
-    patience = ReplyPatience()
+def test_the_timeout_follows_the_usual_reply_time_within_bounds():
+    timeout = ReplyPatience()
     for _ in range(100):
-        patience.note(0.001)
-    assert patience.find() == MIN_TIMEOUT
-    patience.note(0.03)
-    assert patience.find() == pytest.approx(0.09)
-    patience.note(2.0)
-    assert patience.find() == MAX_TIMEOUT
+        timeout.note(0.001)
+    assert timeout.find() == MIN_TIMEOUT
+    timeout.note(0.03)
+    assert timeout.find() == pytest.approx(0.09)
+    timeout.note(2.0)
+    assert timeout.find() == MAX_TIMEOUT
--- a/walkcart/routing/tests/test_repeats.py
+++ b/walkcart/routing/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""The budget of repeats over any window, all instances together."""
+"""Tests of the budget of repeats over any window, for all instances together."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,18 +18,18 @@
 
 
 @given(EVENTS)
-def test_no_window_gets_more_than_is_allowed(events):
+def test_no_window_gets_more_repeats_than_allowed(events):
     now = 100.0
     budgets = [RepeatBudget(LIMITS, now - 50) for _ in range(3)]
     requests, repeats = [], []
     restarted = set()
-    for gap, number, what in events:
+    for gap, number, action in events:
         now += gap
-        if what == "request":
+        if action == "request":
             budgets[number].note_request("s", now)
             requests.append(now)
-        elif what == "restart" and number not in restarted:
-            # Once each: what a former life spent is covered by the reserve.
+        elif action == "restart" and number not in restarted:
+            # Once each: the reserve covers what was spent before one restart.
             restarted.add(number)
             budgets[number] = RepeatBudget(LIMITS, now)
         elif budgets[number].take("s", now, 3):
@@ -38,16 +38,16 @@
         start = end - LIMITS.window
         spent = sum(1 for at in repeats if start < at <= end)
         asked = sum(1 for at in requests if start <= at <= end)
-        # A window here is up to one part longer than the one that is counted.
+        # The budget's window may be up to one part longer than this one.
         before = sum(1 for at in requests if start - 1 <= at < start)
         assert spent <= LIMITS.allowance + LIMITS.ratio * (asked + before) + 1e-9
 
 
-#: Instances of which each has little of the allowance.
+#: Number of instances with which each has a small part of the allowance.
 MANY = 18
 
 
-def test_a_service_without_requests_keeps_to_its_part_of_the_allowance():
+def test_a_service_without_requests_gets_its_part_of_the_allowance():
     budget = RepeatBudget(LIMITS, 0.0)
     taken = sum(budget.take("s", 50.0, 6) for _ in range(100))
     assert taken == int(54 / 6 * 0.8)
@@ -64,27 +64,27 @@
 
 
 @given(LOANS)
-def test_loans_keep_every_window_within_what_is_allowed(events):
-    """Who borrows may send a repeat at any time until the lender knows the end."""
+def test_loans_keep_every_window_within_the_limits(events):
+    """A borrower may send the repeat at any time until the loan is settled."""
     now = 100.0
     budgets = [RepeatBudget(LIMITS, now - 50) for _ in range(3)]
     requests, repeats = [], []
     loans = [[], [], []]
-    for gap, number, what in events:
+    for gap, number, action in events:
         now += gap
         budget = budgets[number]
-        if what == "request":
+        if action == "request":
             budget.note_request("s", now)
             requests.append(now)
-        elif what == "repeat" and budget.take("s", now, 3):
+        elif action == "repeat" and budget.take("s", now, 3):
             repeats.append(now)
-        elif what == "lend" and budget.lend("s", now, 3):
+        elif action == "lend" and budget.lend("s", now, 3):
             loans[number].append(now)
-        elif what in ("spend", "return") and loans[number]:
+        elif action in ("spend", "return") and loans[number]:
             lent_at = loans[number].pop(0)
-            budget.settle("s", now, spent=what == "spend")
-            if what == "spend":
-                # The earliest and the latest that it can have been sent.
+            budget.settle("s", now, spent=action == "spend")
+            if action == "spend":
+                # Covers the earliest and the latest time at which it may be sent.
                 repeats.append(lent_at if number else now)
     for start in repeats:
         spent = sum(1 for at in repeats if start <= at < start + LIMITS.window)
@@ -101,11 +101,11 @@
     budget.settle("s", 90.0, spent=False)
     assert budget.take("s", 90.0, MANY)
     assert not budget.take("s", 99.9, MANY)
-    # What was spent and what was taken have left the window.
+    # The spent loan and the taken repeat have left the window.
     assert [budget.take("s", 101.0, MANY) for _ in range(3)] == [True, True, False]
 
 
-def test_where_instances_are_few_each_keeps_its_own_part():
+def test_instances_of_a_small_fleet_lend_nothing():
     budget = RepeatBudget(LIMITS, 0.0)
     assert not budget.lend("s", 50.0, 6)
     assert sum(budget.take("s", 50.0, 6) for _ in range(100)) == int(54 / 6 * 0.8)
--- a/walkcart/routing/tests/test_urgency.py
+++ b/walkcart/routing/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""The order of what waits, as callers of several ranks see it."""
+"""Tests of the order of waiting requests of several ranks."""
 
 from random import Random
 
@@ -6,12 +6,12 @@
 
 
 def serve(arrivals, time, until):
-    """Serve arrivals one at a time; return the waits by rank.
+    """Serve arrivals one at a time; return the waits by rank, in seconds.
 
     Args:
-        arrivals: pairs of a time and a rank, in order.
-        time: seconds that each takes.
-        until: when serving ends.
+        arrivals: pairs of an arrival time and a rank, in order of time.
+        time: service time of each request, in seconds.
+        until: when the simulation ends, in seconds.
     """
     queue, waits, now = UrgencyQueue(), {}, 0.0
     arrivals = list(arrivals)
@@ -26,7 +26,7 @@
     return waits
 
 
-def test_urgent_requests_pass_long_ones_that_came_before():
+def test_urgent_requests_overtake_long_ones_that_came_before():
     queue = UrgencyQueue()
     for number in range(6):
         queue.add(f"long-{number}", Urgency(1, 0.17, since=0.001 * number))
@@ -35,7 +35,7 @@
     assert queue.take(now=0.011) == "long-0"
 
 
-def test_within_a_rank_the_least_time_left_goes_first_and_what_is_late_last():
+def test_within_a_rank_the_earliest_objective_goes_first_and_missed_ones_last():
     queue = UrgencyQueue()
     queue.add("late", Urgency(0, due=0.9, since=0.0))
     queue.add("far", Urgency(0, due=3.0, since=0.1))
@@ -43,7 +43,7 @@
     assert [queue.take(1.0) for _ in range(3)] == ["near", "far", "late"]
 
 
-def test_what_may_not_go_is_left_where_it_is():
+def test_a_request_that_may_not_go_stays_in_the_queue():
     queue = UrgencyQueue()
     queue.add("a", Urgency(0, 1.0, 0.0))
     queue.add("b", Urgency(1, 1.0, 0.0))
@@ -53,11 +53,11 @@
 
 
 def test_a_flood_of_urgent_requests_starves_nobody():
-    # Twice as many urgent ones as can be served, and a few of the lowest rank.
+    # Twice as many urgent requests as can be served, and a few of the lowest urgency.
     flood = [(0.005 * n, 0) for n in range(2000)]
-    few = [(0.1 * n, 2) for n in range(100)]
-    waits = serve(sorted(flood + few), time=0.01, until=10.0)
-    served = {rank: len(found) for rank, found in waits.items()}
+    least_urgent = [(0.1 * n, 2) for n in range(100)]
+    waits = serve(sorted(flood + least_urgent), time=0.01, until=10.0)
+    served = {rank: len(times) for rank, times in waits.items()}
     share = served[2] / 100
     overall = sum(served.values()) / 2100
     assert share >= overall / 4
@@ -71,5 +71,5 @@
         now += random.expovariate(110.0)
         arrivals.append((now, random.choice((0, 1, 2))))
     waits = serve(arrivals, time=0.01, until=20.0)
-    means = {rank: sum(found) / len(found) for rank, found in waits.items()}
+    means = {rank: sum(times) / len(times) for rank, times in waits.items()}
     assert means[0] < means[1] < means[2]
