--- a/walkcart/routing/tests/test_quota_ways.py
+++ b/walkcart/routing/tests/test_quota_ways.py
@@ -32,7 +32,7 @@
 LIMIT = RateLimit(12.0, 6.0)
 TEAM = "fitters"
 #: Normal load of the team, as a share of its limit.
-NORMAL_LOAD = 0.6
+USUAL = 0.6
 #: Seconds after which another instance takes over the share of a lost accountant.
 TAKEOVER_TIME = 9.0
 #: Seconds between two reports of an instance.
@@ -75,7 +75,7 @@
 
     def run(self, scheme, seconds):
         until = self.now + seconds
-        rate = LIMIT.rate * NORMAL_LOAD * (8 if self.busy else 1)
+        rate = LIMIT.rate * USUAL * (8 if self.busy else 1)
         fault_at = self.now + 3.0
         while self.now < until:
             self.now += self.random.expovariate(rate)
