--- a/walkcart/routing/admission.py
+++ b/walkcart/routing/admission.py
@@ -3,10 +3,10 @@
 An instance runs a limited number of queries of a service at once. The limit
 adapts to the time of a query's median shard: it shrinks when that is far longer
 than without load, since then requests only queue at the leaves. The slowest
-shard, which determines the query's own time, isn't a sign of overload: there may
-be a few stragglers at any load, see ``docs/design/admission.md``. Above the limit
-a request waits briefly, in a queue that is fair among the partners, and is refused
-at once when the queue can't be drained in that time.
+shard, which determines the query's own time, doesn't show overload: a few
+stragglers are no overload, see ``docs/design/admission.md``. Above the limit a
+request waits briefly, in a queue that is fair among the partners, and is refused at
+once when the queue can't be drained in that time.
 
 The time to retry after is the queue's length over the measured completion rate,
 so a refused caller comes back when there is capacity.
--- a/walkcart/routing/allowances.py
+++ b/walkcart/routing/allowances.py
@@ -1,4 +1,4 @@
-"""What an instance holds of teams' rate limits, and how long it waits for more.
+"""What an instance holds of teams' rate limits, and how it asks for more.
 
 It has to suit many instances with a few requests of each team, one instance with many
 requests, and a team far above its limit, whose refusals must cost next to nothing.
--- a/walkcart/routing/eligibility.py
+++ b/walkcart/routing/eligibility.py
@@ -1,4 +1,4 @@
-"""Decides where a request may go.
+"""Decides where a request may go; nothing else does.
 
 Operators restrict some requests to some regions and take data centres out of service.
 Leaves shut down, are replaced, and take little load while they are cold. All requests
--- a/walkcart/routing/hedging.py
+++ b/walkcart/routing/hedging.py
@@ -22,7 +22,7 @@
 #: Lower bound of the delay, and delay while there are few observations, in seconds.
 MIN_DELAY = 0.002
 FIRST_DELAY = 0.05
-#: Observations below which the delay isn't learned.
+#: Observations below which `FIRST_DELAY` applies.
 MIN_OBSERVATIONS = 32
 #: A group is slow when its median is this many times its recent minimum.
 SLOW_FACTOR = 1.6
