--- a/walkcart/routing/holders.py
+++ b/walkcart/routing/holders.py
@@ -2,7 +2,7 @@
 
 Ranking every instance for every leaf is too expensive at each change of a large fleet.
 So only the best few instances of each leaf are kept. A new instance is ranked once for
-each leaf, and one that is gone is gone. A leaf is ranked anew only when its spare
+each leaf, and one that has left is dropped. A leaf is ranked anew only when its spare
 candidates are used up.
 
 See Also:
@@ -102,8 +102,8 @@
 
     def _update(self, leaf: HeldLeaf, gone: list[str], added: list[str]) -> None:
         ranked = self._ranked[leaf.address]
-        # If the list is full, dropped instances may rank before a new one that would
-        # be last in it, so such an instance must not be appended.
+        # If the list is full, instances outside it may rank before a new one that would
+        # come last in it, so such a new one must not be appended.
         is_truncated = len(ranked) >= self._max_ranked(leaf)
         if gone:
             ranked = [item for item in ranked if item[2] not in gone]
--- a/walkcart/routing/leafroom.py
+++ b/walkcart/routing/leafroom.py
@@ -42,7 +42,7 @@
     Args:
         ahead: number of requests that go before it.
         slots: number of requests that the leaf runs at once.
-        time: seconds that one request recently takes there.
+        time: recent service time of a request there, in seconds.
 
     Examples:
         >>> find_turn(ahead=6, slots=2, time=0.2)
@@ -68,7 +68,7 @@
     Args:
         rank: urgency; 0 is the most urgent.
         left: seconds to the end of its objective; infinite without an objective.
-        time: seconds that such a request recently takes at this leaf.
+        time: recent service time of such a request at this leaf, in seconds.
     """
 
     rank: int
