--- a/walkcart/routing/admission.py
+++ b/walkcart/routing/admission.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class AdmissionRefused:
     """The request is refused.
 
     Args:
@@ -99,27 +99,27 @@
         """Number of queries that may run at once."""
         return int(min(self._limit, self._max_limit))
 
-    async def enter(
-        self, partner: str, share: float, most: int, remaining: float
-    ) -> Admitted | TurnedAway:
+    async def admit(
+        self, partner: str, share: float, max_limit: int, remaining: float
+    ) -> Admitted | AdmissionRefused:
         """Admit a request or refuse it, possibly after a short wait.
 
         Args:
             partner: name of the partner that sent the request.
             share: weight of the partner.
-            most: upper bound of the limit, from the routing intent.
+            max_limit: upper bound of the limit, from the routing intent.
             remaining: time left for the request, in seconds.
         """
-        self._max_limit = most
+        self._max_limit = max_limit
         self._weights[partner] = share
         if self._total < self.limit and not self._waiting:
             return self._admit(partner)
         max_wait = remaining * MAX_WAIT_SHARE
         if self._expected_wait(partner) > max_wait:
-            return TurnedAway(self._retry_after())
+            return AdmissionRefused(self._retry_after())
         return await self._wait(partner, max_wait)
 
-    def leave(self, partner: str, typical_time: float | None) -> None:
+    def release(self, partner: str, typical_time: float | None) -> None:
         """Record that an admitted request ended.
 
         Args:
@@ -135,7 +135,7 @@
             self._adapt(now, typical_time)
         self._admit_waiting()
 
-    async def _wait(self, partner: str, max_wait: float) -> Admitted | TurnedAway:
+    async def _wait(self, partner: str, max_wait: float) -> Admitted | AdmissionRefused:
         waiter = _Waiter()
         queue = self._queues.setdefault(partner, deque())
         queue.append(waiter)
@@ -154,7 +154,7 @@
                 self._waiting -= 1
         if waiter.admitted:
             return Admitted()
-        return TurnedAway(self._retry_after())
+        return AdmissionRefused(self._retry_after())
 
     def _admit(self, partner: str) -> Admitted:
         self._running[partner] = self._running.get(partner, 0) + 1
--- a/walkcart/routing/allowances.py
+++ b/walkcart/routing/allowances.py
@@ -5,10 +5,10 @@
 
 Examples:
     >>> allowance = Allowance(hold=0.25)
-    >>> allowance.take(now=10.0)
+    >>> allowance.try_consume(now=10.0)
     False
-    >>> allowance.put(2, until=10.25)
-    >>> allowance.take(now=10.1), allowance.take(now=10.3)
+    >>> allowance.add_grant(2, until=10.25)
+    >>> allowance.try_consume(now=10.1), allowance.try_consume(now=10.3)
     (True, False)
 
 See Also:
@@ -19,7 +19,7 @@
 
 import math
 
-from walkcart.routing.fullshares import FullShares
+from walkcart.routing.exhaustedshares import FullShares
 
 #: Time constant of the average use of a team at this instance, in seconds.
 USE_TIME = 1.0
@@ -65,7 +65,7 @@
         self._decayed_at = -math.inf
         self.full = FullShares()
 
-    def take(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         """Use up one held request; return False when none is held."""
         if now >= self._expires_at:
             self._granted = 0
@@ -74,14 +74,14 @@
         self._granted -= 1
         return True
 
-    def put(self, amount: int, until: float) -> None:
+    def add_grant(self, amount: int, until: float) -> None:
         """Add a grant; everything held expires at the earliest end."""
         if amount < 1:
             return
         self._expires_at = min(until, self._expires_at) if self._granted else until
         self._granted += amount
 
-    def give_back(self, admitted_at: float, now: float) -> None:
+    def refund(self, admitted_at: float, now: float) -> None:
         """Add back a request that was admitted just now and didn't run.
 
         Args:
@@ -90,14 +90,14 @@
         """
         until = admitted_at + self._hold * REFUND_FRACTION
         if now < until:
-            self.put(1, until)
+            self.add_grant(1, until)
 
-    def note_use(self, now: float) -> None:
+    def record_use(self, now: float) -> None:
         """Record that a request was admitted."""
         self._decay(now)
         self._use_rate += 1.0 / USE_TIME
 
-    def find_wanted(self, now: float) -> int:
+    def find_request_amount(self, now: float) -> int:
         """Return how many requests to ask for: one plus the use while a grant holds."""
         self._decay(now)
         return min(MAX_REQUEST_AMOUNT, 1 + math.floor(self._use_rate * self._hold))
@@ -108,16 +108,16 @@
             self._decayed_at = now
 
 
-class ReplyPatience:
+class ReplyTimeout:
     """Adapts the timeout after which another accountant is asked.
 
     Examples:
-        >>> patience = ReplyPatience()
-        >>> patience.find()
+        >>> patience = ReplyTimeout()
+        >>> patience.find_timeout()
         0.12
         >>> for _ in range(60):
-        ...     patience.note(0.002)
-        >>> patience.find()
+        ...     patience.record(0.002)
+        >>> patience.find_timeout()
         0.04
     """
 
@@ -126,12 +126,12 @@
     def __init__(self) -> None:
         self._usual_time = MAX_TIMEOUT / TIMEOUT_FACTOR
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Record how long a reply took; a longer one counts at once."""
         average = self._usual_time + NEWEST_WEIGHT * (seconds - self._usual_time)
         self._usual_time = max(seconds, average)
 
-    def find(self) -> float:
+    def find_timeout(self) -> float:
         """Return the timeout, in seconds."""
         wanted = TIMEOUT_FACTOR * self._usual_time
         return min(MAX_TIMEOUT, max(MIN_TIMEOUT, wanted))
--- a/walkcart/routing/gatherers.py
+++ b/walkcart/routing/gatherers.py
@@ -34,7 +34,7 @@
 #: Processor time of a part at its gatherer, in seconds of one core: 0.31 ms for a
 #: request and its reply, measured with the HTTP library alone, and an estimated equal
 #: time for the choice of the leaf, the event loop and the merge.
-PART_TIME = 0.0006
+PART_CPU_TIME = 0.0006
 #: Share of a gatherer's processor that its parts may use at the usual rate; three times
 #: that rate still leaves capacity.
 MAX_CPU_SHARE = 0.25
@@ -92,7 +92,7 @@
         self._at = float("-inf")
         self._estimate = 0.0
 
-    def note(self, now: float, parts: int) -> None:
+    def record(self, now: float, parts: int) -> None:
         """Record a question with so many parts."""
         self._count = self._decay(now) + parts
         self._at = now
@@ -109,12 +109,12 @@
         return self._count * math.exp(min(0.0, self._at - now) / AVERAGING_TIME)
 
 
-def find_needed_capacity(rate: float, instances: int, places: int) -> float:
+def find_needed_capacity(rate: float, instances: int, data_centres: int) -> float:
     """Return the number of cores that gathering needs in each data centre.
 
     Args:
         rate: parts per second that one instance's callers ask for.
         instances: number of instances in the fleet.
-        places: number of data centres with leaves to gather from.
+        data_centres: number of data centres with leaves to gather from.
     """
-    return rate * instances * PART_TIME / MAX_CPU_SHARE / max(1, places)
+    return rate * instances * PART_CPU_TIME / MAX_CPU_SHARE / max(1, data_centres)
--- a/walkcart/routing/holders.py
+++ b/walkcart/routing/holders.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldLeaf:
+class SharedLeaf:
     """A leaf whose connections are divided among instances.
 
     Args:
@@ -41,14 +41,14 @@
 
     def __init__(self) -> None:
         self._regions: dict[str, str] = {}
-        self._leaves: dict[str, HeldLeaf] = {}
+        self._leaves: dict[str, SharedLeaf] = {}
         self._ranked: dict[str, list[tuple[bool, int, str]]] = {}
 
-    def leaves(self) -> tuple[HeldLeaf, ...]:
+    def leaves(self) -> tuple[SharedLeaf, ...]:
         """Return the leaves."""
         return tuple(self._leaves.values())
 
-    def set_leaves(self, leaves: list[HeldLeaf]) -> None:
+    def set_leaves(self, leaves: list[SharedLeaf]) -> None:
         """Replace the leaves; only new and changed ones are ranked."""
         wanted = {leaf.address: leaf for leaf in leaves}
         for address in [item for item in self._leaves if item not in wanted]:
@@ -90,17 +90,17 @@
         count = leaf.shares.holder_count(len(self._regions))
         return tuple(sorted(name for _, _, name in self._ranked[address][:count]))
 
-    def _max_ranked(self, leaf: HeldLeaf) -> int:
+    def _max_ranked(self, leaf: SharedLeaf) -> int:
         return leaf.shares.max_holders * (1 + SPARES)
 
-    def _rank(self, leaf: HeldLeaf) -> None:
+    def _rank(self, leaf: SharedLeaf) -> None:
         ranked = sorted(
             rank_holder(leaf.address, leaf.region, name, region)
             for name, region in self._regions.items()
         )
         self._ranked[leaf.address] = ranked[: self._max_ranked(leaf)]
 
-    def _update(self, leaf: HeldLeaf, gone: list[str], added: list[str]) -> None:
+    def _update(self, leaf: SharedLeaf, gone: list[str], added: list[str]) -> None:
         ranked = self._ranked[leaf.address]
         # If the list is full, instances outside it may rank before a new one that would
         # come last in it, so such a new one must not be appended.
--- a/walkcart/routing/overshoot.py
+++ b/walkcart/routing/instancedelay.py
@@ -5,7 +5,7 @@
 is how long sending a question's requests keeps the processor busy.
 
 Examples:
-    >>> overshoot = Overshoot()
+    >>> overshoot = InstanceDelay()
     >>> for _ in range(20):
     ...     overshoot.observe(0.004)
     >>> overshoot.estimate(now=1.0)
@@ -25,7 +25,7 @@
 MAX_DELAY = 0.03
 
 
-class Overshoot:
+class InstanceDelay:
     """Learns one delay of an instance."""
 
     def __init__(self) -> None:
--- a/walkcart/routing/instanceroom.py
+++ b/walkcart/routing/instancelimiter.py
@@ -9,8 +9,8 @@
 there is no limit.
 
 Examples:
-    >>> room = InstanceRoom()
-    >>> room.enter("first", Entry(rank=0, due=1.0, deadline=5.0), now=0.0)
+    >>> room = InstanceLimiter()
+    >>> room.submit("first", PendingQuestion(rank=0, due=1.0, deadline=5.0), now=0.0)
     Started()
     >>> room.limit
     inf
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class PendingQuestion:
     """A question that asks to be worked on.
 
     Args:
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The question may be worked on; call `InstanceRoom.leave` when it ends."""
+    """The question may be worked on; call `InstanceLimiter.leave` when it ends."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Crowded:
+class Overloaded:
     """The question is refused, since it can't be answered in time.
 
     Args:
@@ -103,7 +103,7 @@
 @dataclass(frozen=True, slots=True)
 class _Queued(Generic[T]):
     item: T
-    entry: Entry
+    entry: PendingQuestion
     turn: float
 
     @property
@@ -112,7 +112,7 @@
         return self.entry.rank, self.turn
 
 
-class InstanceRoom(Generic[T]):
+class InstanceLimiter(Generic[T]):
     """Limits the questions that one instance works on.
 
     Each question is identified by an item that the user of this class chooses.
@@ -138,7 +138,7 @@
         """Number of questions that wait for their turn."""
         return len(self._queue)
 
-    def note_delay(self, delay: float, now: float) -> None:
+    def record_delay(self, delay: float, now: float) -> None:
         """Record one sample of the event loop's delay, in seconds."""
         self._delays.append((now, delay))
         while self._delays[0][0] < now - STANDING_TIME:
@@ -152,7 +152,9 @@
             return 0.0
         return min(delay for _, delay in self._delays)
 
-    def enter(self, item: T, entry: Entry, now: float) -> Started | Waiting | Crowded:
+    def submit(
+        self, item: T, entry: PendingQuestion, now: float
+    ) -> Started | Waiting | Overloaded:
         """Start a question, queue it, or refuse it.
 
         Args:
@@ -168,17 +170,17 @@
         ahead = sum(1 for other in self._queue if other.order < held.order)
         wait = self._estimate_wait(ahead, now)
         if now + wait * WAIT_SAFETY_FACTOR + entry.time > entry.deadline:
-            return Crowded(self._find_retry(now), wait)
+            return Overloaded(self._find_retry(now), wait)
         self._team_turns[entry.team] = turn
         urgency = Urgency(entry.rank, entry.due, now, turn)
         self._queue.add(held, urgency)
         return Waiting()
 
-    def leave(self, now: float, elapsed: float) -> None:
+    def finish(self, now: float, elapsed: float) -> None:
         """Record that a question ended.
 
-        Waiting questions may then start: see `InstanceRoom.take_started` and
-        `InstanceRoom.take_hopeless`.
+        Waiting questions may then start: see `InstanceLimiter.start_waiting` and
+        `InstanceLimiter.remove_late`.
 
         Args:
             now: current time, in seconds.
@@ -190,29 +192,29 @@
         self._mean_time += gain * (elapsed - self._mean_time)
         self.in_progress -= 1
 
-    def withdraw(self) -> None:
+    def cancel_started(self) -> None:
         """Undo the start of a question that was never worked on."""
         self.in_progress -= 1
 
-    def give_up(self, item: T) -> None:
+    def cancel_waiting(self, item: T) -> None:
         """Remove a waiting question whose caller stopped waiting."""
         for held in self._queue:
             if held.item is item:
                 self._queue.remove(held)
                 return
 
-    def take_started(self, now: float) -> list[T]:
+    def start_waiting(self, now: float) -> list[T]:
         """Start the waiting questions that fit the limit, and return them."""
         started = []
         while self.in_progress < self.limit:
-            held = self._queue.take(now)
+            held = self._queue.pop(now)
             if held is None:
                 break
             self._start(held.entry.team, held.turn)
             started.append(held.item)
         return started
 
-    def take_hopeless(self, now: float) -> list[tuple[T, Crowded]]:
+    def remove_late(self, now: float) -> list[tuple[T, Overloaded]]:
         """Remove and return the waiting questions that can't be answered in time.
 
         A question becomes late when more urgent ones that came later go before it.
@@ -223,7 +225,7 @@
             wait = self._estimate_wait(ahead, now)
             if now + wait + held.entry.time > held.entry.deadline:
                 self._queue.remove(held)
-                late.append((held.item, Crowded(self._find_retry(now), wait)))
+                late.append((held.item, Overloaded(self._find_retry(now), wait)))
             else:
                 ahead += 1
         return late
@@ -236,7 +238,7 @@
             # Without a queue, earlier use must not count against a team.
             self._team_turns.clear()
 
-    def _find_turn(self, entry: Entry) -> float:
+    def _find_turn(self, entry: PendingQuestion) -> float:
         """Return the virtual finish time of a team's next question."""
         before = max(self._virtual_time, self._team_turns.get(entry.team, 0.0))
         return before + 1.0 / max(entry.weight, 1e-9)
--- a/walkcart/routing/settling.py
+++ b/walkcart/routing/latetimes.py
@@ -6,13 +6,13 @@
 than nine in ten requests do, which is early enough to find stuck requests in time.
 
 Examples:
-    >>> round(find_settle_time(0.0, objective=0.2, near_high=0.04, late_high=0.06), 3)
+    >>> round(find_late_request_time(0.0, objective=0.2, near_high=0.04, late_high=0.06), 3)
     0.05
-    >>> find_settle_time(0.0, objective=0.05, near_high=0.03, late_high=0.06)
+    >>> find_late_request_time(0.0, objective=0.05, near_high=0.03, late_high=0.06)
     inf
 
 See Also:
-    `walkcart.routing.kindtimes.find_hedge_time`, for second attempts one by one.
+    `walkcart.routing.requesttimes.find_hedge_time`, for second attempts one by one.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 STEP_TIME = 0.01
 #: Seconds after the request time during which replies of other instances are still
 #: waited for.
-SETTLE_GRACE = 0.008
+LATE_REPLY_GRACE = 0.008
 #: Seconds of the objective that are reserved for the merge of the last reply.
 MERGE_RESERVE = 0.005
 #: Round trip between regions before any observation, in seconds.
@@ -30,13 +30,13 @@
 NEW_WEIGHT = 0.2
 
 
-class GroupTimes:
+class PeerPartTimes:
     """Learns how long parts from other instances take.
 
     Examples:
-        >>> times = GroupTimes()
-        >>> times.note_near("search", 0.04)
-        >>> round(times.expect_late("search", 0.06), 3)
+        >>> times = PeerPartTimes()
+        >>> times.record_near("search", 0.04)
+        >>> round(times.estimate_late("search", 0.06), 3)
         0.07
     """
 
@@ -44,7 +44,7 @@
         self._near_high: dict[str, float] = {}
         self._round_trip = FIRST_ROUND_TRIP
 
-    def note_near(self, kind: str, high: float) -> None:
+    def record_near(self, kind: str, high: float) -> None:
         """Record the high time of a leaf near another instance, as that one reports.
 
         Args:
@@ -54,11 +54,11 @@
         before = self._near_high.get(kind, high)
         self._near_high[kind] = before + NEW_WEIGHT * (high - before)
 
-    def note_way(self, elapsed: float) -> None:
+    def record_round_trip(self, elapsed: float) -> None:
         """Record the round trip to an instance in another region, in seconds."""
         self._round_trip += NEW_WEIGHT * (elapsed - self._round_trip)
 
-    def expect_near(self, kind: str, own: float) -> float:
+    def estimate_near(self, kind: str, own: float) -> float:
         """Return the high time of a leaf near the instance that asks it, in seconds.
 
         Args:
@@ -68,12 +68,12 @@
         """
         return self._near_high.get(kind, own)
 
-    def expect_late(self, kind: str, own: float) -> float:
+    def estimate_late(self, kind: str, own: float) -> float:
         """Return the high time of late parts from another region, in seconds."""
-        return self.expect_near(kind, own) + self._round_trip + STEP_TIME
+        return self.estimate_near(kind, own) + self._round_trip + STEP_TIME
 
 
-def find_settle_time(
+def find_late_request_time(
     now: float, objective: float, near_high: float, late_high: float
 ) -> float:
     """Return when late parts are requested together; infinite when it is too late.
--- a/walkcart/routing/leafroom.py
+++ b/walkcart/routing/leaflimiter.py
@@ -7,15 +7,15 @@
 effect at a leaf that works at its usual speed with little load.
 
 Examples:
-    >>> room = LeafRoom(slots=2)
-    >>> busy = Demand(rank=1, left=0.17, time=0.02)
+    >>> room = LeafLimiter(slots=2)
+    >>> busy = SlotRequest(rank=1, left=0.17, time=0.02)
     >>> room.allows(busy, sent=1, others=0.0, now=0.0)
     True
-    >>> room.note_urgent(rank=0, objective=0.09, now=0.0)
-    >>> slow = Demand(rank=1, left=0.17, time=0.2)
+    >>> room.record_urgent(rank=0, objective=0.09, now=0.0)
+    >>> slow = SlotRequest(rank=1, left=0.17, time=0.2)
     >>> room.allows(slow, sent=1, others=0.0, now=0.0)
     False
-    >>> room.allows(Demand(rank=0, left=0.09, time=0.06), 1, 0.0, now=0.0)
+    >>> room.allows(SlotRequest(rank=0, left=0.09, time=0.06), 1, 0.0, now=0.0)
     True
 """
 
@@ -36,7 +36,7 @@
 DELAY_MARGIN = 1.5
 
 
-def find_turn(ahead: int, slots: int, time: float) -> float:
+def estimate_queue_delay(ahead: int, slots: int, time: float) -> float:
     """Return the seconds until a request gets its turn at a leaf.
 
     Args:
@@ -45,13 +45,13 @@
         time: recent service time of a request there, in seconds.
 
     Examples:
-        >>> find_turn(ahead=6, slots=2, time=0.2)
+        >>> estimate_queue_delay(ahead=6, slots=2, time=0.2)
         0.8
     """
     return (ahead + slots) / max(1, slots) * time
 
 
-def comes_too_late(delay: float, left: float) -> bool:
+def is_too_late(delay: float, left: float) -> bool:
     """Return whether a request is certain to be served too late.
 
     Args:
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class SlotRequest:
     """A request that is to be sent to a leaf.
 
     Args:
@@ -84,7 +84,7 @@
     at: float
 
 
-class LeafRoom:
+class LeafLimiter:
     """Decides what this instance may send to one leaf.
 
     Args:
@@ -95,7 +95,7 @@
         self._slots = max(1, slots)
         self._expected: dict[int, _ExpectedRank] = {}
 
-    def note_urgent(self, rank: int, objective: float, now: float) -> None:
+    def record_urgent(self, rank: int, objective: float, now: float) -> None:
         """Record that requests of a rank arrive.
 
         Args:
@@ -105,7 +105,9 @@
         """
         self._expected[rank] = _ExpectedRank(objective, now)
 
-    def allows(self, demand: Demand, sent: int, others: float, now: float) -> bool:
+    def allows(
+        self, request: SlotRequest, sent: int, others: float, now: float
+    ) -> bool:
         """Return whether a request may be sent now; otherwise it waits here.
 
         Args:
@@ -118,11 +120,11 @@
             # One request may always go: its reply shows when there is capacity again.
             return True
         load = sent + others
-        if load + 1 > self._slots - self._reserved(demand, now):
-            return self._may_queue(demand, load, now)
+        if load + 1 > self._slots - self._reserved(request, now):
+            return self._may_queue(request, load, now)
         return True
 
-    def _may_queue(self, demand: Demand, load: float, now: float) -> bool:
+    def _may_queue(self, demand: SlotRequest, load: float, now: float) -> bool:
         """Return whether a request meets its objective from the leaf's own queue."""
         if self._reserved(demand, now):
             return False
@@ -130,7 +132,7 @@
         wait = ahead / self._slots * demand.time
         return wait + demand.time <= demand.left
 
-    def _reserved(self, demand: Demand, now: float) -> int:
+    def _reserved(self, demand: SlotRequest, now: float) -> int:
         """Return the number of slots that a request leaves to more urgent ones."""
         wait = demand.time / self._slots
         for rank, expected in self._expected.items():
--- a/walkcart/routing/peerchoice.py
+++ b/walkcart/routing/peerchoice.py
@@ -7,12 +7,12 @@
 that processor time, since most answers wait for the slowest leaf.
 
 Examples:
-    >>> accounts, work = PeerAccounts(), {"a": 0.01, "b": 0.01}
-    >>> accounts.note_answer("a", 1.0, 0.05)
-    >>> accounts.note_answer("b", 1.0, 0.2)
+    >>> accounts, work = PeerStats(), {"a": 0.01, "b": 0.01}
+    >>> accounts.record_answer("a", 1.0, 0.05)
+    >>> accounts.record_answer("b", 1.0, 0.2)
     >>> accounts.choose(["b", "a"], 1.1, work)
     'a'
-    >>> accounts.note_silent("a", 1.2)
+    >>> accounts.record_timeout("a", 1.2)
     >>> accounts.choose(["b", "a"], 1.3, work)
     'b'
 """
@@ -71,7 +71,7 @@
     round_trip: float = FIRST_ROUND_TRIP
 
 
-class PeerAccounts:
+class PeerStats:
     """Records the response times and timeouts of the peers, and chooses by them."""
 
     def __init__(self) -> None:
@@ -98,7 +98,7 @@
         least = min(times.values())
         return next(name for name in usable if times[name] <= SWITCH_FACTOR * least)
 
-    def find_unheard(self, names: Sequence[str], now: float) -> list[str]:
+    def find_peers_to_greet(self, names: Sequence[str], now: float) -> list[str]:
         """Return the silent peers that are to be greeted now, since they may be back.
 
         No question waits for the answer to a greeting. Without greetings, after the
@@ -119,22 +119,22 @@
                 found.append(name)
         return found
 
-    def note_sent(self, name: str, now: float) -> None:
+    def record_sent(self, name: str, now: float) -> None:
         """Record that a question was sent to a peer."""
         self._peer(name).in_progress += 1
 
-    def note_ended(self, name: str) -> None:
+    def record_ended(self, name: str) -> None:
         """Record that this instance no longer waits for a question."""
         self._peer(name).in_progress -= 1
 
-    def note_taken(self, name: str, now: float, elapsed: float) -> None:
+    def record_accepted(self, name: str, now: float, elapsed: float) -> None:
         """Record that a question was accepted, `elapsed` seconds after it was sent."""
         peer = self._peer(name)
         peer.heard_at = now
         peer.unheard = False
         peer.round_trip += ROUND_TRIP_WEIGHT * (elapsed - peer.round_trip)
 
-    def note_answer(self, name: str, now: float, elapsed: float) -> None:
+    def record_answer(self, name: str, now: float, elapsed: float) -> None:
         """Record an answer, `elapsed` seconds after the question was sent."""
         peer = self._peer(name)
         peer.heard_at = now
@@ -142,7 +142,7 @@
         peer.time.observe(now, elapsed)
         peer.silence = FIRST_BACKOFF
 
-    def note_silent(self, name: str, now: float) -> None:
+    def record_timeout(self, name: str, now: float) -> None:
         """Record that a peer didn't answer in time.
 
         It gets no question until it is heard from, and none during its backoff.
@@ -154,14 +154,14 @@
         peer.silent_until = now + peer.silence
         peer.silence = min(MAX_BACKOFF, peer.silence * 2)
 
-    def note_greeting(self, name: str) -> None:
+    def record_greeting(self, name: str) -> None:
         """Record a greeting from a peer, which has likely just started."""
         peer = self._peer(name)
         peer.silent_until = float("-inf")
         peer.silence = FIRST_BACKOFF
         peer.unheard = False
 
-    def heard_at(self, name: str) -> float:
+    def last_heard_at(self, name: str) -> float:
         """Return when a peer was last heard from, in seconds; -inf if never."""
         return self._peer(name).heard_at
 
@@ -169,7 +169,7 @@
         """Return the expected round trip to a peer, in seconds."""
         return self._peer(name).round_trip
 
-    def patience(self, name: str, time: float) -> float:
+    def acceptance_timeout(self, name: str, time: float) -> float:
         """Return the timeout for the acceptance of a question, in seconds.
 
         Args:
--- a/walkcart/routing/placement.py
+++ b/walkcart/routing/placement.py
@@ -7,14 +7,14 @@
 
 Examples:
     >>> here, there = Distance.SAME_DATA_CENTRE, Distance.OTHER_REGION
-    >>> near = Standing("near", load=0.0, slots=2, time=0.03, distance=here)
-    >>> far = Standing("far", load=0.0, slots=2, time=0.046, distance=there)
+    >>> near = LeafCandidate("near", load=0.0, slots=2, time=0.03, distance=here)
+    >>> far = LeafCandidate("far", load=0.0, slots=2, time=0.046, distance=there)
     >>> choose_leaf([far, near], 0.1, Random(1)).key
     'near'
-    >>> failing = Standing("near", 0.0, 2, time=0.03, distance=here, good_share=0.4)
+    >>> failing = LeafCandidate("near", 0.0, 2, time=0.03, distance=here, success_rate=0.4)
     >>> choose_leaf([far, failing], 0.1, Random(1)).key
     'far'
-    >>> busy = Standing("near", load=6.0, slots=2, time=0.03, distance=here)
+    >>> busy = LeafCandidate("near", load=6.0, slots=2, time=0.03, distance=here)
     >>> choose_leaf([far, busy], 0.1, Random(1)).key
     'far'
 """
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class LeafCandidate:
     """The properties of a leaf that decide the choice.
 
     Args:
@@ -64,7 +64,7 @@
         cold: whether it has just started.
         stalled: whether its replies are overdue.
         ejected: whether it is ejected after recent failures.
-        good_share: share of such requests that it answers well.
+        success_rate: share of such requests that it answers well.
     """
 
     key: str
@@ -75,10 +75,10 @@
     cold: bool = False
     stalled: bool = False
     ejected: bool = False
-    good_share: float = 1.0
+    success_rate: float = 1.0
 
 
-def estimate_time(standing: Standing, objective: float) -> float:
+def estimate_time(standing: LeafCandidate, objective: float) -> float:
     """Return the estimated time of a request at a leaf, with its costs, in seconds.
 
     Args:
@@ -90,8 +90,8 @@
         service *= COLD_FACTOR
     waiting = max(0.0, standing.load + 1.0 - standing.slots)
     time = service * (1.0 + waiting / max(1, standing.slots))
-    time /= standing.good_share
-    time += (1.0 - standing.good_share) * FAILURE_COST * objective
+    time /= standing.success_rate
+    time += (1.0 - standing.success_rate) * FAILURE_COST * objective
     time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[standing.distance]
     if standing.stalled:
         time += STALLED_COST
@@ -99,18 +99,18 @@
 
 
 def choose_leaf(
-    standings: Sequence[Standing], objective: float, random: Random
-) -> Standing | None:
+    candidates: Sequence[LeafCandidate], objective: float, random: Random
+) -> LeafCandidate | None:
     """Return the leaf for the next request, or None without leaves.
 
     Ejected leaves are used only when no others are left.
 
     Args:
-        standings: the leaves to choose from.
+        candidates: the leaves to choose from.
         objective: seconds within which the request is to be answered.
         random: breaks ties between leaves that are about equally good.
     """
-    usable = [item for item in standings if not item.ejected] or standings
+    usable = [item for item in candidates if not item.ejected] or candidates
     if len(usable) <= 1:
         return usable[0] if usable else None
     timed = [(estimate_time(item, objective), item) for item in usable]
--- a/walkcart/routing/quotas.py
+++ b/walkcart/routing/quotas.py
@@ -13,9 +13,9 @@
     >>> size_bucket(limit, bounds, "fitters", 0)
     BucketSize(rate=3.0, depth=3.0, start=1.0)
     >>> account = ShareAccount(0, bounds, started_at=0.0, with_start=True)
-    >>> account.ask(Want("fitters", limit, version=1, amount=1), now=0.0).granted
+    >>> account.grant(QuotaRequest("fitters", limit, version=1, amount=1), now=0.0).granted
     1
-    >>> reply = account.ask(Want("fitters", limit, version=1, amount=1), now=0.1)
+    >>> reply = account.grant(QuotaRequest("fitters", limit, version=1, amount=1), now=0.1)
     >>> reply.granted, round(reply.wait, 2)
     (0, 0.23)
 
@@ -29,22 +29,22 @@
 from dataclasses import dataclass, field
 
 from walkcart.intent.teams import RateLimit
-from walkcart.routing.fullshares import FullShares, Told
+from walkcart.routing.exhaustedshares import FullShares, Told
 from walkcart.routing.shares import rank_rendezvous
-from walkcart.routing.tokenbucket import LONGEST_TURN, BucketSize, TokenBucket
+from walkcart.routing.tokenbucket import MAX_TURN_WAIT, BucketSize, TokenBucket
 
 #: Shares of a limit at most: when one is lost, five sixths of the limit stay usable.
-SHARES = 6
+MAX_SHARES = 6
 #: Minimum depth of one share's bucket, in tokens. In smaller buckets much of the limit
 #: lies idle as fractions of a request, so small limits get fewer shares.
 MIN_DEPTH = 2.0
 #: Fraction of the slack that is added to the burst, so that short bursts within the
 #: limit, which fall unevenly on the shares, aren't refused.
-DEPTH_PART = 1 / 2
+DEPTH_FRACTION = 1 / 2
 #: Fraction of the slack that is the start level of all shares' buckets together.
-START_PART = 1 / 6
+START_FRACTION = 1 / 6
 #: Starts of one share within a window that get the start level.
-MOST_STARTS = 2
+MAX_STARTS = 2
 #: Fraction of the tolerance that held grants may use up; the rest covers the time from
 #: the grant to the leaves.
 HOLD_FRACTION = 0.5
@@ -74,7 +74,7 @@
         """Validity of a grant, in seconds."""
         return max(MIN_HOLD, HOLD_FRACTION * self.tolerance * self.window)
 
-    def most(self, limit: RateLimit) -> float:
+    def max_requests(self, limit: RateLimit) -> float:
         """Return how many requests of a team may run within a window."""
         due = limit.rate * self.window + limit.burst
         return due * (1.0 + self.tolerance) + self.slack
@@ -82,10 +82,10 @@
 
 def list_shares(limit: RateLimit, bounds: QuotaBounds, team: str) -> tuple[int, ...]:
     """Return the shares of a team's limit, beginning at one that its name selects."""
-    depth = limit.burst + bounds.slack * DEPTH_PART
-    count = min(SHARES, max(1, math.floor(depth / MIN_DEPTH)))
+    depth = limit.burst + bounds.slack * DEPTH_FRACTION
+    count = min(MAX_SHARES, max(1, math.floor(depth / MIN_DEPTH)))
     first = rank_rendezvous(team, "quota")
-    return tuple((first + step) % SHARES for step in range(count))
+    return tuple((first + step) % MAX_SHARES for step in range(count))
 
 
 def size_bucket(
@@ -95,11 +95,13 @@
     shares = list_shares(limit, bounds, team)
     if share not in shares:
         return None
-    depth = limit.burst + bounds.slack * DEPTH_PART
+    depth = limit.burst + bounds.slack * DEPTH_FRACTION
     return BucketSize(
         limit.rate / len(shares),
         max(1.0, depth / len(shares)),
-        _find_start_level(bounds.slack * START_PART, shares.index(share), len(shares)),
+        _find_start_level(
+            bounds.slack * START_FRACTION, shares.index(share), len(shares)
+        ),
     )
 
 
@@ -115,7 +117,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class QuotaRequest:
     """A request to an accountant for a grant.
 
     Args:
@@ -134,7 +136,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class QuotaReply:
     """The reply of an accountant.
 
     Args:
@@ -180,28 +182,28 @@
         self._with_start = with_start
         self._entries: dict[str, _Entry] = {}
 
-    def ask(self, want: Want, now: float) -> Reply:
+    def grant(self, request: QuotaRequest, now: float) -> QuotaReply:
         """Grant as much of a request as the bucket allows."""
-        size = size_bucket(want.limit, self._bounds, want.team, self._share)
-        entry = self._entries.get(want.team)
+        size = size_bucket(request.limit, self._bounds, request.team, self._share)
+        entry = self._entries.get(request.team)
         if entry is None:
             if size is None:
-                return Reply(0, math.inf, LONGEST_TURN)
-            entry = self._add(want, size, now)
-        elif want.version > entry.version:
-            entry.version = want.version
+                return QuotaReply(0, math.inf, MAX_TURN_WAIT)
+            entry = self._add(request, size, now)
+        elif request.version > entry.version:
+            entry.version = request.version
             entry.bucket.resize(size or _NO_BUCKET, now)
         bucket = entry.bucket
         if bucket.size is _NO_BUCKET:
-            return Reply(0, math.inf, LONGEST_TURN)
-        entry.full.take(want.full, now)
-        granted = bucket.take(want.amount, now)
+            return QuotaReply(0, math.inf, MAX_TURN_WAIT)
+        entry.full.take(request.full, now)
+        granted = bucket.take(request.amount, now)
         if granted:
-            return Reply(granted, use=bucket.find_use(now))
+            return QuotaReply(granted, use=bucket.find_use(now))
         wait, turn = bucket.find_wait(now), bucket.take_turn(now)
-        return Reply(0, wait, turn, bucket.find_use(now), entry.full.tell(now))
+        return QuotaReply(0, wait, turn, bucket.find_use(now), entry.full.tell(now))
 
-    def _add(self, want: Want, size: BucketSize, now: float) -> _Entry:
+    def _add(self, want: QuotaRequest, size: BucketSize, now: float) -> _Entry:
         """Add a team's bucket, filled as if it had existed since the start."""
         if len(self._entries) >= MAX_BUCKETS:
             self._drop_full(now)
--- a/walkcart/routing/replicas.py
+++ b/walkcart/routing/replicas.py
@@ -36,7 +36,7 @@
     Args:
         key: identifies the leaf.
         outstanding: number of requests of this instance that wait or run there.
-        stated: requests of others that the leaf last reported, decayed over time.
+        reported_load: requests of others that the leaf last reported, decayed over time.
         latency: expected time of one request, in seconds.
         preferred: whether the routing intent prefers the leaf.
         ejected: whether it is ejected after recent failures.
@@ -45,7 +45,7 @@
 
     key: str
     outstanding: int
-    stated: float
+    reported_load: float
     latency: float
     preferred: bool = True
     ejected: bool = False
@@ -106,7 +106,7 @@
 
 
 def _find_load(candidate: Candidate) -> float:
-    return candidate.outstanding + min(candidate.stated, MAX_REPORTED_LOAD)
+    return candidate.outstanding + min(candidate.reported_load, MAX_REPORTED_LOAD)
 
 
 def _rank_outstanding(candidate: Candidate) -> tuple[bool, float, float]:
--- a/walkcart/routing/kindtimes.py
+++ b/walkcart/routing/requesttimes.py
@@ -37,7 +37,7 @@
 NO_OBJECTIVE_FACTOR = 1.5
 
 
-class KindTimes:
+class RequestTimes:
     """Learns the times of one kind of request.
 
     Args:
@@ -107,7 +107,7 @@
     return max(earliest, latest)
 
 
-def find_second_look(sent: float, objective: float, deadline: float) -> float:
+def find_recheck_time(sent: float, objective: float, deadline: float) -> float:
     """Return when postponed second attempts are considered again.
 
     They are postponed where many replies are late at once, since the leaves are then
@@ -121,9 +121,9 @@
         deadline: when the caller stops waiting, in seconds.
 
     Examples:
-        >>> find_second_look(0.0, objective=0.3, deadline=4.0)
+        >>> find_recheck_time(0.0, objective=0.3, deadline=4.0)
         2.0
-        >>> find_second_look(0.0, objective=0.3, deadline=0.4)
+        >>> find_recheck_time(0.0, objective=0.3, deadline=0.4)
         0.3
     """
     half = (sent + deadline) / 2
--- a/walkcart/routing/replyshare.py
+++ b/walkcart/routing/successrate.py
@@ -6,11 +6,11 @@
 with a few good replies, so that a single bad one has little effect.
 
 Examples:
-    >>> share = ReplyShare()
+    >>> share = SuccessRate()
     >>> share.estimate(now=0.0)
     1.0
     >>> for _ in range(4):
-    ...     share.note(now=0.0, good=False)
+    ...     share.record(now=0.0, good=False)
     >>> round(share.estimate(now=0.0), 2)
     0.33
     >>> round(share.estimate(now=4 * HALF_LIFE), 2)
@@ -33,7 +33,7 @@
 LOSS_WEIGHT = 2.0
 
 
-class ReplyShare:
+class SuccessRate:
     """The recent share of good replies of one leaf."""
 
     __slots__ = ("_bad", "_good", "_recorded_at")
@@ -43,7 +43,7 @@
         self._bad = 0.0
         self._recorded_at = 0.0
 
-    def note(self, now: float, good: bool, lost: bool = False) -> None:
+    def record(self, now: float, good: bool, lost: bool = False) -> None:
         """Record how one request ended.
 
         Args:
--- a/walkcart/routing/tests/test_instance_limiter.py
+++ b/walkcart/routing/tests/test_instance_limiter.py
@@ -3,13 +3,13 @@
 import heapq
 from itertools import count
 
-from walkcart.routing.instanceroom import (
+from walkcart.routing.instancelimiter import (
     MAX_LOOP_DELAY,
     RECOVERY_TIME,
     STANDING_TIME,
-    Crowded,
-    Entry,
-    InstanceRoom,
+    InstanceLimiter,
+    Overloaded,
+    PendingQuestion,
     Started,
     Waiting,
 )
@@ -29,7 +29,7 @@
     """
 
     def __init__(self):
-        self.room = InstanceRoom()
+        self.room = InstanceLimiter()
         self.done = {}
         self.refused = {}
         self._ends = []
@@ -47,20 +47,20 @@
             while self._ends and self._ends[0][0] <= now:
                 _, _, item, started_at = heapq.heappop(self._ends)
                 self._record(self.done, item, now)
-                self.room.leave(now, now - started_at)
+                self.room.finish(now, now - started_at)
             loop_delay = max(0.0, self.room.in_progress / CAPACITY - DURATION) / 4
-            self.room.note_delay(loop_delay, now)
-            for item in self.room.take_started(now):
+            self.room.record_delay(loop_delay, now)
+            for item in self.room.start_waiting(now):
                 self._start(item, now)
-            for item, _ in self.room.take_hopeless(now):
+            for item, _ in self.room.remove_late(now):
                 self._record(self.refused, item, now)
             now += INTERVAL / 5
 
     def _submit(self, item, now):
-        match self.room.enter(item, item[2], now):
+        match self.room.submit(item, item[2], now):
             case Started():
                 self._start(item, now)
-            case Crowded():
+            case Overloaded():
                 self._record(self.refused, item, now)
 
     def _start(self, item, now):
@@ -81,7 +81,9 @@
         (
             n / rate,
             name,
-            Entry(rank, n / rate + objective, n / rate + patience, DURATION, **fields),
+            PendingQuestion(
+                rank, n / rate + objective, n / rate + patience, DURATION, **fields
+            ),
         )
         for n in range(int(rate * seconds))
     ]
@@ -96,10 +98,10 @@
 
 
 def test_single_late_samples_are_no_overload():
-    room = InstanceRoom()
+    room = InstanceLimiter()
     now = 0.0
     for number in range(20):
-        room.note_delay(1.0 if number % 4 == 0 else 0.0, now)
+        room.record_delay(1.0 if number % 4 == 0 else 0.0, now)
         now += INTERVAL
     assert room.limit == float("inf")
 
@@ -153,22 +155,22 @@
 
 
 def test_the_retry_time_covers_the_questions_ahead():
-    room = InstanceRoom()
+    room = InstanceLimiter()
     now = 0.0
-    entry = Entry(rank=0, due=0.3, deadline=0.6, time=DURATION)
+    entry = PendingQuestion(rank=0, due=0.3, deadline=0.6, time=DURATION)
     for number in range(60):
-        room.enter(number, entry, now)
+        room.submit(number, entry, now)
     # The loop stays behind, and two questions end every 50 ms.
     result = None
     for _ in range(8):
         now += INTERVAL
-        room.note_delay(0.2, now)
+        room.record_delay(0.2, now)
         for _ in range(2):
-            room.leave(now, elapsed=1.5)
-    entry = Entry(rank=0, due=now + 0.3, deadline=now + 0.3, time=DURATION)
+            room.finish(now, elapsed=1.5)
+    entry = PendingQuestion(rank=0, due=now + 0.3, deadline=now + 0.3, time=DURATION)
     waiting = 0
-    while not isinstance(result, Crowded):
-        result = room.enter(f"new-{waiting}", entry, now)
+    while not isinstance(result, Overloaded):
+        result = room.submit(f"new-{waiting}", entry, now)
         waiting += isinstance(result, Waiting)
     # Fewer than 40 a second end; the retry time must cover all questions ahead.
     ahead = room.waiting + room.in_progress - room.limit
@@ -183,21 +185,21 @@
 
 
 def test_a_question_whose_caller_left_is_removed():
-    room = InstanceRoom()
+    room = InstanceLimiter()
     room.in_progress, room.limit = 2, 2.0
-    entry = Entry(rank=0, due=1.0, deadline=9.0)
-    assert isinstance(room.enter("gone", entry, 0.0), Waiting)
-    room.give_up("gone")
-    room.leave(0.1, elapsed=0.1)
-    assert room.take_started(0.1) == []
+    entry = PendingQuestion(rank=0, due=1.0, deadline=9.0)
+    assert isinstance(room.submit("gone", entry, 0.0), Waiting)
+    room.cancel_waiting("gone")
+    room.finish(0.1, elapsed=0.1)
+    assert room.start_waiting(0.1) == []
 
 
 def test_a_standing_delay_sets_a_limit():
-    room = InstanceRoom()
+    room = InstanceLimiter()
     for number in range(10):
-        room.enter(number, Entry(0, 1.0, 1.0), 0.0)
+        room.submit(number, PendingQuestion(0, 1.0, 1.0), 0.0)
     now = 0.0
     while now < 3 * STANDING_TIME:
-        room.note_delay(2 * MAX_LOOP_DELAY, now)
+        room.record_delay(2 * MAX_LOOP_DELAY, now)
         now += INTERVAL
     assert room.limit < 10
--- a/walkcart/routing/tests/test_peer_choice.py
+++ b/walkcart/routing/tests/test_peer_choice.py
@@ -1,6 +1,6 @@
 """Tests of the choice of the instance that gathers a group."""
 
-from walkcart.routing.peerchoice import SWITCH_FACTOR, PeerAccounts
+from walkcart.routing.peerchoice import SWITCH_FACTOR, PeerStats
 from walkcart.routing.shares import rank_by_weight
 
 #: Processor time of a group of 24 parts, in seconds, with 2.15 cores and with 0.5.
@@ -8,10 +8,10 @@
 
 
 def make_accounts(**times):
-    accounts = PeerAccounts()
+    accounts = PeerStats()
     for name, time in times.items():
         for _ in range(5):
-            accounts.note_answer(name, 1.0, time)
+            accounts.record_answer(name, 1.0, time)
     return accounts
 
 
@@ -38,7 +38,7 @@
 def test_a_large_machine_with_many_questions_in_progress_loses_the_next():
     accounts = make_accounts(small=0.06, large=0.06)
     for _ in range(12):
-        accounts.note_sent("large", 1.0)
+        accounts.record_sent("large", 1.0)
     assert choose(accounts, ["large", "small"], small=SMALL, large=LARGE) == "small"
 
 
@@ -55,20 +55,20 @@
 def test_a_silent_peer_is_greeted_and_used_again_once_it_was_heard_from():
     accounts = make_accounts(first=0.06, other=0.06)
     names = ["first", "other"]
-    accounts.note_silent("first", 1.0)
+    accounts.record_timeout("first", 1.0)
     assert choose(accounts, names) == "other"
-    assert accounts.find_unheard(names, 1.4) == []
-    assert accounts.find_unheard(names, 1.6) == ["first"]
-    assert accounts.find_unheard(names, 1.7) == []
+    assert accounts.find_peers_to_greet(names, 1.4) == []
+    assert accounts.find_peers_to_greet(names, 1.6) == ["first"]
+    assert accounts.find_peers_to_greet(names, 1.7) == []
     assert accounts.choose(names, 60.0, dict.fromkeys(names, 0.0)) == "other"
-    accounts.note_greeting("first")
+    accounts.record_greeting("first")
     assert accounts.choose(names, 60.0, dict.fromkeys(names, 0.0)) == "first"
-    assert accounts.find_unheard(names, 60.0) == []
+    assert accounts.find_peers_to_greet(names, 60.0) == []
 
 
 def test_a_late_answer_shows_that_a_peer_is_back():
     accounts = make_accounts(first=0.06)
-    accounts.note_silent("first", 1.0)
-    accounts.note_answer("first", 1.2, 0.3)
+    accounts.record_timeout("first", 1.0)
+    accounts.record_answer("first", 1.2, 0.3)
     assert choose(accounts, ["first"]) is None
     assert accounts.choose(["first"], 1.6, {"first": 0.0}) == "first"
--- a/walkcart/routing/tests/test_quota_schemes.py
+++ b/walkcart/routing/tests/test_quota_schemes.py
@@ -19,11 +19,11 @@
 from walkcart.intent.teams import RateLimit
 from walkcart.routing.allowances import Allowance
 from walkcart.routing.quotas import (
-    MOST_STARTS,
-    SHARES,
+    MAX_SHARES,
+    MAX_STARTS,
     QuotaBounds,
+    QuotaRequest,
     ShareAccount,
-    Want,
     list_shares,
 )
 from walkcart.routing.tokenbucket import BucketSize, TokenBucket
@@ -121,14 +121,14 @@
         began_at = simulation.now - 60.0
         self.accounts = [
             ShareAccount(share, BOUNDS, began_at, with_start=True)
-            for share in range(SHARES)
+            for share in range(MAX_SHARES)
         ]
         #: The accountant of each share.
-        self.holders = list(range(SHARES))
+        self.holders = list(range(MAX_SHARES))
         #: When the next accountant takes over each share, in seconds; 0 if none is due.
-        self.free_at = [0.0] * SHARES
-        self.began_at = [began_at] * SHARES
-        self.starts = [1] * SHARES
+        self.free_at = [0.0] * MAX_SHARES
+        self.began_at = [began_at] * MAX_SHARES
+        self.starts = [1] * MAX_SHARES
 
     def restart(self, instance):
         self.allowances[instance] = Allowance(BOUNDS.hold)
@@ -141,7 +141,7 @@
         self.starts[share] = self.starts[share] + 1 if recent else 1
         self.holders[share] = instance
         self.began_at[share] = self.simulation.now
-        with_start = self.starts[share] <= MOST_STARTS
+        with_start = self.starts[share] <= MAX_STARTS
         self.accounts[share] = ShareAccount(
             share, BOUNDS, self.simulation.now, with_start
         )
@@ -177,8 +177,10 @@
                 if not simulation.can_reach(instance, holder):
                     continue
             told = allowance.full.tell(simulation.now)
-            want = Want(TEAM, LIMIT, 1, allowance.find_wanted(simulation.now), told)
-            reply = self.accounts[share].ask(want, simulation.now)
+            want = QuotaRequest(
+                TEAM, LIMIT, 1, allowance.find_wanted(simulation.now), told
+            )
+            reply = self.accounts[share].grant(want, simulation.now)
             if reply.granted:
                 allowance.note_use(simulation.now)
                 allowance.put(reply.granted - 1, simulation.now + BOUNDS.hold)
@@ -287,25 +289,28 @@
 
 @pytest.mark.parametrize("count", [7, 72, 300])
 def test_accounts_keep_the_bound_and_refuse_nothing_at_normal_load(count):
-    assert find_max_with_faults("accounts", count) <= BOUNDS.most(LIMIT)
+    assert find_max_with_faults("accounts", count) <= BOUNDS.max_requests(LIMIT)
     normal = simulate("accounts", count)
     assert normal.find_refused_share() < 1 / 200
     # At most a request and a reply for each share, and no call of the store.
-    assert normal.cost["messages"] < 2 * SHARES * len(normal.ran)
+    assert normal.cost["messages"] < 2 * MAX_SHARES * len(normal.ran)
     assert not normal.cost["writes"]
 
 
 @pytest.mark.parametrize("count", [72, 300])
 def test_reporting_use_exceeds_the_bound_in_large_fleets(count):
     # This rules the scheme out: many instances each run some before they get reports.
-    assert find_max_with_faults("told", count) > BOUNDS.most(LIMIT)
+    assert find_max_with_faults("told", count) > BOUNDS.max_requests(LIMIT)
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
 def test_equal_parts_exceed_the_bound_or_refuse_allowed_requests(count):
     # This rules the scheme out: a part must hold a whole request, and views differ.
     normal = simulate("parts", count).find_refused_share()
-    assert find_max_with_faults("parts", count) > BOUNDS.most(LIMIT) or normal > 1 / 200
+    assert (
+        find_max_with_faults("parts", count) > BOUNDS.max_requests(LIMIT)
+        or normal > 1 / 200
+    )
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
