--- a/walkcart/routing/instancedelay.py
+++ b/walkcart/routing/instancedelay.py
@@ -5,10 +5,10 @@
 is how long sending a question's requests keeps the processor busy.
 
 Examples:
-    >>> overshoot = InstanceDelay()
+    >>> delay = InstanceDelay()
     >>> for _ in range(20):
-    ...     overshoot.observe(0.004)
-    >>> overshoot.estimate(now=1.0)
+    ...     delay.observe(0.004)
+    >>> delay.estimate(now=1.0)
     0.004
 """
 
--- a/walkcart/routing/latetimes.py
+++ b/walkcart/routing/latetimes.py
@@ -6,7 +6,8 @@
 than nine in ten requests do, which is early enough to find stuck requests in time.
 
 Examples:
-    >>> round(find_late_request_time(0.0, objective=0.2, near_high=0.04, late_high=0.06), 3)
+    >>> time = find_late_request_time(0.0, 0.2, near_high=0.04, late_high=0.06)
+    >>> round(time, 3)
     0.05
     >>> find_late_request_time(0.0, objective=0.05, near_high=0.03, late_high=0.06)
     inf
--- a/walkcart/routing/leaflimiter.py
+++ b/walkcart/routing/leaflimiter.py
@@ -111,7 +111,7 @@
         """Return whether a request may be sent now; otherwise it waits here.
 
         Args:
-            demand: the request.
+            request: the request.
             sent: number of requests of this instance at the leaf.
             others: estimated number of requests of other instances at the leaf.
             now: current time, in seconds.
@@ -124,19 +124,19 @@
             return self._may_queue(request, load, now)
         return True
 
-    def _may_queue(self, demand: SlotRequest, load: float, now: float) -> bool:
+    def _may_queue(self, request: SlotRequest, load: float, now: float) -> bool:
         """Return whether a request meets its objective from the leaf's own queue."""
-        if self._reserved(demand, now):
+        if self._reserved(request, now):
             return False
         ahead = load + 1 - self._slots
-        wait = ahead / self._slots * demand.time
-        return wait + demand.time <= demand.left
+        wait = ahead / self._slots * request.time
+        return wait + request.time <= request.left
 
-    def _reserved(self, demand: SlotRequest, now: float) -> int:
+    def _reserved(self, request: SlotRequest, now: float) -> int:
         """Return the number of slots that a request leaves to more urgent ones."""
-        wait = demand.time / self._slots
+        wait = request.time / self._slots
         for rank, expected in self._expected.items():
-            if rank >= demand.rank or now - expected.at > EXPECTED_TIME:
+            if rank >= request.rank or now - expected.at > EXPECTED_TIME:
                 continue
             if wait > MAX_WAIT_SHARE * expected.objective:
                 return RESERVED_SLOTS
--- a/walkcart/routing/peerchoice.py
+++ b/walkcart/routing/peerchoice.py
@@ -7,13 +7,13 @@
 that processor time, since most answers wait for the slowest leaf.
 
 Examples:
-    >>> accounts, work = PeerStats(), {"a": 0.01, "b": 0.01}
-    >>> accounts.record_answer("a", 1.0, 0.05)
-    >>> accounts.record_answer("b", 1.0, 0.2)
-    >>> accounts.choose(["b", "a"], 1.1, work)
+    >>> stats, work = PeerStats(), {"a": 0.01, "b": 0.01}
+    >>> stats.record_answer("a", 1.0, 0.05)
+    >>> stats.record_answer("b", 1.0, 0.2)
+    >>> stats.choose(["b", "a"], 1.1, work)
     'a'
-    >>> accounts.record_timeout("a", 1.2)
-    >>> accounts.choose(["b", "a"], 1.3, work)
+    >>> stats.record_timeout("a", 1.2)
+    >>> stats.choose(["b", "a"], 1.3, work)
     'b'
 """
 
--- a/walkcart/routing/placement.py
+++ b/walkcart/routing/placement.py
@@ -11,7 +11,7 @@
     >>> far = LeafCandidate("far", load=0.0, slots=2, time=0.046, distance=there)
     >>> choose_leaf([far, near], 0.1, Random(1)).key
     'near'
-    >>> failing = LeafCandidate("near", 0.0, 2, time=0.03, distance=here, success_rate=0.4)
+    >>> failing = LeafCandidate("near", 0.0, 2, 0.03, here, success_rate=0.4)
     >>> choose_leaf([far, failing], 0.1, Random(1)).key
     'far'
     >>> busy = LeafCandidate("near", load=6.0, slots=2, time=0.03, distance=here)
@@ -78,22 +78,22 @@
     success_rate: float = 1.0
 
 
-def estimate_time(standing: LeafCandidate, objective: float) -> float:
+def estimate_time(candidate: LeafCandidate, objective: float) -> float:
     """Return the estimated time of a request at a leaf, with its costs, in seconds.
 
     Args:
-        standing: the leaf.
+        candidate: the leaf.
         objective: seconds within which the request is to be answered.
     """
-    service = standing.time
-    if standing.cold:
+    service = candidate.time
+    if candidate.cold:
         service *= COLD_FACTOR
-    waiting = max(0.0, standing.load + 1.0 - standing.slots)
-    time = service * (1.0 + waiting / max(1, standing.slots))
-    time /= standing.success_rate
-    time += (1.0 - standing.success_rate) * FAILURE_COST * objective
-    time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[standing.distance]
-    if standing.stalled:
+    waiting = max(0.0, candidate.load + 1.0 - candidate.slots)
+    time = service * (1.0 + waiting / max(1, candidate.slots))
+    time /= candidate.success_rate
+    time += (1.0 - candidate.success_rate) * FAILURE_COST * objective
+    time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[candidate.distance]
+    if candidate.stalled:
         time += STALLED_COST
     return time
 
--- a/walkcart/routing/quarantine.py
+++ b/walkcart/routing/quarantine.py
@@ -23,11 +23,11 @@
     >>> for strike in (11, 22, 33):
     ...     quarantine.record_strike(b"request", strike, now=0.0)
     >>> quarantine.find_level(b"request", now=1.0)
-    <Standing.REFUSED: 3>
+    <QuarantineLevel.REFUSED: 3>
     >>> quarantine.record_answer(b"request", now=2.0)
     True
     >>> quarantine.find_level(b"request", now=2.0)
-    <Standing.USUAL: 1>
+    <QuarantineLevel.USUAL: 1>
 """
 
 from __future__ import annotations
--- a/walkcart/routing/quotas.py
+++ b/walkcart/routing/quotas.py
@@ -13,9 +13,10 @@
     >>> size_bucket(limit, bounds, "fitters", 0)
     BucketSize(rate=3.0, depth=3.0, start=1.0)
     >>> account = ShareAccount(0, bounds, started_at=0.0, with_start=True)
-    >>> account.grant(QuotaRequest("fitters", limit, version=1, amount=1), now=0.0).granted
+    >>> request = QuotaRequest("fitters", limit, version=1, amount=1)
+    >>> account.grant(request, now=0.0).granted
     1
-    >>> reply = account.grant(QuotaRequest("fitters", limit, version=1, amount=1), now=0.1)
+    >>> reply = account.grant(request, now=0.1)
     >>> reply.granted, round(reply.wait, 2)
     (0, 0.23)
 
--- a/walkcart/routing/replicas.py
+++ b/walkcart/routing/replicas.py
@@ -36,7 +36,7 @@
     Args:
         key: identifies the leaf.
         outstanding: number of requests of this instance that wait or run there.
-        reported_load: requests of others that the leaf last reported, decayed over time.
+        reported_load: requests of others that the leaf last reported, decayed by time.
         latency: expected time of one request, in seconds.
         preferred: whether the routing intent prefers the leaf.
         ejected: whether it is ejected after recent failures.
--- a/walkcart/routing/tests/test_gatherers.py
+++ b/walkcart/routing/tests/test_gatherers.py
@@ -71,21 +71,21 @@
 
 
 def test_a_peer_that_greets_is_used_again_at_once():
-    accounts = PeerStats()
+    stats = PeerStats()
     for second in range(6):
-        accounts.record_timeout("a", float(second))
-    assert accounts.choose(["a"], 6.0, {"a": 0.0}) is None
-    accounts.record_greeting("a")
-    assert accounts.choose(["a"], 6.0, {"a": 0.0}) == "a"
+        stats.record_timeout("a", float(second))
+    assert stats.choose(["a"], 6.0, {"a": 0.0}) is None
+    stats.record_greeting("a")
+    assert stats.choose(["a"], 6.0, {"a": 0.0}) == "a"
 
 
 def test_the_timeout_follows_the_peer_and_the_time_of_the_question():
-    accounts = PeerStats()
-    unknown = accounts.acceptance_timeout("a", 2.0)
-    accounts.record_accepted("a", 1.0, 0.01)
-    near = accounts.acceptance_timeout("a", 2.0)
+    stats = PeerStats()
+    unknown = stats.acceptance_timeout("a", 2.0)
+    stats.record_accepted("a", 1.0, 0.01)
+    near = stats.acceptance_timeout("a", 2.0)
     for second in range(10):
-        accounts.record_timeout("a", float(second))
+        stats.record_timeout("a", float(second))
     assert near < unknown <= MAX_TIMEOUT
-    assert near < accounts.acceptance_timeout("a", 2.0) <= MAX_TIMEOUT
-    assert accounts.acceptance_timeout("a", 0.1) == BASE_MAX_TIMEOUT
+    assert near < stats.acceptance_timeout("a", 2.0) <= MAX_TIMEOUT
+    assert stats.acceptance_timeout("a", 0.1) == BASE_MAX_TIMEOUT
--- a/walkcart/routing/tests/test_leaf_limiter.py
+++ b/walkcart/routing/tests/test_leaf_limiter.py
@@ -6,8 +6,8 @@
 URGENT = SlotRequest(rank=0, left=0.088, time=0.0057)
 
 
-def slow_down(demand, factor):
-    return SlotRequest(demand.rank, demand.left, demand.time * factor)
+def slow_down(request, factor):
+    return SlotRequest(request.rank, request.left, request.time * factor)
 
 
 def make_room():
@@ -17,10 +17,10 @@
     return room
 
 
-def count_sent(room, demand, now=0.0, others=0.0):
+def count_sent(room, request, now=0.0, others=0.0):
     """Return how many requests are sent before one has to wait, at most 50."""
     sent = 0
-    while sent < 50 and room.allows(demand, sent, others, now):
+    while sent < 50 and room.allows(request, sent, others, now):
         sent += 1
     return sent
 
--- a/walkcart/routing/tests/test_peer_choice.py
+++ b/walkcart/routing/tests/test_peer_choice.py
@@ -7,39 +7,39 @@
 LARGE, SMALL = 0.0067, 0.028
 
 
-def make_accounts(**times):
-    accounts = PeerStats()
+def make_stats(**times):
+    stats = PeerStats()
     for name, time in times.items():
         for _ in range(5):
-            accounts.record_answer(name, 1.0, time)
-    return accounts
+            stats.record_answer(name, 1.0, time)
+    return stats
 
 
-def choose(accounts, names, **work):
-    return accounts.choose(names, 1.0, work or dict.fromkeys(names, 0.0))
+def choose(stats, names, **work):
+    return stats.choose(names, 1.0, work or dict.fromkeys(names, 0.0))
 
 
 def test_the_first_peer_keeps_a_group_while_others_are_about_as_fast():
-    accounts = make_accounts(first=0.06, other=0.06 / SWITCH_FACTOR + 0.001)
-    assert choose(accounts, ["first", "other"]) == "first"
+    stats = make_stats(first=0.06, other=0.06 / SWITCH_FACTOR + 0.001)
+    assert choose(stats, ["first", "other"]) == "first"
 
 
 def test_a_peer_that_takes_much_longer_loses_the_group():
-    accounts = make_accounts(first=0.1, other=0.05)
-    assert choose(accounts, ["first", "other"]) == "other"
+    stats = make_stats(first=0.1, other=0.05)
+    assert choose(stats, ["first", "other"]) == "other"
 
 
 def test_a_small_machine_is_avoided_though_its_answers_take_equally_long():
-    accounts = make_accounts(small=0.06, large=0.06)
+    stats = make_stats(small=0.06, large=0.06)
     names = ["small", "large"]
-    assert choose(accounts, names, small=SMALL, large=LARGE) == "large"
+    assert choose(stats, names, small=SMALL, large=LARGE) == "large"
 
 
 def test_a_large_machine_with_many_questions_in_progress_loses_the_next():
-    accounts = make_accounts(small=0.06, large=0.06)
+    stats = make_stats(small=0.06, large=0.06)
     for _ in range(12):
-        accounts.record_sent("large", 1.0)
-    assert choose(accounts, ["large", "small"], small=SMALL, large=LARGE) == "small"
+        stats.record_sent("large", 1.0)
+    assert choose(stats, ["large", "small"], small=SMALL, large=LARGE) == "small"
 
 
 def test_groups_are_spread_by_cores():
@@ -53,22 +53,22 @@
 
 
 def test_a_silent_peer_is_greeted_and_used_again_once_it_was_heard_from():
-    accounts = make_accounts(first=0.06, other=0.06)
+    stats = make_stats(first=0.06, other=0.06)
     names = ["first", "other"]
-    accounts.record_timeout("first", 1.0)
-    assert choose(accounts, names) == "other"
-    assert accounts.find_peers_to_greet(names, 1.4) == []
-    assert accounts.find_peers_to_greet(names, 1.6) == ["first"]
-    assert accounts.find_peers_to_greet(names, 1.7) == []
-    assert accounts.choose(names, 60.0, dict.fromkeys(names, 0.0)) == "other"
-    accounts.record_greeting("first")
-    assert accounts.choose(names, 60.0, dict.fromkeys(names, 0.0)) == "first"
-    assert accounts.find_peers_to_greet(names, 60.0) == []
+    stats.record_timeout("first", 1.0)
+    assert choose(stats, names) == "other"
+    assert stats.find_peers_to_greet(names, 1.4) == []
+    assert stats.find_peers_to_greet(names, 1.6) == ["first"]
+    assert stats.find_peers_to_greet(names, 1.7) == []
+    assert stats.choose(names, 60.0, dict.fromkeys(names, 0.0)) == "other"
+    stats.record_greeting("first")
+    assert stats.choose(names, 60.0, dict.fromkeys(names, 0.0)) == "first"
+    assert stats.find_peers_to_greet(names, 60.0) == []
 
 
 def test_a_late_answer_shows_that_a_peer_is_back():
-    accounts = make_accounts(first=0.06)
-    accounts.record_timeout("first", 1.0)
-    accounts.record_answer("first", 1.2, 0.3)
-    assert choose(accounts, ["first"]) is None
-    assert accounts.choose(["first"], 1.6, {"first": 0.0}) == "first"
+    stats = make_stats(first=0.06)
+    stats.record_timeout("first", 1.0)
+    stats.record_answer("first", 1.2, 0.3)
+    assert choose(stats, ["first"]) is None
+    assert stats.choose(["first"], 1.6, {"first": 0.0}) == "first"
--- a/walkcart/routing/tests/test_quarantine.py
+++ b/walkcart/routing/tests/test_quarantine.py
@@ -17,16 +17,16 @@
 
 def strike(quarantine, *numbers, now=0.0, request=REQUEST):
     for number in numbers:
-        quarantine.note_strike(request, number, now)
+        quarantine.record_strike(request, number, now)
 
 
 def test_strikes_lead_to_one_leaf_first_and_then_to_refusal():
     quarantine = Quarantine()
-    standings = []
+    levels = []
     for number in range(4):
-        standings.append(quarantine.find_level(REQUEST, 0.0))
+        levels.append(quarantine.find_level(REQUEST, 0.0))
         strike(quarantine, number)
-    assert standings == [
+    assert levels == [
         QuarantineLevel.USUAL,
         QuarantineLevel.USUAL,
         QuarantineLevel.CAREFUL,
--- a/walkcart/routing/tests/test_quota_schemes.py
+++ b/walkcart/routing/tests/test_quota_schemes.py
@@ -161,8 +161,8 @@
 
     def admit(self, instance):
         simulation, allowance = self.simulation, self.allowances[instance]
-        if allowance.take(simulation.now):
-            allowance.note_use(simulation.now)
+        if allowance.try_consume(simulation.now):
+            allowance.record_use(simulation.now)
             return True
         shares = list_shares(LIMIT, BOUNDS, TEAM)
         # Accountants of the own region, one in three, are asked first.
@@ -177,13 +177,13 @@
                 if not simulation.can_reach(instance, holder):
                     continue
             told = allowance.full.tell(simulation.now)
-            want = QuotaRequest(
-                TEAM, LIMIT, 1, allowance.find_wanted(simulation.now), told
+            request = QuotaRequest(
+                TEAM, LIMIT, 1, allowance.find_request_amount(simulation.now), told
             )
-            reply = self.accounts[share].grant(want, simulation.now)
+            reply = self.accounts[share].grant(request, simulation.now)
             if reply.granted:
-                allowance.note_use(simulation.now)
-                allowance.put(reply.granted - 1, simulation.now + BOUNDS.hold)
+                allowance.record_use(simulation.now)
+                allowance.add_grant(reply.granted - 1, simulation.now + BOUNDS.hold)
                 return True
             allowance.full.take(reply.full, simulation.now)
             allowance.full.note(share, reply.wait, simulation.now)
--- a/walkcart/routing/tests/test_quotas.py
+++ b/walkcart/routing/tests/test_quotas.py
@@ -39,7 +39,7 @@
 MAX_DELIVERY_TIME = 0.2
 
 
-def make_want(limit, version=1, amount=1, team=TEAM):
+def make_request(limit, version=1, amount=1, team=TEAM):
     return QuotaRequest(team, limit, version, amount)
 
 
@@ -94,24 +94,24 @@
             version, limit = version - 1, self.limits[-2][1]
         for _ in range(count):
             if self.admit(instance, allowance, limit, version):
-                allowance.note_use(self.now)
+                allowance.record_use(self.now)
                 self.ran.append(self.now + self.random.uniform(0.0, MAX_DELIVERY_TIME))
 
     def admit(self, instance, allowance, limit, version):
-        if allowance.take(self.now):
+        if allowance.try_consume(self.now):
             return True
         shares = list_shares(limit, BOUNDS, TEAM)
         for number in allowance.full.find_open(shares, self.now):
             if (instance, number) in self.cuts:
                 continue
-            amount = allowance.find_wanted(self.now)
+            amount = allowance.find_request_amount(self.now)
             told = allowance.full.tell(self.now)
-            want = QuotaRequest(TEAM, limit, version, amount, told)
-            reply = self.shares[number].account.ask(want, self.now)
+            request = QuotaRequest(TEAM, limit, version, amount, told)
+            reply = self.shares[number].account.grant(request, self.now)
             if self.random.random() < self.loss:
                 continue  # the reply is lost
             if reply.granted:
-                allowance.put(reply.granted - 1, self.now + BOUNDS.hold)
+                allowance.add_grant(reply.granted - 1, self.now + BOUNDS.hold)
                 return True
             allowance.full.take(reply.full, self.now)
             allowance.full.note(number, reply.wait, self.now)
@@ -185,7 +185,7 @@
                 # A request that was admitted a moment ago and didn't run.
                 admitted_at = simulation.ran.pop() - MAX_DELIVERY_TIME
                 allowance = simulation.allowances[instance]
-                allowance.give_back(admitted_at, simulation.now)
+                allowance.refund(admitted_at, simulation.now)
     simulation.check()
 
 
@@ -234,7 +234,7 @@
     )
     for number in range(MAX_SHARES):
         account = ShareAccount(number, bounds, 0.0, True)
-        reply = account.grant(make_want(limit), now=10.0)
+        reply = account.grant(make_request(limit), now=10.0)
         assert bool(reply.granted) == (sizes[number] is not None)
 
 
@@ -242,34 +242,34 @@
     high, low = RateLimit(300.0, 90.0), RateLimit(6.0, 12.0)
     share = list_shares(low, BOUNDS, TEAM)[0]
     account = ShareAccount(share, BOUNDS, 0.0, True)
-    assert account.grant(make_want(high, 1), now=100.0).granted == 1
+    assert account.grant(make_request(high, 1), now=100.0).granted == 1
     # The level is cut to the new depth, and a request with the old limit gets nothing.
-    granted = [account.grant(make_want(low, 2), now=100.0).granted for _ in range(9)]
+    granted = [account.grant(make_request(low, 2), now=100.0).granted for _ in range(9)]
     size = size_bucket(low, BOUNDS, TEAM, share)
     assert sum(granted) == math.floor(size.depth) == 3
-    assert account.grant(make_want(high, 1), now=100.0).granted == 0
-    assert account.grant(make_want(high, 3), now=100.0).granted == 0
-    assert account.grant(make_want(high, 3), now=100.3).granted > 0
+    assert account.grant(make_request(high, 1), now=100.0).granted == 0
+    assert account.grant(make_request(high, 3), now=100.0).granted == 0
+    assert account.grant(make_request(high, 3), now=100.3).granted > 0
 
 
 def test_near_the_limit_nothing_is_granted_in_advance():
     limit = RateLimit(60.0, 80.0)
     account = ShareAccount(0, BOUNDS, 0.0, True)
-    first = account.grant(make_want(limit, amount=60), now=100.0).granted
+    first = account.grant(make_request(limit, amount=60), now=100.0).granted
     assert first > 5
-    assert account.grant(make_want(limit, amount=60), now=100.0).granted == 1
+    assert account.grant(make_request(limit, amount=60), now=100.0).granted == 1
 
 
 def test_refused_callers_get_successive_turns():
     limit = RateLimit(12.0, 12.0)
     account = ShareAccount(0, BOUNDS, 0.0, True)
-    while account.grant(make_want(limit), now=50.0).granted:
+    while account.grant(make_request(limit), now=50.0).granted:
         pass
-    turns = [account.grant(make_want(limit), now=50.0).turn for _ in range(5)]
+    turns = [account.grant(make_request(limit), now=50.0).turn for _ in range(5)]
     gaps = [later - turn for turn, later in pairwise(turns)]
     assert gaps == pytest.approx([0.5] * 4)
     for _ in range(50):
-        turn = account.grant(make_want(limit), now=50.0).turn
+        turn = account.grant(make_request(limit), now=50.0).turn
     assert turn == pytest.approx(MAX_TURN_WAIT)
 
 
@@ -297,7 +297,7 @@
     told = ((1, 0.2), (2, 0.3))
     while account.grant(QuotaRequest(TEAM, limit, 1, 1, told), now=50.0).granted:
         pass
-    reply = account.grant(make_want(limit), now=50.1)
+    reply = account.grant(make_request(limit), now=50.1)
     assert [share for share, _ in reply.full] == [1, 2]
     assert [wait for _, wait in reply.full] == pytest.approx([0.1, 0.2])
 
--- a/walkcart/routing/tests/test_repeats.py
+++ b/walkcart/routing/tests/test_repeats.py
@@ -26,13 +26,13 @@
     for gap, number, action in events:
         now += gap
         if action == "request":
-            budgets[number].note_request("s", now)
+            budgets[number].record_request("s", now)
             requests.append(now)
         elif action == "restart" and number not in restarted:
             # Once each: the reserve covers what was spent before one restart.
             restarted.add(number)
             budgets[number] = RepeatBudget(LIMITS, now)
-        elif budgets[number].take("s", now, 3):
+        elif budgets[number].try_spend("s", now, 3):
             repeats.append(now)
     for end in repeats:
         start = end - LIMITS.window
@@ -74,9 +74,9 @@
         now += gap
         budget = budgets[number]
         if action == "request":
-            budget.note_request("s", now)
+            budget.record_request("s", now)
             requests.append(now)
-        elif action == "repeat" and budget.take("s", now, 3):
+        elif action == "repeat" and budget.try_spend("s", now, 3):
             repeats.append(now)
         elif action == "lend" and budget.lend("s", now, 3):
             loans[number].append(now)
