--- a/walkcart/routing/allowances.py
+++ b/walkcart/routing/allowances.py
@@ -19,7 +19,7 @@
 
 import math
 
-from walkcart.routing.exhaustedshares import FullShares
+from walkcart.routing.exhaustedshares import ExhaustedShares
 
 #: Time constant of the average use of a team at this instance, in seconds.
 USE_TIME = 1.0
@@ -63,7 +63,7 @@
         self._expires_at = -math.inf
         self._use_rate = 0.0
         self._decayed_at = -math.inf
-        self.full = FullShares()
+        self.full = ExhaustedShares()
 
     def try_consume(self, now: float) -> bool:
         """Use up one held request; return False when none is held."""
--- a/walkcart/routing/exhaustedshares.py
+++ b/walkcart/routing/exhaustedshares.py
@@ -6,11 +6,11 @@
 fewer accountants have to be asked.
 
 Examples:
-    >>> full = FullShares()
+    >>> full = ExhaustedShares()
     >>> full.note(1, 0.4, now=10.0)
     >>> full.find_open((0, 1, 2), now=10.1)
     [0, 2]
-    >>> other = FullShares()
+    >>> other = ExhaustedShares()
     >>> other.take(full.tell(now=10.1), now=50.0)
     >>> other.find_open((0, 1, 2), now=50.2), other.find_open((0, 1, 2), now=50.4)
     ([0, 2], [0, 1, 2])
@@ -25,13 +25,13 @@
 #: be raised, and a new accountant may take the share.
 MAX_SKIP_TIME = 1.0
 #: Maximum number of shares that are passed on.
-MAX_TOLD = 8
+MAX_SENT = 8
 
 #: Exhausted shares, each with the seconds until it may recover.
-Told = tuple[tuple[int, float], ...]
+ShareWaits = tuple[tuple[int, float], ...]
 
 
-class FullShares:
+class ExhaustedShares:
     """The shares of one team's limit that were recently exhausted."""
 
     __slots__ = ("_open_at",)
@@ -56,13 +56,13 @@
         left = [at - now for at in self._open_at.values() if at > now]
         return min(left, default=0.0)
 
-    def tell(self, now: float) -> Told:
+    def tell(self, now: float) -> ShareWaits:
         """Return the exhausted shares, to be sent to another instance."""
         found = [(share, at - now) for share, at in self._open_at.items() if at > now]
-        return tuple(found[:MAX_TOLD])
+        return tuple(found[:MAX_SENT])
 
-    def take(self, told: Told, now: float) -> None:
+    def take(self, waits: ShareWaits, now: float) -> None:
         """Record the exhausted shares that another instance sent."""
-        for share, wait in told[:MAX_TOLD]:
+        for share, wait in waits[:MAX_SENT]:
             if isfinite(wait) and wait > 0.0:
                 self.note(share, wait, now)
--- a/walkcart/routing/placement.py
+++ b/walkcart/routing/placement.py
@@ -78,22 +78,22 @@
     success_rate: float = 1.0
 
 
-def estimate_time(candidate: LeafCandidate, objective: float) -> float:
+def estimate_time(standing: LeafCandidate, objective: float) -> float:
     """Return the estimated time of a request at a leaf, with its costs, in seconds.
 
     Args:
-        candidate: the leaf.
+        standing: the leaf.
         objective: seconds within which the request is to be answered.
     """
-    service = candidate.time
-    if candidate.cold:
+    service = standing.time
+    if standing.cold:
         service *= COLD_FACTOR
-    waiting = max(0.0, candidate.load + 1.0 - candidate.slots)
-    time = service * (1.0 + waiting / max(1, candidate.slots))
-    time /= candidate.success_rate
-    time += (1.0 - candidate.success_rate) * FAILURE_COST * objective
-    time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[candidate.distance]
-    if candidate.stalled:
+    waiting = max(0.0, standing.load + 1.0 - standing.slots)
+    time = service * (1.0 + waiting / max(1, standing.slots))
+    time /= standing.success_rate
+    time += (1.0 - standing.success_rate) * FAILURE_COST * objective
+    time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[standing.distance]
+    if standing.stalled:
         time += STALLED_COST
     return time
 
--- a/walkcart/routing/quotas.py
+++ b/walkcart/routing/quotas.py
@@ -30,7 +30,7 @@
 from dataclasses import dataclass, field
 
 from walkcart.intent.teams import RateLimit
-from walkcart.routing.exhaustedshares import FullShares, Told
+from walkcart.routing.exhaustedshares import ExhaustedShares, ShareWaits
 from walkcart.routing.shares import rank_rendezvous
 from walkcart.routing.tokenbucket import MAX_TURN_WAIT, BucketSize, TokenBucket
 
@@ -133,7 +133,7 @@
     limit: RateLimit
     version: int
     amount: int
-    full: Told = ()
+    full: ShareWaits = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,7 +152,7 @@
     wait: float = 0.0
     turn: float = 0.0
     use: float = 0.0
-    full: Told = ()
+    full: ShareWaits = ()
 
 
 @dataclass(slots=True)
@@ -161,7 +161,7 @@
 
     bucket: TokenBucket
     version: int
-    full: FullShares = field(default_factory=FullShares)
+    full: ExhaustedShares = field(default_factory=ExhaustedShares)
 
 
 class ShareAccount:
--- a/walkcart/routing/tests/test_quotas.py
+++ b/walkcart/routing/tests/test_quotas.py
@@ -20,7 +20,7 @@
     Allowance,
     ReplyTimeout,
 )
-from walkcart.routing.exhaustedshares import FullShares
+from walkcart.routing.exhaustedshares import ExhaustedShares
 from walkcart.routing.quotas import (
     MAX_SHARES,
     MAX_STARTS,
@@ -282,7 +282,7 @@
 
 
 def test_an_exhausted_share_is_skipped_until_it_may_recover():
-    full = FullShares()
+    full = ExhaustedShares()
     full.note(1, wait=0.4, now=10.0)
     full.note(2, wait=math.inf, now=10.0)
     assert full.find_open(range(3), 10.1) == [0]
