--- a/walkcart/routing/exhaustedshares.py
+++ b/walkcart/routing/exhaustedshares.py
@@ -61,8 +61,8 @@
         found = [(share, at - now) for share, at in self._open_at.items() if at > now]
         return tuple(found[:MAX_SENT])
 
-    def take(self, waits: ShareWaits, now: float) -> None:
+    def take(self, told: ShareWaits, now: float) -> None:
         """Record the exhausted shares that another instance sent."""
-        for share, wait in waits[:MAX_SENT]:
+        for share, wait in told[:MAX_SENT]:
             if isfinite(wait) and wait > 0.0:
                 self.note(share, wait, now)
--- a/walkcart/routing/instancelimiter.py
+++ b/walkcart/routing/instancelimiter.py
@@ -49,7 +49,7 @@
 MIN_RETRY = 0.05
 MAX_RETRY = 30.0
 #: Seconds until a retry while no recent completion was seen.
-DEFAULT_RETRY = 1.0
+BLIND_RETRY = 1.0
 #: ln 2: turns the exponentially decayed sum of completions into a rate per second.
 _LN_2 = 0.693
 
@@ -253,7 +253,7 @@
         """Return the seconds until the current queue has drained, within bounds."""
         rate = self._find_drain_rate(now)
         if rate <= 0:
-            return DEFAULT_RETRY
+            return BLIND_RETRY
         excess = max(0.0, self.in_progress - self.limit)
         wait = (self.waiting + excess + 1) / rate
         return min(MAX_RETRY, max(MIN_RETRY, wait))
--- a/walkcart/routing/quarantine.py
+++ b/walkcart/routing/quarantine.py
@@ -133,12 +133,12 @@
         self._entries[fingerprint] = StrikeRecord(frozenset(), held.struck_at, now)
         return True
 
-    def merge(self, fingerprint: bytes, received: StrikeRecord, now: float) -> bool:
+    def merge(self, fingerprint: bytes, told: StrikeRecord, now: float) -> bool:
         """Merge the evidence of another instance; return whether it was news."""
-        if now - received.latest > MEMORY_TIME:
+        if now - told.latest > MEMORY_TIME:
             return False
         held = self._entries.get(fingerprint)
-        merged = received if held is None else _merge_records(held, received)
+        merged = told if held is None else _merge_records(held, told)
         if merged.struck_at <= merged.answered_at:
             merged = StrikeRecord(frozenset(), merged.struck_at, merged.answered_at)
         if held is not None and merged.strikes == held.strikes:
