--- a/walkcart/routing/tests/test_gatherers.py
+++ b/walkcart/routing/tests/test_gatherers.py
@@ -1,18 +1,18 @@
-"""Which instances gather, and how many."""
+"""Tests of which instances gather, and how many."""
 
 from random import Random
 
 from walkcart.routing.gatherers import (
     AVERAGING_TIME,
-    LEAST_GATHERERS,
+    MIN_GATHERERS,
     PartRate,
     choose_gatherers,
     find_needed_capacity,
     rank_by_capacity,
 )
 from walkcart.routing.peerchoice import (
-    LONGEST_PATIENCE,
-    MOST_PATIENCE,
+    BASE_MAX_TIMEOUT,
+    MAX_TIMEOUT,
     PeerStats,
 )
 
@@ -21,7 +21,7 @@
     return {f"instance-{n}": 2.15 if n < 2 else 0.516 for n in range(count)}
 
 
-def test_a_small_data_centre_gathers_with_all():
+def test_all_instances_of_a_small_data_centre_gather():
     fleet = make_fleet(3)
     ranked = rank_by_capacity("north", fleet)
     assert sorted(choose_gatherers(ranked, fleet, 0.0)) == sorted(fleet)
@@ -32,19 +32,19 @@
     assert set(rank_by_capacity("north", fleet)[:2]) == {"instance-0", "instance-1"}
 
 
-def test_the_number_follows_the_load_and_not_the_fleet():
+def test_the_number_follows_the_load_and_not_the_fleet_size():
     counts = []
     for instances in (60, 195, 620):
         fleet = make_fleet(instances // 6)
         ranked = rank_by_capacity("north", fleet)
-        # 2,400 parts a second of the whole fleet.
+        # The whole fleet asks for 2,400 parts per second.
         needed = find_needed_capacity(2400 / instances, instances, 2)
         counts.append(len(choose_gatherers(ranked, fleet, needed)))
     assert counts[0] == counts[1] == counts[2] < 10
 
 
-def test_instances_with_a_few_questions_each_choose_nearly_the_same():
-    """Each of 195 has 0.12 questions a second over 87 parts, at random."""
+def test_instances_with_a_few_questions_each_choose_nearly_the_same_number():
+    """Each of 195 instances gets 0.12 questions per second of 87 parts, at random."""
     fleet = make_fleet(32)
     ranked = rank_by_capacity("north", fleet)
     random = Random(3)
@@ -55,11 +55,11 @@
             rate.record(now, 87)
         needed = find_needed_capacity(rate.estimate(now), 195, 2)
         sizes.append(len(choose_gatherers(ranked, fleet, needed)))
-    assert min(sizes) >= LEAST_GATHERERS
-    assert max(sizes) <= 4 * LEAST_GATHERERS
+    assert min(sizes) >= MIN_GATHERERS
+    assert max(sizes) <= 4 * MIN_GATHERERS
 
 
-def test_a_rate_that_wavers_moves_nobody():
+def test_a_fluctuating_rate_keeps_the_gatherers():
     rate = PartRate()
     seen = set()
     for second in range(600):
@@ -70,22 +70,22 @@
     assert rate.estimate(600.0 + 10 * AVERAGING_TIME) < min(seen)
 
 
-def test_an_instance_that_greets_is_asked_again_at_once():
-    accounts = PeerStats()
+def test_a_peer_that_greets_is_used_again_at_once():
+    stats = PeerStats()
     for second in range(6):
-        accounts.record_timeout("a", float(second))
-    assert accounts.choose(["a"], 6.0, {"a": 0.0}) is None
-    accounts.record_greeting("a")
-    assert accounts.choose(["a"], 6.0, {"a": 0.0}) == "a"
+        stats.record_timeout("a", float(second))
+    assert stats.choose(["a"], 6.0, {"a": 0.0}) is None
+    stats.record_greeting("a")
+    assert stats.choose(["a"], 6.0, {"a": 0.0}) == "a"
 
 
-def test_patience_follows_the_peer_and_the_time_that_a_question_has():
-    accounts = PeerStats()
-    unknown = accounts.acceptance_timeout("a", 2.0)
-    accounts.record_accepted("a", 1.0, 0.01)
-    near = accounts.acceptance_timeout("a", 2.0)
+def test_the_timeout_follows_the_peer_and_the_time_of_the_question():
+    stats = PeerStats()
+    unknown = stats.acceptance_timeout("a", 2.0)
+    stats.record_accepted("a", 1.0, 0.01)
+    near = stats.acceptance_timeout("a", 2.0)
     for second in range(10):
-        accounts.record_timeout("a", float(second))
-    assert near < unknown <= MOST_PATIENCE
-    assert near < accounts.acceptance_timeout("a", 2.0) <= MOST_PATIENCE
-    assert accounts.acceptance_timeout("a", 0.1) == LONGEST_PATIENCE
+        stats.record_timeout("a", float(second))
+    assert near < unknown <= MAX_TIMEOUT
+    assert near < stats.acceptance_timeout("a", 2.0) <= MAX_TIMEOUT
+    assert stats.acceptance_timeout("a", 0.1) == BASE_MAX_TIMEOUT
