--- a/walkcart/fanout/carrying.py
+++ b/walkcart/fanout/carrying.py
@@ -48,18 +48,18 @@
 MOST_AGE = 0.2
 #: Seconds on its way that a question's times allow for: to another region and back,
 #: since its age is known to within one way.
-USUAL_AGE = 0.03
+USUAL_TRANSIT_TIME = 0.03
 #: Seconds without a renewal after which a question is given up: within the half second
 #: that leafs may work on for a caller that left, and three renewals.
 HOLD_TIME = 0.4
 #: Seconds for which a question's coming, cancellation or end is kept, for the same one
 #: that comes after it, or once more. A question isn't begun `MOST_AGE` after it left,
 #: but said to be "not run", which its sender may rely on for as long as it waits.
-CLOSED_MEMORY = 5.0
+HISTORY_TTL = 5.0
 
 
 @dataclass(slots=True)
-class _Carried:
+class _ActiveQuestion:
     """A question in progress and the means to end it or hand it over."""
 
     scope: trio.CancelScope
@@ -104,11 +104,11 @@
         self._gather = gather
         self._usual_high = usual_high
         self._events = events
-        self._carried: dict[QuestionKey, _Carried] = {}
+        self._active: dict[QuestionKey, _ActiveQuestion] = {}
         #: When questions were cancelled or ended, for messages that may yet come.
-        self._closed: dict[QuestionKey, float] = {}
+        self._closed_at: dict[QuestionKey, float] = {}
         #: When questions came, by what tells them from all others, whoever sent them.
-        self._begun: dict[tuple[str, str], float] = {}
+        self._begun_at: dict[tuple[str, str], float] = {}
         self._nursery: trio.Nursery | None = None
         self._stopping = False
         links.on_work(DelegatedQuestion, self._on_question)
@@ -126,7 +126,7 @@
     @property
     def carrying(self) -> int:
         """Questions of other instances that are in progress here."""
-        return len(self._carried)
+        return len(self._active)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Carry questions until cancelled."""
@@ -138,33 +138,33 @@
         assert isinstance(message, DelegatedQuestion)
         key = (sender, message.id)
         copy = (message.id, message.request)
-        known = copy in self._begun or key in self._closed or key in self._carried
+        known = copy in self._begun_at or key in self._closed_at or key in self._active
         if self._nursery is None or known:
             # Cancelled before it came, or come once more: its sender has its answer,
             # or gets it. "Not run", as of a late one, would be untrue: 3 of 300
             # questions ran on more leafs than allowed where one in seven came twice.
             return
         if self._stopping:
-            self._turn_down(sender, message, Reason.STOPPING, "the instance stops")
+            self._reject(sender, message, Reason.STOPPING, "the instance stops")
             return
         if age > MOST_AGE:
-            self._turn_down_stale(sender, message, age)
+            self._reject_stale(sender, message, age)
             return
         if self._quarantines.is_kept(message, self._origins):
             detail = "leafs end when they run this request"
-            self._turn_down(sender, message, Reason.QUARANTINED, detail)
+            self._reject(sender, message, Reason.QUARANTINED, detail)
             return
         high = self._usual_high(message.kind)
         self._links.send(sender, DelegatedTaken(message.id, high))
         scope = trio.CancelScope(deadline=trio.current_time() + HOLD_TIME)
         send = partial(self._links.send, sender)
         handover = Handover(message.id, message.services, send)
-        self._carried[key] = carried = _Carried(scope, handover)
-        _remember(self._begun, copy, self._clock.monotonic())
-        late = max(0.0, age - USUAL_AGE)
-        self._nursery.start_soon(self._carry, sender, message, late, carried)
+        self._active[key] = active = _ActiveQuestion(scope, handover)
+        _record_time(self._begun_at, copy, self._clock.monotonic())
+        late = max(0.0, age - USUAL_TRANSIT_TIME)
+        self._nursery.start_soon(self._gather_question, sender, message, late, active)
 
-    def _turn_down(
+    def _reject(
         self, sender: str, message: DelegatedQuestion, reason: Reason, detail: str
     ) -> None:
         """Don't begin a question, and say so."""
@@ -172,7 +172,7 @@
         failure = RoutedFailure(NotRun(reason, detail), missing=missing)
         self._links.send(sender, encode_outcome(message.id, Failure(failure)))
 
-    def _turn_down_stale(
+    def _reject_stale(
         self, sender: str, message: DelegatedQuestion, age: float
     ) -> None:
         """Don't begin a question that is old, or may be, and say so.
@@ -181,7 +181,7 @@
         by which the age of its next question is known.
         """
         detail = "the question was on its way for too long"
-        self._turn_down(sender, message, Reason.UNREACHABLE, detail)
+        self._reject(sender, message, Reason.UNREACHABLE, detail)
         waited = None if age == float("inf") else round(age * 1000)
         self._events.emit(
             Events.QUESTION_STALE,
@@ -193,44 +193,44 @@
     def _on_cancel(self, sender: str, message: Message) -> None:
         assert isinstance(message, DelegatedCancel)
         key = (sender, message.id)
-        carried = self._carried.get(key)
-        if carried is not None:
-            carried.cancelled = True
-            carried.scope.cancel()
+        active = self._active.get(key)
+        if active is not None:
+            active.cancelled = True
+            active.scope.cancel()
         self._remember_closed(key)
         if message.unheard:
             # The connection by which this instance answers may have gone silent.
             self._links.renew(sender)
 
     def _remember_closed(self, key: QuestionKey) -> None:
-        _remember(self._closed, key, self._clock.monotonic())
+        _record_time(self._closed_at, key, self._clock.monotonic())
 
     def _on_renewal(self, sender: str, message: Message) -> None:
         assert isinstance(message, DelegatedRenewal)
-        carried = self._carried.get((sender, message.id))
-        if carried is not None:
-            carried.scope.deadline = trio.current_time() + HOLD_TIME
-            carried.handover.confirm()
+        active = self._active.get((sender, message.id))
+        if active is not None:
+            active.scope.deadline = trio.current_time() + HOLD_TIME
+            active.handover.confirm()
 
-    async def _carry(
+    async def _gather_question(
         self,
         sender: str,
         message: DelegatedQuestion,
         late: float,
-        carried: _Carried,
+        active: _ActiveQuestion,
     ) -> None:
         """Gather one question of another instance and send what came of it."""
-        handover = carried.handover
+        handover = active.handover
         key = (sender, message.id)
         try:
-            with carried.scope:
+            with active.scope:
                 # A cancellation that came with the question is seen here, before
                 # anything is sent.
                 await trio.lowlevel.checkpoint()
                 now = self._clock.monotonic() - late
                 question = decode_question(message, now, self._origins)
                 outcome = await self._gather(question, message.top, handover)
-                if handover.done:
+                if handover.is_settled:
                     handover.end()
                 else:
                     unspent = question.lent.release() if question.lent else ()
@@ -238,14 +238,14 @@
                     answer = encode_outcome(message.id, outcome, bits)
                     self._links.send(sender, answer)
         except Exception as error:
-            self._note_fault(sender, message, error)
+            self._report_fault(sender, message, error)
         finally:
-            del self._carried[key]
+            del self._active[key]
             self._remember_closed(key)
-        if carried.scope.cancelled_caught and not carried.cancelled:
-            self._give_up(sender, message)
+        if active.scope.cancelled_caught and not active.cancelled:
+            self._report_abandoned(sender, message)
 
-    def _note_fault(
+    def _report_fault(
         self, sender: str, message: DelegatedQuestion, error: Exception
     ) -> None:
         """End one question by a fault of this program, and nothing else."""
@@ -254,7 +254,7 @@
         outcome: Outcome = Failure(RoutedFailure(verdict))
         self._links.send(sender, encode_outcome(message.id, outcome))
 
-    def _give_up(self, sender: str, message: DelegatedQuestion) -> None:
+    def _report_abandoned(self, sender: str, message: DelegatedQuestion) -> None:
         """Say that a question was given up, in case its sender lives after all."""
         self._events.emit(
             Events.QUESTION_ABANDONED, request=message.request, peer=sender
@@ -264,7 +264,7 @@
         self._links.send(sender, encode_outcome(message.id, outcome))
 
 
-def _remember(
+def _record_time(
     known: dict[tuple[str, str], float], key: tuple[str, str], now: float
 ) -> None:
     """Note that `key` was seen now, and forget what was seen long ago."""
@@ -272,6 +272,6 @@
     known[key] = now
     while known:
         first = next(iter(known))
-        if known[first] > now - CLOSED_MEMORY:
+        if known[first] > now - HISTORY_TTL:
             break
         del known[first]
--- a/walkcart/fanout/crashwatch.py
+++ b/walkcart/fanout/crashwatch.py
@@ -13,7 +13,7 @@
 
 #: Leafs that ended under a question, without an answer of any other, from which on it
 #: is sent to no more than one further leaf at a time. One alone is an ordinary loss.
-MOST_ENDED = 2
+ENDED_THRESHOLD = 2
 
 
 class CrashWatch:
@@ -25,26 +25,26 @@
     """
 
     def __init__(self, services: int, careful: bool = False) -> None:
-        self._several = services > 1
+        self._has_several_services = services > 1
         self._careful = careful
         #: The service whose leaf is asked by itself, while it is.
-        self._lone: str | None = None
+        self._sole_service: str | None = None
         self.ended = 0
         self.answered = False
         #: Whether a leaf ended that was asked by itself, or another instance knows that
         #: the question ends leafs.
-        self.is_over = False
+        self.is_stopped = False
 
     @property
-    def holds(self) -> bool:
+    def is_sequential(self) -> bool:
         """Whether leafs are asked one at a time, until one answers."""
         if self.answered:
             return False
-        many = self._several and self.ended >= MOST_ENDED
-        return self._careful or self.is_over or many
+        many = self._has_several_services and self.ended >= ENDED_THRESHOLD
+        return self._careful or self.is_stopped or many
 
     @property
-    def is_wary(self) -> bool:
+    def checks_liveness(self) -> bool:
         """Whether a leaf ended under the question, and none has answered since.
 
         A leaf is then seen to live before it is asked. Where many crash at the same
@@ -55,36 +55,36 @@
 
     def may_send(self, service: str) -> bool:
         """Return whether a leaf of a service may be asked now."""
-        if not self.holds:
+        if not self.is_sequential:
             return True
-        return not self.is_over and self._lone is None
+        return not self.is_stopped and self._sole_service is None
 
-    def note_sent(self, service: str) -> None:
+    def record_sent(self, service: str) -> None:
         """Note that a leaf of a service is asked."""
-        if self.holds:
-            self._lone = service
+        if self.is_sequential:
+            self._sole_service = service
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """Note that a leaf ran the question to its end and lives."""
         self.answered = True
-        self.is_over = False
+        self.is_stopped = False
 
-    def note_ended(self, service: str, count: int = 1) -> None:
+    def record_ended(self, service: str, count: int = 1) -> None:
         """Note that leafs of a service ended under the question."""
-        was_lone = self._lone == service
+        was_lone = self._sole_service == service
         self.ended += count
-        self._note_back(service)
+        self._clear_sole_service(service)
         if was_lone and not self.answered:
-            self.is_over = True
+            self.is_stopped = True
 
-    def note_failed(self, service: str) -> None:
+    def record_failed(self, service: str) -> None:
         """Note that an attempt ended otherwise, without an answer."""
-        self._note_back(service)
+        self._clear_sole_service(service)
 
-    def note_refused(self) -> None:
+    def record_refused(self) -> None:
         """Note that another instance knows that the question ends leafs."""
         if not self.answered:
-            self.is_over = True
+            self.is_stopped = True
 
     def count_strikes(self) -> int:
         """Return how many independent losses this try shows."""
@@ -92,10 +92,10 @@
             return 0
         if self._careful:
             return 1
-        if not self._several:
-            return min(self.ended, MOST_ENDED)
-        return 2 if self.is_over else 1
+        if not self._has_several_services:
+            return min(self.ended, ENDED_THRESHOLD)
+        return 2 if self.is_stopped else 1
 
-    def _note_back(self, service: str) -> None:
-        if self._lone == service:
-            self._lone = None
+    def _clear_sole_service(self, service: str) -> None:
+        if self._sole_service == service:
+            self._sole_service = None
--- a/walkcart/fanout/delegatedgroup.py
+++ b/walkcart/fanout/delegatedgroup.py
@@ -45,7 +45,7 @@
         most_attempts: leafs of each that may run the request.
         peer: the other instance.
         at: when it was asked, in seconds.
-        on_end: told when it ended, and when there is something to take.
+        on_update: told when it ended, and when there is something to take.
         loan: repeats that the other instance is lent; None without any.
     """
 
@@ -57,7 +57,7 @@
         most_attempts: int,
         peer: str,
         at: float,
-        on_end: Callable[[], None],
+        on_update: Callable[[], None],
         loan: Loan | None = None,
     ) -> None:
         self.services = services
@@ -73,18 +73,18 @@
         self.scope = trio.CancelScope()
         self.changed = trio.Event()
         #: What was gathered when the other instance left the late parts to this one.
-        self.handed: MergedAnswer | None = None
+        self.handed_over: MergedAnswer | None = None
         #: Late parts that came since, by service, until they are taken.
         self.parts: deque[tuple[str, MergedAnswer]] = deque()
-        self.is_handed_taken = False
+        self.is_handover_processed = False
         self.most_attempts = most_attempts
-        self._on_end = on_end
+        self._on_update = on_update
         self._loan = loan
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether there is anything to take."""
-        handed = self.handed is not None and not self.is_handed_taken
+        handed = self.handed_over is not None and not self.is_handover_processed
         return handed or bool(self.parts) or self.ended
 
     @property
@@ -95,7 +95,7 @@
     @property
     def is_begun(self) -> bool:
         """Whether the other instance asked leafs, or said that it would."""
-        if self.handed is not None:
+        if self.handed_over is not None:
             return True
         match self.outcome:
             case None:
@@ -117,8 +117,8 @@
 
     def missing(self) -> dict[str, MissingPart]:
         """Return the services whose parts didn't come, by name."""
-        if self.handed is not None:
-            return {part.service: part for part in self.handed.missing}
+        if self.handed_over is not None:
+            return {part.service: part for part in self.handed_over.missing}
         match self.outcome:
             case None:
                 # It may be at work with all attempts that are allowed; one that
@@ -144,20 +144,20 @@
         """Nobody waits for it any longer."""
         self.scope.cancel()
 
-    def note(self) -> None:
+    def wake(self) -> None:
         """Wake what waits for news of it."""
         self.changed.set()
         self.changed = trio.Event()
 
     def hand_over(self, answer: MergedAnswer) -> None:
         """Note what was gathered; the rest is late."""
-        self.handed = answer
-        self._on_end()
+        self.handed_over = answer
+        self._on_update()
 
     def add_part(self, service: str, part: MergedAnswer) -> None:
         """Note a late part."""
         self.parts.append((service, part))
-        self._on_end()
+        self._on_update()
 
     def return_unspent(self, bits: int) -> None:
         """Take back the repeats that the other instance says it won't send."""
@@ -174,4 +174,4 @@
             if not self.taken and self.most_attempts > 1:
                 self._loan.return_unspent(self.services)
             self._loan.end()
-        self._on_end()
+        self._on_update()
--- a/walkcart/fanout/delegates.py
+++ b/walkcart/fanout/delegates.py
@@ -17,12 +17,12 @@
 from returns.result import Failure, Success
 
 from walkcart.fanout.delegatedgroup import DelegatedGroup, Loan, Outcome
-from walkcart.fanout.delegatetools import DelegateTools, take_in_messages
+from walkcart.fanout.delegatetools import DelegateTools, receive_pending_messages
 from walkcart.fanout.delegationcodec import (
     Delegation,
     decode_missing,
     encode_question,
-    read_reason,
+    parse_reason,
 )
 from walkcart.fanout.gatherers import Gatherers
 from walkcart.fanout.groups import Group
@@ -47,17 +47,17 @@
 
 #: Seconds past the objective for which the answer of an instance that was heard of
 #: since is waited for.
-OVERDUE_TIME = 0.05
+OVERDUE_GRACE = 0.05
 
 #: Seconds between two renewals of a question that takes long: three go within
 #: `walkcart.fanout.carrying.HOLD_TIME`, so that a lost or late one does no harm.
 RENEWAL_INTERVAL = 0.12
 
 #: Seconds between two looks at whether those links are up.
-GREETING_INTERVAL = 1.0
+LINK_CHECK_INTERVAL = 1.0
 #: Seconds for which a question waits for a link to come up before it goes elsewhere:
 #: two round trips between the users' farthest regions.
-LINK_PATIENCE = 0.05
+LINK_TIMEOUT = 0.05
 
 
 class Delegates:
@@ -89,7 +89,7 @@
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             while True:
-                await trio.sleep(GREETING_INTERVAL)
+                await trio.sleep(LINK_CHECK_INTERVAL)
                 self.open_links()
 
     def can_ask(self, wanted: Group, without: frozenset[str]) -> bool:
@@ -101,7 +101,7 @@
         question: RoutedQuestion,
         wanted: Group,
         top: int,
-        on_end: Callable[[], None],
+        on_update: Callable[[], None],
         without: frozenset[str] = frozenset(),
         loan: Loan | None = None,
     ) -> DelegatedGroup | None:
@@ -111,7 +111,7 @@
             question: what to ask.
             wanted: the services to gather, and where.
             top: records of the merged reply at the most.
-            on_end: told when the group ended.
+            on_update: told when the group ended.
             without: names of instances that aren't asked.
             loan: repeats that it may send of this instance's budget.
         """
@@ -128,7 +128,7 @@
             question.most_attempts,
             peer.name,
             now,
-            on_end,
+            on_update,
             loan,
         )
         id = self._tools.ids.take()
@@ -156,7 +156,7 @@
             with group.scope:
                 outcome = await self._wait(message, group, question)
                 if outcome is None:
-                    self._note_lost(group, question)
+                    self._record_lost(group, question)
         except Exception as error:
             note_task_fault(self._tools.events, f"group at {group.peer}", error)
         finally:
@@ -164,10 +164,12 @@
             self._outcomes.pop(id, None)
             self._tools.accounts.note_ended(group.peer)
             if outcome is None:
-                self._take_back(message, group)
+                self._cancel_question(message, group)
             group.end(outcome)
 
-    def _take_back(self, message: DelegatedQuestion, group: DelegatedGroup) -> None:
+    def _cancel_question(
+        self, message: DelegatedQuestion, group: DelegatedGroup
+    ) -> None:
         """Have the other instance stop, and make a new link if it seems silent.
 
         A question that still waits to be sent is not sent at all.
@@ -182,7 +184,7 @@
         if lost:
             links.renew(group.peer)
 
-    def _find_taken_due(
+    def _find_acceptance_deadline(
         self,
         message: DelegatedQuestion,
         group: DelegatedGroup,
@@ -190,7 +192,7 @@
     ) -> float:
         """Return until when the word that a question was taken is waited for."""
         if self._tools.links.is_waiting(group.peer, message):
-            return group.at + LINK_PATIENCE
+            return group.at + LINK_TIMEOUT
         until = question.objective_at
         if until <= group.at or until == float("inf"):
             until = question.deadline
@@ -211,25 +213,25 @@
             if group.taken and now >= renew_at:
                 self._tools.links.send(group.peer, DelegatedRenewal(id))
                 renew_at = now + RENEWAL_INTERVAL
-            if group.handed is not None:
+            if group.handed_over is not None:
                 due = question.deadline
             elif not group.taken:
-                due = self._find_taken_due(message, group, question)
+                due = self._find_acceptance_deadline(message, group, question)
             else:
                 due = question.deadline
-                if accounts.heard_at(group.peer) <= group.at + OVERDUE_TIME:
-                    due = min(due, question.objective_at + OVERDUE_TIME)
+                if accounts.heard_at(group.peer) <= group.at + OVERDUE_GRACE:
+                    due = min(due, question.objective_at + OVERDUE_GRACE)
             if now >= due:
                 return None
             changed = group.changed
             with trio.move_on_at(min(due, renew_at) if group.taken else due):
                 await changed.wait()
             if not group.taken:
-                await take_in_messages()
+                await receive_pending_messages()
         return self._outcomes[id]
 
-    def _note_lost(self, group: DelegatedGroup, question: RoutedQuestion) -> None:
-        if group.handed is not None:
+    def _record_lost(self, group: DelegatedGroup, question: RoutedQuestion) -> None:
+        if group.handed_over is not None:
             return
         now = self._tools.clock.monotonic()
         if now < question.deadline:
@@ -256,7 +258,7 @@
         if group.most_attempts > 1:
             # From now on it may use all of them: it isn't asked for from here any more.
             self._tools.links.send(sender, DelegatedRenewal(message.id))
-        group.note()
+        group.wake()
 
     def _on_answer(self, sender: str, message: Message) -> None:
         assert isinstance(message, DelegatedAnswer)
@@ -268,7 +270,7 @@
         if message.more:
             self._hand_over(sender, message.id, answer)
         else:
-            self._end(sender, message.id, Success(answer))
+            self._finish(sender, message.id, Success(answer))
 
     def _return_unspent(self, sender: str, id: str, bits: int) -> None:
         group = self._asked.get(id)
@@ -282,23 +284,23 @@
         now = self._tools.clock.monotonic()
         self._tools.accounts.note_answer(sender, now, now - group.at)
         group.hand_over(answer)
-        group.note()
+        group.wake()
 
     def _on_part(self, sender: str, message: Message) -> None:
         assert isinstance(message, DelegatedPart)
         group = self._asked.get(message.id)
-        if group is None or group.peer != sender or group.handed is None:
+        if group is None or group.peer != sender or group.handed_over is None:
             return
         if message.service in group.services:
             part = MergedAnswer(message.body, message.proofs, (), 0, 0)
             group.add_part(message.service, part)
         if message.last:
-            self._outcomes[message.id] = Success(group.handed)
-            group.note()
+            self._outcomes[message.id] = Success(group.handed_over)
+            group.wake()
 
     def _on_failure(self, sender: str, message: Message) -> None:
         assert isinstance(message, DelegatedFailure)
-        reason = read_reason(message.reason)
+        reason = parse_reason(message.reason)
         if reason is Reason.STOPPING:
             self._tools.accounts.note_silent(sender, self._tools.clock.monotonic())
         verdict: NotRun | MayHaveRun = MayHaveRun(reason, message.detail)
@@ -307,13 +309,13 @@
         self._return_unspent(sender, message.id, message.unspent)
         missing = decode_missing(message.missing)
         failure = RoutedFailure(verdict, sent=message.sent, missing=missing)
-        self._end(sender, message.id, Failure(failure))
+        self._finish(sender, message.id, Failure(failure))
 
-    def _end(self, sender: str, id: str, outcome: Outcome) -> None:
+    def _finish(self, sender: str, id: str, outcome: Outcome) -> None:
         group = self._asked.get(id)
         if group is None or group.peer != sender:
             return
         now = self._tools.clock.monotonic()
         self._tools.accounts.note_answer(sender, now, now - group.at)
         self._outcomes[id] = outcome
-        group.note()
+        group.wake()
--- a/walkcart/fanout/delegatetools.py
+++ b/walkcart/fanout/delegatetools.py
@@ -17,7 +17,7 @@
 
 #: Messages that are taken in before an instance counts as silent: one each turn of the
 #: event loop, of which a busy one has some waiting.
-WAITING_MESSAGES = 4
+MAX_PENDING_MESSAGES = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
     gatherers: Gatherers
 
 
-async def take_in_messages() -> None:
+async def receive_pending_messages() -> None:
     """Let the links' task take in what has come while the event loop was busy."""
-    for _ in range(WAITING_MESSAGES):
+    for _ in range(MAX_PENDING_MESSAGES):
         await trio.lowlevel.checkpoint()
--- a/walkcart/fanout/delegationcodec.py
+++ b/walkcart/fanout/delegationcodec.py
@@ -38,14 +38,14 @@
         id: names it between the two instances.
         services: that the other one gathers.
         top: records of the merged reply at the most.
-        way: seconds to the other one and back.
+        round_trip: seconds to the other one and back.
         lent: services for which a repeat is lent.
     """
 
     id: str
     services: tuple[str, ...]
     top: int
-    way: float
+    round_trip: float
     lent: frozenset[str] = frozenset()
 
 
@@ -54,7 +54,7 @@
 ) -> DelegatedQuestion:
     """Return the message that has another instance gather parts of a question."""
     services = delegation.services
-    spent = now + delegation.way
+    spent = now + delegation.round_trip
     return DelegatedQuestion(
         id=delegation.id,
         request=question.id,
@@ -65,7 +65,7 @@
         body=question.request.body,
         services=services,
         top=delegation.top,
-        least_coverage=find_least_part(question, len(services)),
+        least_coverage=find_group_coverage(question, len(services)),
         most_attempts=question.most_attempts,
         remaining=max(0.0, question.deadline - spent),
         objective=min(NEVER, max(0.0, question.objective_at - spent)),
@@ -96,7 +96,7 @@
     return ANYWHERE if names is None else Regions(frozenset(names))
 
 
-def read_request(message: DelegatedQuestion) -> HttpRequest:
+def extract_request(message: DelegatedQuestion) -> HttpRequest:
     """Return the request that leafs get."""
     return HttpRequest(message.method, message.target, message.headers, message.body)
 
@@ -111,7 +111,7 @@
         now: the present, in seconds.
         origins: tells whose request it is, by the configuration in force here.
     """
-    request = read_request(message)
+    request = extract_request(message)
     team = origins.find_team(request)
     return RoutedQuestion(
         id=message.request,
@@ -123,7 +123,7 @@
         least_coverage=message.least_coverage,
         most_attempts=message.most_attempts,
         whole_parts=True,
-        first_only=message.most_attempts > 1,
+        await_confirmation=message.most_attempts > 1,
         settle_at=now + message.settle if message.settle < NEVER else float("inf"),
         granted=message.granted,
         traceparent=message.traceparent,
@@ -197,12 +197,12 @@
 def decode_missing(missing: tuple[DelegatedMissing, ...]) -> tuple[MissingPart, ...]:
     """Return the missing parts that a message tells of."""
     return tuple(
-        MissingPart(part.service, read_reason(part.reason), part.ran, part.may_repeat)
+        MissingPart(part.service, parse_reason(part.reason), part.ran, part.may_repeat)
         for part in missing
     )
 
 
-def read_reason(text: str) -> Reason:
+def parse_reason(text: str) -> Reason:
     """Return the reason that a text names; a later version may know others."""
     try:
         return Reason(text)
@@ -210,7 +210,7 @@
         return Reason.INTERNAL
 
 
-def find_least_part(question: RoutedQuestion, count: int) -> float:
+def find_group_coverage(question: RoutedQuestion, count: int) -> float:
     """Return the share of a group that must be in if all other parts are.
 
     Args:
@@ -222,7 +222,7 @@
         >>> request = HttpRequest("GET", "/")
         >>> names = tuple("abcdefghij")
         >>> question = RoutedQuestion("q", "k", request, names, 1.0, least_coverage=0.8)
-        >>> find_least_part(question, 4)
+        >>> find_group_coverage(question, 4)
         0.5
     """
     total = len(question.services)
--- a/walkcart/fanout/duetimes.py
+++ b/walkcart/fanout/duetimes.py
@@ -47,22 +47,22 @@
 
     def hedge_at(self, item: ServiceTry) -> float:
         """Return when a second attempt beside one that is late may be sent."""
-        return _NEVER if self._watch.holds else self._sends.hedge_at(item)
+        return _NEVER if self._watch.is_sequential else self._sends.hedge_at(item)
 
     def find_next(
         self,
         tries: Iterable[ServiceTry],
         answerable: bool,
-        last_call: float,
-        late_due: float,
+        last_repeat_at: float,
+        late_parts_at: float,
     ) -> float:
         """Return when anything is due.
 
         Args:
             tries: how far the question has come, by service.
             answerable: whether what is in would do for an answer.
-            last_call: when a repeat must be sent to come within the objective.
-            late_due: when late parts are asked for together.
+            last_repeat_at: when a repeat must be sent to come within the objective.
+            late_parts_at: when late parts are asked for together.
         """
         open_tries = [item for item in tries if not item.covered]
         due = self._question.deadline
@@ -71,8 +71,8 @@
         for item in open_tries:
             due = min(due, self.attempt_at(item), self.hedge_at(item))
         now = self._clock.monotonic()
-        if now < last_call and any(item.held_back for item in open_tries):
-            due = min(due, last_call)
+        if now < last_repeat_at and any(item.held_back for item in open_tries):
+            due = min(due, last_repeat_at)
         if now < self._question.settle_at:
             return min(due, self._question.settle_at)
-        return min(due, late_due) if late_due > now else due
+        return min(due, late_parts_at) if late_parts_at > now else due
--- a/walkcart/fanout/elsewhere.py
+++ b/walkcart/fanout/elsewhere.py
@@ -27,7 +27,7 @@
 
 #: Times that a group of one question is given to another instance after one didn't take
 #: it: twice for each of the six groups that the users' largest questions make.
-MOST_DETOURS = 12
+MAX_REROUTES = 12
 
 
 class GatheredElsewhere:
@@ -62,17 +62,17 @@
         self._wake = wake
         self._groups: list[DelegatedGroup] = []
         self._merged: list[MergedAnswer] = []
-        self._detours = 0
+        self._reroutes = 0
         #: Names of the instances that didn't take a group.
-        self._lost: set[str] = set()
+        self._unresponsive: set[str] = set()
         self._late: LateParts | None = None
         if top and question.settle_at < float("inf"):
             self._late = LateParts(tools, question, top, sends, wake)
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether there is something to take."""
-        return any(group.has_news for group in self._groups)
+        return any(group.has_updates for group in self._groups)
 
     def merged(self) -> tuple[MergedAnswer, ...]:
         """Return what was gathered."""
@@ -97,17 +97,17 @@
                 self._tools, self._question, group, self._top, self._wake
             )
             if asked is not None:
-                self._note_asked(asked)
+                self._add_group(asked)
                 far.update(asked.services)
         return far
 
-    def _note_asked(self, group: DelegatedGroup) -> None:
+    def _add_group(self, group: DelegatedGroup) -> None:
         self._groups.append(group)
         for name in group.services:
             self._tries[name].delegated = True
             self._tries[name].places.add(group.place)
 
-    def late_due_at(self, busy: bool) -> float:
+    def late_parts_at(self, busy: bool) -> float:
         """Return when late parts are asked for together; infinite when they aren't.
 
         Args:
@@ -116,12 +116,12 @@
         if self._late is None:
             return float("inf")
         pending = any(
-            group.handed is None and not self._late.is_late(group)
+            group.handed_over is None and not self._late.is_late(group)
             for group in self._groups
         )
         return self._late.due_at(pending, busy)
 
-    def ask_late(self, now: float) -> None:
+    def request_late_parts(self, now: float) -> None:
         """Ask for late parts together."""
         if self._late is not None:
             self._groups += self._late.ask(self._tries.values(), now)
@@ -131,110 +131,110 @@
         for group in self._groups:
             group.cancel()
 
-    def take_in(self) -> int:
+    def process_updates(self) -> int:
         """Take what other instances sent; return how many services it covered."""
-        if not self.has_news:
+        if not self.has_updates:
             return 0
         before = sum(item.covered for item in self._tries.values())
-        for group in [group for group in self._groups if group.has_news]:
-            self._take_news(group)
+        for group in [group for group in self._groups if group.has_updates]:
+            self._process_group_updates(group)
         return sum(item.covered for item in self._tries.values()) - before
 
-    def _take_news(self, group: DelegatedGroup) -> None:
-        if group.handed is not None and not group.is_handed_taken:
-            group.is_handed_taken = True
-            self._take_group(group)
+    def _process_group_updates(self, group: DelegatedGroup) -> None:
+        if group.handed_over is not None and not group.is_handover_processed:
+            group.is_handover_processed = True
+            self._process_result(group)
         while group.parts:
             service, part = group.parts.popleft()
-            self._take_part(self._tries[service], part)
+            self._process_late_part(self._tries[service], part)
         if not group.ended:
             return
         self._groups.remove(group)
-        if group.handed is None:
-            self._take_group(group)
+        if group.handed_over is None:
+            self._process_result(group)
         for name in group.services:
-            self._end_waiting(self._tries[name])
+            self._retry_awaited(self._tries[name])
 
-    def _end_waiting(self, item: ServiceTry) -> None:
+    def _retry_awaited(self, item: ServiceTry) -> None:
         """Ask once more for a part that another instance waited for in vain."""
         was_awaited, item.awaited = item.awaited, False
         if not was_awaited or item.open or item.covered or self._late is None:
             return
         if item.regrouped or item.may_run >= self._question.most_attempts:
             return
-        item.left = self._sends.take_repeat(item, self._tools.clock.monotonic())
+        item.deferred = self._sends.take_repeat(item, self._tools.clock.monotonic())
 
-    def _take_part(self, item: ServiceTry, part: MergedAnswer) -> None:
+    def _process_late_part(self, item: ServiceTry, part: MergedAnswer) -> None:
         """Take a part that came after the other instance had handed over."""
-        self._watch.note_answer()
+        self._watch.record_answer()
         if item.covered:
             self._tools.metrics.count("leaf.late")
         else:
             item.part = part
 
-    def _take_group(self, group: DelegatedGroup) -> None:
+    def _process_result(self, group: DelegatedGroup) -> None:
         """Take what another instance gathered; ask here for what it didn't."""
         now = self._tools.clock.monotonic()
         missing = group.missing()
-        if group.handed is not None:
-            self._merged.append(group.handed)
+        if group.handed_over is not None:
+            self._merged.append(group.handed_over)
         elif group.outcome is not None and is_successful(group.outcome):
             self._merged.append(group.outcome.unwrap())
-        self._watch_group(group, missing)
+        self._record_leaf_outcomes(group, missing)
         for name in group.services:
             item = self._tries[name]
             item.delegated = False
             part = missing.get(name)
             if part is None:
-                self._take_gathered(item)
+                self._mark_gathered(item)
                 continue
             item.reason = part.reason
             item.ran += part.ran
             item.arrived += part.ran
-            item.awaited |= group.handed is not None and part.ran > 0
-            item.left = part.may_repeat and self._late is not None
-        self._ask_missing(group, [self._tries[name] for name in missing], now)
+            item.awaited |= group.handed_over is not None and part.ran > 0
+            item.deferred = part.may_repeat and self._late is not None
+        self._reassign_missing(group, [self._tries[name] for name in missing], now)
 
-    def _watch_group(
+    def _record_leaf_outcomes(
         self, group: DelegatedGroup, missing: Mapping[str, MissingPart]
     ) -> None:
         """Note how leafs fared under a group."""
         if len(missing) < len(group.services):
-            self._watch.note_answer()
+            self._watch.record_answer()
         for name, part in missing.items():
             if part.reason is Reason.LEAF_ENDED:
                 self._tries[name].ended += part.ran
-                self._watch.note_ended(name, part.ran)
+                self._watch.record_ended(name, part.ran)
         if group.reason in (Reason.LEAF_ENDED, Reason.QUARANTINED):
-            self._watch.note_refused()
+            self._watch.record_refused()
 
-    def _ask_missing(
+    def _reassign_missing(
         self, group: DelegatedGroup, missing: list[ServiceTry], now: float
     ) -> None:
         """Ask for what an instance didn't gather: of another one, or from here."""
-        waiting = [item for item in missing if not (item.left or item.awaited)]
+        waiting = [item for item in missing if not (item.deferred or item.awaited)]
         if group.reason is Reason.NO_ROOM:
             # The leafs are those that another instance would ask.
             for item in waiting:
                 item.given_up = True
             return
-        held = group.is_begun or self._watch.holds
-        if held or not self._may_ask_another(waiting, now):
+        held = group.is_begun or self._watch.is_sequential
+        if held or not self._may_reroute(waiting, now):
             others = waiting
         else:
-            self._lost.add(group.peer)
-            others = self._ask_another(group, waiting, now)
+            self._unresponsive.add(group.peer)
+            others = self._reroute(group, waiting, now)
         for item in others:
             self._sends.plan(item, now)
 
-    def _may_ask_another(self, waiting: list[ServiceTry], now: float) -> bool:
+    def _may_reroute(self, waiting: list[ServiceTry], now: float) -> bool:
         """Return whether what an instance didn't take may go to another one."""
         few = len(waiting) < LEAST_GROUP
-        if few or self._detours >= MOST_DETOURS or now >= self._question.deadline:
+        if few or self._reroutes >= MAX_REROUTES or now >= self._question.deadline:
             return False
         return all(item.may_run < self._question.most_attempts for item in waiting)
 
-    def _ask_another(
+    def _reroute(
         self, group: DelegatedGroup, waiting: list[ServiceTry], now: float
     ) -> list[ServiceTry]:
         """Have another instance gather what one didn't take; return what none does.
@@ -257,7 +257,7 @@
         left = {item.service: item for item in waiting}
         for other in self._regroup(group, waiting):
             items = [left.pop(name) for name in other.services]
-            left |= self._hand_on(question, other, items, group, late, now)
+            left |= self._delegate_group(question, other, items, group, late, now)
         return list(left.values())
 
     def _regroup(self, group: DelegatedGroup, waiting: list[ServiceTry]) -> list[Group]:
@@ -277,7 +277,7 @@
         tools = self._tools
         return divide_services(services, find_places, tools.place, tools.random, False)
 
-    def _hand_on(
+    def _delegate_group(
         self,
         question: RoutedQuestion,
         other: Group,
@@ -288,7 +288,7 @@
     ) -> dict[str, ServiceTry]:
         """Have an instance gather a part of a lost group; return what it doesn't."""
         delegates = self._tools.delegates
-        lost = frozenset(self._lost)
+        lost = frozenset(self._unresponsive)
         if delegates is None or not delegates.can_ask(other, lost):
             return {item.service: item for item in items}
         if group.may_have_arrived:
@@ -304,13 +304,13 @@
             for item in items:
                 self._sends.send_elsewhere(item, now)
             return {}
-        self._detours += 1
+        self._reroutes += 1
         if late and self._late is not None:
-            self._late.note_asked(asked)
-        self._note_asked(asked)
+            self._late.add_group(asked)
+        self._add_group(asked)
         return {}
 
-    def _take_gathered(self, item: ServiceTry) -> None:
+    def _mark_gathered(self, item: ServiceTry) -> None:
         """Take a part that another instance gathered; one of this instance gives way.
 
         The merged records can't be told apart any more, so that one can't.
--- a/walkcart/fanout/gatherer.py
+++ b/walkcart/fanout/gatherer.py
@@ -23,7 +23,7 @@
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: When to come back after every leaf that was asked refused.
-COME_BACK = timedelta(seconds=1)
+DEFAULT_RETRY_AFTER = timedelta(seconds=1)
 
 
 class Gatherer:
@@ -71,9 +71,9 @@
             newer, layout = self.choose(question)
             if newer != pin:
                 moved = gathering.move(layout, newer)
-                answer = _take_better(answer, await moved.run())
-        self._check(answer)
-        return _judge(question, answer)
+                answer = _choose_better(answer, await moved.run())
+        self._check_invariants(answer)
+        return _make_result(question, answer)
 
     def choose(self, question: Question) -> tuple[Snapshot, ResolvedLayout]:
         """Return the snapshot and layout that a question would use now."""
@@ -87,7 +87,7 @@
         usual = self._tools.gateway.delay_of(question.group).median(now)
         return question.deadline - now > usual
 
-    def _check(self, answer: Answer) -> None:
+    def _check_invariants(self, answer: Answer) -> None:
         """Assert the promises that every answer must keep."""
         check = self._tools.invariants.check
         shards = [shard for shard, _ in answer.replies]
@@ -99,14 +99,16 @@
         check(total == coverage.asked, "every shard is answered or missing")
 
 
-def _take_better(first: Answer, second: Answer) -> Answer:
+def _choose_better(first: Answer, second: Answer) -> Answer:
     """Return the answer that covers more; of equals the newer."""
     chosen = second if second.coverage.share >= first.coverage.share else first
     ran = first.may_have_run or second.may_have_run
     return replace(chosen, sent=first.sent + second.sent, may_have_run=ran)
 
 
-def _judge(question: Question, answer: Answer) -> Result[Answer, NotRun | MayHaveRun]:
+def _make_result(
+    question: Question, answer: Answer
+) -> Result[Answer, NotRun | MayHaveRun]:
     """Return the answer if it covers enough."""
     coverage = answer.coverage
     if coverage.answered and coverage.share >= question.least_coverage - 1e-9:
@@ -119,4 +121,4 @@
     # Asking again does no harm, but where a leaf ran it "not run" would be untrue.
     if answer.may_have_run:
         return Failure(MayHaveRun(Reason.COVERAGE, detail))
-    return Failure(NotRun(Reason.COVERAGE, detail, COME_BACK))
+    return Failure(NotRun(Reason.COVERAGE, detail, DEFAULT_RETRY_AFTER))
--- a/walkcart/fanout/gathering.py
+++ b/walkcart/fanout/gathering.py
@@ -45,10 +45,10 @@
 from walkcart.routing.hedging import may_hedge
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-MOST_TRIES = 5
+MAX_TRIES = 5
 #: Hedges of one shard at the most. One leaves a tail where stalls are random: a
 #: hedge stalls as often as a first try does.
-HEDGE_ROUNDS = 3
+MAX_HEDGE_ROUNDS = 3
 FIRST_RETRY_DELAY = 0.01
 #: Time kept back from the deadline to put the reply together, in seconds.
 REPLY_TIME = 0.005
@@ -94,7 +94,7 @@
         self._progress = [
             ShardProgress(shard, leaves) for shard, leaves in enumerate(layout.shards)
         ]
-        self._others: dict[Snapshot, dict[int, Replied]] = {}
+        self._other_snapshots: dict[Snapshot, dict[int, Replied]] = {}
         self._open = len(self._progress)
         self._sent = 0
         self._may_have_run = False
@@ -125,7 +125,7 @@
             self._retries,
             self._watch,
         )
-        kept = dict(self._others.get(pin, {}))
+        kept = dict(self._other_snapshots.get(pin, {}))
         if pin.layout == layout.epoch == self._pin.layout:
             for shard, reply in kept.items():
                 moved._progress[shard].reply = reply
@@ -149,16 +149,16 @@
         for item in self._progress:
             if item.reply is not None:
                 continue
-            if self._watch.holds:
+            if self._watch.is_sequential:
                 item.retry_at = start
             else:
                 self._send_first(item, start)
         try:
-            self._act()
+            self._send_due()
             while self._open and not self._is_enough():
                 await self._wait()
-                self._take_in()
-                self._act()
+                self._process_inbox()
+                self._send_due()
         finally:
             self._closed = True
             self._cancel_rest()
@@ -167,7 +167,7 @@
     def _is_enough(self) -> bool:
         """Return whether waiting for more isn't wanted."""
         now = self._tools.clock.monotonic()
-        if now >= self._deadline or self._watch.is_over:
+        if now >= self._deadline or self._watch.is_stopped:
             return True
         if now < self._partial_at:
             return False
@@ -178,7 +178,7 @@
     async def _wait(self) -> None:
         """Wait for an outcome or for the next time at which something is due."""
         due = min(self._deadline, self._next_retry())
-        if not self._watch.holds:
+        if not self._watch.is_sequential:
             due = min(due, self._hedge_at)
         if self._tools.clock.monotonic() < self._partial_at:
             due = min(due, self._partial_at)
@@ -203,7 +203,7 @@
         self._inbox.append((attempt, outcome))
         self._wakeup.set()
 
-    def _take_in(self) -> None:
+    def _process_inbox(self) -> None:
         while self._inbox:
             attempt, outcome = self._inbox.popleft()
             item = self._progress[attempt.shard]
@@ -211,16 +211,18 @@
             if sent is None or item.reply is not None:
                 self._tools.metrics.count("leaf.late")
                 continue
-            self._take_outcome(item, sent, outcome)
+            self._process_outcome(item, sent, outcome)
 
-    def _take_outcome(self, item: ShardProgress, sent: Sent, outcome: Outcome) -> None:
+    def _process_outcome(
+        self, item: ShardProgress, sent: Sent, outcome: Outcome
+    ) -> None:
         match outcome:
             case Replied():
                 self._may_have_run = True
-                self._watch.note_answer()
-                self._take_reply(item, outcome)
+                self._watch.record_answer()
+                self._process_reply(item, outcome)
             case Refused(reason=reason):
-                self._watch.note_failed(str(item.shard))
+                self._watch.record_failed(str(item.shard))
                 if reason is Reason.VERSION_NOT_HELD:
                     item.lost_version.add(sent.leaf.address)
                 item.reason = reason
@@ -231,21 +233,21 @@
                 self._plan_retry(item, free=free)
             case Failed(verdict=verdict):
                 if verdict.reason is Reason.LEAF_ENDED:
-                    self._watch.note_ended(str(item.shard))
+                    self._watch.record_ended(str(item.shard))
                 else:
-                    self._watch.note_failed(str(item.shard))
+                    self._watch.record_failed(str(item.shard))
                 self._may_have_run |= isinstance(verdict, MayHaveRun)
                 item.reason = verdict.reason
                 self._plan_retry(item, free=isinstance(verdict, NotRun))
 
-    def _take_reply(self, item: ShardProgress, reply: Replied) -> None:
+    def _process_reply(self, item: ShardProgress, reply: Replied) -> None:
         if self._pin.version == ANY_VERSION and reply.snapshot.layout == (
             self._pin.layout
         ):
-            self._adopt(reply.snapshot)
+            self._adopt_pin(reply.snapshot)
         if not fits_pin(self._pin, reply.snapshot):
             # The leaf can't pin: its reply is of use only to another answer.
-            self._others.setdefault(reply.snapshot, {})[item.shard] = reply
+            self._other_snapshots.setdefault(reply.snapshot, {})[item.shard] = reply
             item.reason = Reason.OTHER_VERSION
             self._plan_retry(item, free=False)
             return
@@ -254,7 +256,7 @@
         self._open -= 1
         self._cancel_losers(item)
 
-    def _adopt(self, snapshot: Snapshot) -> None:
+    def _adopt_pin(self, snapshot: Snapshot) -> None:
         """Pin what the first reply states, when nothing was known before."""
         self._pin = snapshot
 
@@ -274,7 +276,7 @@
             if leaf.address not in item.tried and leaf.address not in item.lost_version
         ]
         now = self._tools.clock.monotonic()
-        if item.lacks_version or item.tries >= MOST_TRIES:
+        if item.lacks_version or item.tries >= MAX_TRIES:
             self._give_up(item)
         elif untried and (free or self._retries.take()):
             item.retry_at = now
@@ -287,16 +289,16 @@
         item.retry_at = None
         self._open -= 1
 
-    def _act(self) -> None:
+    def _send_due(self) -> None:
         """Send the retries and hedges that are due."""
         now = self._tools.clock.monotonic()
         for item in self._progress:
             due = item.retry_at is not None and item.retry_at <= now
             if due and self._watch.may_send(str(item.shard)):
                 self._send_retry(item, now)
-        if now >= self._hedge_at and not self._watch.holds:
+        if now >= self._hedge_at and not self._watch.is_sequential:
             self._rounds += 1
-            more = self._rounds < HEDGE_ROUNDS
+            more = self._rounds < MAX_HEDGE_ROUNDS
             self._hedge_at = now + self._hedge_delay if more else float("inf")
             self._hedge_late(now)
 
@@ -365,9 +367,9 @@
             body=self._question.body,
             traceparent=self._question.traceparent,
             fingerprint=self._fingerprint,
-            wary=self._watch.is_wary,
+            wary=self._watch.checks_liveness,
         )
-        self._watch.note_sent(str(item.shard))
+        self._watch.record_sent(str(item.shard))
         item.under_way[attempt.id] = Sent(leaf, now, hedge)
         item.tried.append(leaf.address)
         item.tries += 1
@@ -390,7 +392,7 @@
             item.shard: item.reply for item in self._progress if item.reply is not None
         }
         snapshot = self._pin
-        for other, found in sorted(self._others.items()):
+        for other, found in sorted(self._other_snapshots.items()):
             if len(found) > len(replies):
                 snapshot, replies = other, found
         self._tools.invariants.check(
--- a/walkcart/fanout/handover.py
+++ b/walkcart/fanout/handover.py
@@ -33,7 +33,7 @@
         self._send = send
         self._confirmed = False
         self._listener: Callable[[], object] = lambda: None
-        self.done = False
+        self.is_settled = False
 
     def confirm(self) -> None:
         """Note that who asked knows that the question was taken."""
@@ -54,7 +54,7 @@
             answer: says what is left to who asked.
             unspent: services whose lent repeats are returned.
         """
-        self.done = True
+        self.is_settled = True
         bits = encode_services(self._services, unspent)
         self._send(encode_answer(self._id, answer, more=True, unspent=bits))
 
--- a/walkcart/fanout/lateparts.py
+++ b/walkcart/fanout/lateparts.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 
 from walkcart.fanout.delegatedgroup import DelegatedGroup
-from walkcart.fanout.delegationcodec import find_least_part
+from walkcart.fanout.delegationcodec import find_group_coverage
 from walkcart.fanout.groups import MOST_SERVICES, divide_services
 from walkcart.fanout.repeatloans import submit_with_loan
 from walkcart.fanout.routedquestion import RoutedQuestion
@@ -66,7 +66,7 @@
         self._top = top
         self._sends = sends
         self._wake = wake
-        self._asked: list[DelegatedGroup] = []
+        self._groups: list[DelegatedGroup] = []
 
     def due_at(self, pending: bool, busy: bool) -> float:
         """Return when late parts are asked for.
@@ -79,13 +79,13 @@
             return self._question.settle_at + SETTLE_GRACE
         return self._question.settle_at if busy else float("-inf")
 
-    def note_asked(self, group: DelegatedGroup) -> None:
+    def add_group(self, group: DelegatedGroup) -> None:
         """Note that another instance was asked for what one of these didn't take."""
-        self._asked.append(group)
+        self._groups.append(group)
 
     def is_late(self, group: DelegatedGroup) -> bool:
         """Return whether a group was asked for here."""
-        return group in self._asked
+        return group in self._groups
 
     def ask(self, tries: Collection[ServiceTry], now: float) -> list[DelegatedGroup]:
         """Ask for what is late; return the groups that other instances gather."""
@@ -94,7 +94,7 @@
             return []
         places: dict[str, set[Place]] = {}
         for item in late:
-            item.left, item.regrouped = False, True
+            item.deferred, item.regrouped = False, True
             found = self._tools.pool.places_of(item.service)
             places[item.service] = set(found) - item.places - {self._tools.place}
         groups = self._submit(places, self._find_fair_coverage(tries))
@@ -105,8 +105,8 @@
             else:
                 self._sends.send_elsewhere(item, now)
         self._tools.metrics.count("leaf.regrouped", len(late))
-        self._note(late, groups)
-        self._asked += groups
+        self._log_request(late, groups)
+        self._groups += groups
         return groups
 
     def _choose(self, tries: Collection[ServiceTry], now: float) -> list[ServiceTry]:
@@ -116,25 +116,27 @@
             for item in tries
             if not (item.covered or item.regrouped or item.delegated)
         ]
-        left = [item for item in waiting if item.left]
+        left = [item for item in waiting if item.deferred]
         late = [
             item
             for item in waiting
-            if not item.left and now >= self._question.settle_at and self._is_one(item)
+            if not item.deferred
+            and now >= self._question.settle_at
+            and self._may_repeat(item)
         ]
         direct = sum(1 for item in tries if item.tried)
         if may_hedge(direct, len(late)):
             left += [item for item in late if self._sends.take_repeat(item, now)]
         return left
 
-    def _is_one(self, item: ServiceTry) -> bool:
+    def _may_repeat(self, item: ServiceTry) -> bool:
         """Return whether one attempt is under way and another is allowed."""
         return len(item.under_way) == 1 and item.may_run < self._question.most_attempts
 
     def _find_fair_coverage(self, tries: Collection[ServiceTry]) -> float:
         """Return the share of what isn't in that the answer can't do without."""
         open_count = sum(1 for item in tries if not item.covered)
-        return find_least_part(self._question, open_count)
+        return find_group_coverage(self._question, open_count)
 
     def _submit(
         self, places: dict[str, set[Place]], fair_coverage: float
@@ -157,7 +159,9 @@
         ]
         return [group for group in asked if group is not None]
 
-    def _note(self, late: list[ServiceTry], groups: list[DelegatedGroup]) -> None:
+    def _log_request(
+        self, late: list[ServiceTry], groups: list[DelegatedGroup]
+    ) -> None:
         self._tools.events.emit(
             Events.LATE_PARTS,
             request=self._question.id,
--- a/walkcart/fanout/lateturns.py
+++ b/walkcart/fanout/lateturns.py
@@ -14,7 +14,7 @@
 from walkcart.wire.verdicts import NotRun, Reason
 
 
-def find_late_turn(
+def check_queue_delay(
     tools: RoutedTools, question: RoutedQuestion, item: ServiceTry
 ) -> NotRun | None:
     """Return why a service's part can't come before the caller leaves; None if it can.
--- a/walkcart/fanout/leafchoice.py
+++ b/walkcart/fanout/leafchoice.py
@@ -37,18 +37,18 @@
         self._question = question
         self._objective = objective
 
-    def may_add(self, item: ServiceTry) -> bool:
+    def may_use_new_leaf(self, item: ServiceTry) -> bool:
         """Return whether a further leaf may get the question."""
         return not item.closed and item.may_run < self._question.most_attempts
 
-    def find_askable(self, item: ServiceTry) -> set[str]:
+    def find_repeatable(self, item: ServiceTry) -> set[str]:
         """Return the ids of leafs that may be asked once more for a lost answer.
 
         None are while another instance sees to the part.
         """
         if item.may_repeat or item.delegated or not self._question.idempotent:
             return set()
-        return {id for id in item.lost_at if item.tried.count(id) < MOST_TIMES}
+        return {id for id in item.lost_leaf_ids if item.tried.count(id) < MOST_TIMES}
 
     def choose(self, item: ServiceTry, now: float) -> Leaf | None:
         """Return the leaf for the next attempt, or None when none may get it.
@@ -57,9 +57,9 @@
             item: how far the question has come at the service.
             now: the present, in seconds.
         """
-        if not self.may_add(item):
+        if not self.may_use_new_leaf(item):
             leaves = {leaf.id for leaf in self._tools.pool.leaves_of(item.service)}
-            return self._choose(item, leaves - self.find_askable(item), now)
+            return self._choose(item, leaves - self.find_repeatable(item), now)
         leaf = self._choose(item, set(item.tried), now)
         if leaf is None and item.tried:
             leaf = self._choose(item, set(), now)
--- a/walkcart/fanout/lentrepeats.py
+++ b/walkcart/fanout/lentrepeats.py
@@ -21,22 +21,22 @@
         (True, False, False)
     """
 
-    __slots__ = ("_left",)
+    __slots__ = ("_remaining",)
 
     def __init__(self, services: Collection[str] = ()) -> None:
-        self._left = set(services)
+        self._remaining = set(services)
 
     def take(self, service: str) -> bool:
         """Take the repeat for a service; return False when there is none."""
-        if service not in self._left:
+        if service not in self._remaining:
             return False
-        self._left.remove(service)
+        self._remaining.remove(service)
         return True
 
     def release(self, without: Collection[str] = ()) -> frozenset[str]:
         """Give back what is left, but for some services; return what that is."""
-        released = frozenset(self._left.difference(without))
-        self._left -= released
+        released = frozenset(self._remaining.difference(without))
+        self._remaining -= released
         return released
 
 
--- a/walkcart/fanout/peerselection.py
+++ b/walkcart/fanout/peerselection.py
@@ -19,7 +19,7 @@
 #: that the links of an instance don't grow with the fleet.
 MOST_GREETED = 100
 #: Instances of a data centre among which a group's is chosen: one may be silent.
-CANDIDATES = 3
+MAX_CANDIDATES = 3
 
 
 class PeerSelection:
@@ -88,12 +88,12 @@
         # A group of 24 parts keeps a machine of half a core busy for 28 ms, one of 2.15
         # cores for 7 ms (worked out): a quarter of the shortest objective.
         parts = len(wanted.services) * PART_TIME
-        work = {name: parts / cores[name] for name in names[:CANDIDATES]}
+        work = {name: parts / cores[name] for name in names[:MAX_CANDIDATES]}
         now = tools.clock.monotonic()
-        for name in tools.accounts.find_unheard(names[:CANDIDATES], now):
+        for name in tools.accounts.find_unheard(names[:MAX_CANDIDATES], now):
             tools.links.renew(name)
             tools.links.send(name, Greeting(unheard=True))
-        name = tools.accounts.choose(names[:CANDIDATES], now, work)
+        name = tools.accounts.choose(names[:MAX_CANDIDATES], now, work)
         return tools.registration.find(name) if name else None
 
     def _find_connected(self, names: list[str]) -> list[str]:
--- a/walkcart/fanout/pinning.py
+++ b/walkcart/fanout/pinning.py
@@ -19,24 +19,26 @@
     def __init__(self, table: LeafTable, gateway: LeafGateway) -> None:
         self._table = table
         self._gateway = gateway
-        self._kept: dict[str, tuple[int, ResolvedLayout, Snapshot]] = {}
+        self._cache: dict[str, tuple[int, ResolvedLayout, Snapshot]] = {}
 
     def choose(self, resolved: ResolvedGroup) -> tuple[ResolvedLayout, Snapshot]:
         """Return the newest layout that is served whole, and its snapshot."""
         name = resolved.group.name
         version = self._table.version
-        kept = self._kept.get(name)
-        if kept and kept[0] == version and kept[1] in resolved.layouts:
-            return kept[1], kept[2]
-        layout, pin = self._choose_anew(resolved)
-        self._kept[name] = (version, layout, pin)
+        cached = self._cache.get(name)
+        if cached and cached[0] == version and cached[1] in resolved.layouts:
+            return cached[1], cached[2]
+        layout, pin = self._choose_uncached(resolved)
+        self._cache[name] = (version, layout, pin)
         return layout, pin
 
-    def _choose_anew(self, resolved: ResolvedGroup) -> tuple[ResolvedLayout, Snapshot]:
+    def _choose_uncached(
+        self, resolved: ResolvedGroup
+    ) -> tuple[ResolvedLayout, Snapshot]:
         """Choose; when no layout is served whole, the one with most shards served."""
         best: tuple[float, ResolvedLayout, Snapshot] | None = None
         for layout in resolved.layouts:
-            holdings = self._holdings(layout)
+            holdings = self._list_holdings(layout)
             version = choose_snapshot(holdings)
             if version is not None and covers_all(holdings, version):
                 return layout, Snapshot(layout.epoch, version)
@@ -47,7 +49,9 @@
         assert best is not None
         return best[1], best[2]
 
-    def _holdings(self, layout: ResolvedLayout) -> list[list[frozenset[int] | None]]:
+    def _list_holdings(
+        self, layout: ResolvedLayout
+    ) -> list[list[frozenset[int] | None]]:
         return [
             [leaf.held for leaf in leaves if self._gateway.may_use(leaf)]
             for leaves in layout.shards
--- a/walkcart/fanout/quarantines.py
+++ b/walkcart/fanout/quarantines.py
@@ -14,7 +14,7 @@
 import trio
 
 from walkcart.fanout.crashwatch import CrashWatch
-from walkcart.fanout.delegationcodec import read_request
+from walkcart.fanout.delegationcodec import extract_request
 from walkcart.fanout.origins import RequestOrigins
 from walkcart.kernel.clock import Clock
 from walkcart.kernel.eventlog import EventLog
@@ -30,9 +30,9 @@
 STRIKE_BYTES = 6
 #: Seconds for which a request waits while the same one is tried at a leaf. Most leafs
 #: answer within that; a caller that waits longer is better told to come back.
-TRIAL_PATIENCE = 0.25
+MAX_TRIAL_WAIT = 0.25
 #: When to come back then.
-TRIAL_TIME = timedelta(seconds=1)
+TRIAL_RETRY_AFTER = timedelta(seconds=1)
 
 #: Told the fingerprint of a request of which more is known than before.
 Listener = Callable[[bytes], None]
@@ -67,8 +67,8 @@
         self._events = events
         self._metrics = metrics
         self._trials: dict[bytes, trio.Event] = {}
-        self._tell: Listener = lambda fingerprint: None
-        self._keep: Listener = lambda fingerprint: None
+        self._notify: Listener = lambda fingerprint: None
+        self._store_refused: Listener = lambda fingerprint: None
 
     def follow(self, tell: Listener, keep: Listener) -> None:
         """Name who is told of what is noted here.
@@ -77,8 +77,8 @@
             tell: tells the other instances.
             keep: stores a request that is refused from now on.
         """
-        self._tell = tell
-        self._keep = keep
+        self._notify = tell
+        self._store_refused = keep
 
     def find_standing(self, fingerprint: bytes) -> Standing:
         """Return what a request may do."""
@@ -91,7 +91,7 @@
         """
         if not len(self._quarantine):
             return False
-        fingerprint = origins.fingerprint(read_request(question))
+        fingerprint = origins.fingerprint(extract_request(question))
         return self.find_standing(fingerprint) is not Standing.USUAL
 
     async def admit(self, fingerprint: bytes) -> Standing | NotRun:
@@ -103,7 +103,7 @@
         standing = self.find_standing(fingerprint)
         if standing is Standing.USUAL:
             return standing
-        with trio.move_on_after(TRIAL_PATIENCE):
+        with trio.move_on_after(MAX_TRIAL_WAIT):
             while standing is Standing.CAREFUL and fingerprint in self._trials:
                 await self._trials[fingerprint].wait()
                 standing = self.find_standing(fingerprint)
@@ -112,7 +112,7 @@
         if standing is Standing.CAREFUL:
             if fingerprint in self._trials:
                 detail = "the same request, under which leafs ended, is being tried"
-                return NotRun(Reason.QUARANTINED, detail, TRIAL_TIME)
+                return NotRun(Reason.QUARANTINED, detail, TRIAL_RETRY_AFTER)
             self._trials[fingerprint] = trio.Event()
         return standing
 
@@ -122,7 +122,7 @@
         now = self._clock.monotonic()
         wait = max(0.0, self._quarantine.find_wait(fingerprint, now))
         detail = "leafs end when they run this request"
-        retry_after = timedelta(seconds=wait) if wait else TRIAL_TIME
+        retry_after = timedelta(seconds=wait) if wait else TRIAL_RETRY_AFTER
         return NotRun(Reason.QUARANTINED, detail, retry_after)
 
     def note(self, fingerprint: bytes, watch: CrashWatch, careful: bool) -> None:
@@ -134,9 +134,9 @@
             careful: whether one leaf was to answer first.
         """
         if watch.answered:
-            self._note_answer(fingerprint)
+            self._record_answer(fingerprint)
         for _ in range(watch.count_strikes()):
-            self._note_strike(fingerprint)
+            self._record_strike(fingerprint)
         if careful and (trial := self._trials.pop(fingerprint, None)) is not None:
             trial.set()
 
@@ -144,20 +144,20 @@
         """Log what another instance told, where it changes what a request may do."""
         self._log_standing(fingerprint, "told")
 
-    def _note_answer(self, fingerprint: bytes) -> None:
+    def _record_answer(self, fingerprint: bytes) -> None:
         if self._quarantine.note_answer(fingerprint, self._clock.monotonic()):
             self._events.emit(Events.QUARANTINE_LIFTED, question=fingerprint.hex())
-            self._tell(fingerprint)
+            self._notify(fingerprint)
 
-    def _note_strike(self, fingerprint: bytes) -> None:
+    def _record_strike(self, fingerprint: bytes) -> None:
         name = make_fingerprint(self._instance, self._random.randbytes(STRIKE_BYTES))
         strike = int.from_bytes(name[:STRIKE_BYTES], "big")
         now = self._clock.monotonic()
         self._quarantine.note_strike(fingerprint, strike, now)
         self._log_standing(fingerprint, "seen")
-        self._tell(fingerprint)
+        self._notify(fingerprint)
         if self.find_standing(fingerprint) is Standing.REFUSED:
-            self._keep(fingerprint)
+            self._store_refused(fingerprint)
 
     def _log_standing(self, fingerprint: bytes, source: str) -> None:
         self._metrics.gauge("quarantine.entries", len(self._quarantine))
--- a/walkcart/fanout/repeatloans.py
+++ b/walkcart/fanout/repeatloans.py
@@ -36,25 +36,25 @@
     ) -> None:
         self._budget = budget
         self._clock = clock
-        self._left = set(services)
+        self._lent = set(services)
 
     @property
     def services(self) -> frozenset[str]:
         """The services for which a repeat is lent still."""
-        return frozenset(self._left)
+        return frozenset(self._lent)
 
     def return_unspent(self, services: Collection[str]) -> None:
         """Take back what surely wasn't spent and never will be."""
-        self._settle(services, spent=False)
+        self._close(services, spent=False)
 
     def end(self) -> None:
         """Count what is left as spent: nothing more will be heard of it."""
-        self._settle(tuple(self._left), spent=True)
+        self._close(tuple(self._lent), spent=True)
 
-    def _settle(self, services: Collection[str], spent: bool) -> None:
+    def _close(self, services: Collection[str], spent: bool) -> None:
         now = self._clock.monotonic()
-        for service in self._left.intersection(services):
-            self._left.remove(service)
+        for service in self._lent.intersection(services):
+            self._lent.remove(service)
             self._budget.settle(service, now, spent)
 
 
@@ -63,7 +63,7 @@
     question: RoutedQuestion,
     wanted: Group,
     top: int,
-    on_end: Callable[[], None],
+    on_update: Callable[[], None],
     without: frozenset[str] = frozenset(),
 ) -> DelegatedGroup | None:
     """Have another instance gather some services, and lend it repeats for them.
@@ -78,7 +78,7 @@
         if tools.budget.lend(service, now, instances)
     ]
     loan = RepeatLoan(tools.budget, tools.clock, lent)
-    group = tools.delegates.submit(question, wanted, top, on_end, without, loan)
+    group = tools.delegates.submit(question, wanted, top, on_update, without, loan)
     if group is None:
         loan.return_unspent(lent)
     return group
--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -30,20 +30,20 @@
 from walkcart.fanout.elsewhere import GatheredElsewhere
 from walkcart.fanout.handing import Handing
 from walkcart.fanout.lateparts import plan_settling
-from walkcart.fanout.lateturns import find_late_turn
+from walkcart.fanout.lateturns import check_queue_delay
 from walkcart.fanout.routedquestion import RoutedAnswer, RoutedFailure, RoutedQuestion
 from walkcart.fanout.routedsends import RoutedSends
 from walkcart.fanout.routedtools import RoutedTools
-from walkcart.fanout.routedverdict import covers, judge, make_answer, make_failure
+from walkcart.fanout.routedverdict import covers, make_answer, make_failure, make_result
 from walkcart.fanout.servicetry import ServiceTry
 from walkcart.leaves.attempts import Attempt, Failed, Outcome, Refused, Replied
 from walkcart.routing.hedging import may_hedge
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: From this status on a leaf's answer is a failure of its own.
-SERVER_FAILURE = 500
+MIN_FAILURE_STATUS = 500
 #: Statuses of a leaf that ran a request to its end.
-SUCCESSES = range(200, 300)
+SUCCESS_STATUSES = range(200, 300)
 
 
 class RoutedGathering:
@@ -78,7 +78,7 @@
             tools, question, self._receive, self._is_vital, self._watch
         )
         self._due = DueTimes(question, self._sends, self._watch, tools.clock)
-        self._elsewhere = GatheredElsewhere(
+        self._remote = GatheredElsewhere(
             tools,
             question,
             top,
@@ -87,13 +87,13 @@
             self._watch,
             wake=lambda: self._wakeup.set(),
         )
-        self._handing = handing
-        self._handed = False
+        self._handover = handing
+        self._handed_over = False
         self._inbox: deque[tuple[Attempt, Outcome]] = deque()
         self._wakeup = trio.Event()
         self._closed = False
-        self._covered = 0
-        self._last_call = self._sends.find_last_call()
+        self._covered_count = 0
+        self._last_repeat_at = self._sends.find_last_repeat_time()
         if handing is not None:
             handing.handover.on_confirmed(self._allow_repeats)
 
@@ -104,26 +104,26 @@
         self._start(self._tools.clock.monotonic())
         try:
             while True:
-                self._take_in()
-                self._release_held_back()
+                self._process_inbox()
+                self._retry_held_back()
                 if self._is_done():
                     break
-                if self._hands_over():
+                if self._should_hand_over():
                     self._hand_over()
-                self._act()
+                self._send_due()
                 await self._wait()
         finally:
             self._cancel_rest()
-            self._take_in()
+            self._process_inbox()
             self._closed = True
-        return judge(
+        return make_result(
             self._question,
             tuple(self._tries.values()),
-            self._elsewhere.merged(),
+            self._remote.merged(),
             self._tools.clock.monotonic(),
             self._sends.sent,
             self._sends.repeats,
-            self._watch.is_over,
+            self._watch.is_stopped,
         )
 
     def _can_cover(self) -> bool:
@@ -131,7 +131,7 @@
         served = 0
         waits = self._tools.pool.has_waiting
         for item in self._tries.values():
-            if waits and (late := find_late_turn(self._tools, self._question, item)):
+            if waits and (late := check_queue_delay(self._tools, self._question, item)):
                 item.reason = late.reason
                 item.refusal = late
             elif self._may_be_served(item):
@@ -153,10 +153,10 @@
 
     def _start(self, now: float) -> None:
         """Send the first attempts, and delegate what is far."""
-        if self._watch.holds:
+        if self._watch.is_sequential:
             self._start_with_one(now)
             return
-        far = self._elsewhere.start()
+        far = self._remote.start()
         for item in self._tries.values():
             if item.service not in far:
                 if not self._question.granted:
@@ -178,76 +178,80 @@
     def _is_done(self) -> bool:
         """Return whether nothing more is worth waiting for."""
         now = self._tools.clock.monotonic()
-        if self._covered == len(self._tries) or now >= self._question.deadline:
+        if self._covered_count == len(self._tries) or now >= self._question.deadline:
             return True
-        if self._watch.is_over:
+        if self._watch.is_stopped:
             return True
         still_open = sum(1 for item in self._tries.values() if item.open)
         if not still_open:
             return True
-        if self._handed:
+        if self._handed_over:
             return False
-        if not covers(self._question, self._covered + still_open):
+        if not covers(self._question, self._covered_count + still_open):
             return True
         objective = self._question.objective_at
-        return now >= objective and covers(self._question, self._covered)
+        return now >= objective and covers(self._question, self._covered_count)
 
     def _is_vital(self, item: ServiceTry) -> bool:
         """Return whether there is no answer in time without a service's part."""
-        early = self._tools.clock.monotonic() < self._last_call
+        early = self._tools.clock.monotonic() < self._last_repeat_at
         return is_vital(self._question, self._tries.values(), item, early)
 
-    def _release_held_back(self) -> None:
+    def _retry_held_back(self) -> None:
         """Try services again that were held back, once the answer depends on them."""
         now = self._tools.clock.monotonic()
         for item in self._tries.values():
             if not item.held_back or item.covered or item.open:
                 continue
-            if self._handed or not self._is_vital(item):
+            if self._handed_over or not self._is_vital(item):
                 return
             item.held_back = item.given_up = False
             self._sends.plan(item, now)
 
-    def _hands_over(self) -> bool:
+    def _should_hand_over(self) -> bool:
         """Return whether to leave what is missing to who asked."""
         question = self._question
-        if self._handing is None or self._handed or question.settle_at == float("inf"):
+        if (
+            self._handover is None
+            or self._handed_over
+            or question.settle_at == float("inf")
+        ):
             return False
-        if self._watch.holds:
+        if self._watch.is_sequential:
             return False
         waiting = [item for item in self._tries.values() if not item.covered]
-        if not any(item.open and not item.left for item in waiting):
+        if not any(item.open and not item.deferred for item in waiting):
             return True
         if self._tools.clock.monotonic() < question.settle_at:
             return False
-        late = sum(1 for item in waiting if not item.left)
+        late = sum(1 for item in waiting if not item.deferred)
         return may_hedge(len(self._tries), late)
 
     def _hand_over(self) -> None:
         """Hand over what is in; attempts under way go on, no other is made."""
-        assert self._handing is not None
-        self._handed = True
+        assert self._handover is not None
+        self._handed_over = True
         now = self._tools.clock.monotonic()
         tries = tuple(self._tries.values())
         for item in tries:
             if item.covered:
                 continue
             if item.may_run < self._question.most_attempts:
-                held = item.left or not item.arrived
+                held = item.deferred or not item.arrived
                 # It is asked for elsewhere now or not at all.
                 vital = is_vital(self._question, tries, item, early=False)
                 item.may_repeat = held or self._sends.take_repeat(item, now, vital)
-            item.left, item.next_at, item.given_up = False, None, True
+            item.deferred, item.next_at, item.given_up = False, None, True
             item.closed = True
         waiting = [item.service for item in tries if not item.covered]
         lent = self._question.lent
         unspent = lent.release(without=waiting) if lent else ()
         answer = make_answer(tries, (), self._sends.sent, self._sends.repeats)
-        self._handing.settle(answer, unspent)
+        self._handover.settle(answer, unspent)
 
     async def _wait(self) -> None:
         """Wait for an outcome or for the next time at which something is due."""
-        if self._inbox or self._elsewhere.has_news:
+        if self._inbox or self._remote.has_updates:
             return
         if not any(item.open for item in self._tries.values()):
             # What was just done left nothing to wait for.
@@ -258,17 +262,22 @@
 
     def _find_next_due(self) -> float:
         """Return when something is due, if no outcome comes before."""
-        answerable = not self._handed and covers(self._question, self._covered)
+        answerable = not self._handed_over and covers(
+            self._question, self._covered_count
+        )
         return self._due.find_next(
-            self._tries.values(), answerable, self._last_call, self._find_late_due()
+            self._tries.values(),
+            answerable,
+            self._last_repeat_at,
+            self._find_late_parts_time(),
         )
 
-    def _find_late_due(self) -> float:
+    def _find_late_parts_time(self) -> float:
         """Return when late parts are asked for together."""
-        if self._watch.holds:
+        if self._watch.is_sequential:
             return float("inf")
         busy = any(item.under_way or item.next_at for item in self._tries.values())
-        return self._elsewhere.late_due_at(busy)
+        return self._remote.late_parts_at(busy)
 
     def _allow_repeats(self) -> None:
         """Use all attempts: who asked takes the question back no more."""
@@ -283,59 +292,61 @@
         self._inbox.append((attempt, outcome))
         self._wakeup.set()
 
-    def _take_in(self) -> None:
+    def _process_inbox(self) -> None:
         while self._inbox:
             attempt, outcome = self._inbox.popleft()
             item = self._sends.find(attempt)
             item.under_way.pop(attempt.id, None)
-            self._take_outcome(item, attempt.leaf_id, outcome)
-        self._covered += self._elsewhere.take_in()
+            self._process_outcome(item, attempt.leaf_id, outcome)
+        self._covered_count += self._remote.process_updates()
 
-    def _take_outcome(self, item: ServiceTry, leaf_id: str, outcome: Outcome) -> None:
+    def _process_outcome(
+        self, item: ServiceTry, leaf_id: str, outcome: Outcome
+    ) -> None:
         now = self._tools.clock.monotonic()
         match outcome:
             case Replied(status=status) if (
-                status < SERVER_FAILURE or not self._question.idempotent
+                status < MIN_FAILURE_STATUS or not self._question.idempotent
             ):
-                item.note_ran(leaf_id)
-                self._watch_reply(item, status)
+                item.record_run(leaf_id)
+                self._record_reply(item, status)
                 self._accept(item, outcome)
                 return
             case Replied(status=status):
-                item.note_ran(leaf_id)
-                self._watch_reply(item, status)
+                item.record_run(leaf_id)
+                self._record_reply(item, status)
                 item.failure = outcome
                 item.reason = Reason.LEAF_FAILED
             case Refused(reason, retry_after):
-                self._watch.note_failed(item.service)
+                self._watch.record_failed(item.service)
                 item.reason = reason
                 item.refusal = NotRun(reason, "the leaf refused", retry_after)
             case Failed(NotRun() as verdict):
-                self._watch.note_failed(item.service)
+                self._watch.record_failed(item.service)
                 item.reason = verdict.reason
                 item.refusal = verdict
                 # It reached no leaf, so it is no repeat when it is sent again.
                 item.arrived -= 1
             case Failed(MayHaveRun(reason=Reason.LEAF_ENDED)):
-                item.note_ran(leaf_id)
+                item.record_run(leaf_id)
                 item.ended += 1
-                self._watch.note_ended(item.service)
+                self._watch.record_ended(item.service)
             case Failed(MayHaveRun() as verdict):
-                self._watch.note_failed(item.service)
-                item.note_ran(leaf_id)
-                item.lost_at.add(leaf_id)
+                self._watch.record_failed(item.service)
+                item.record_run(leaf_id)
+                item.lost_leaf_ids.add(leaf_id)
                 item.reason = verdict.reason
         self._sends.plan(item, now)
 
-    def _watch_reply(self, item: ServiceTry, status: int) -> None:
+    def _record_reply(self, item: ServiceTry, status: int) -> None:
         """Note that a leaf replied; only a success shows that it ran the question.
 
         One that fails part of what it gets may do so before it begins.
         """
-        if status in SUCCESSES:
-            self._watch.note_answer()
+        if status in SUCCESS_STATUSES:
+            self._watch.record_answer()
         else:
-            self._watch.note_failed(item.service)
+            self._watch.record_failed(item.service)
 
     def _accept(self, item: ServiceTry, reply: Replied) -> None:
         if item.covered:
@@ -343,12 +354,12 @@
             return
         item.reply = reply
         item.next_at = None
-        self._covered += 1
+        self._covered_count += 1
         self._sends.cancel(item)
-        if self._handed and self._handing is not None:
-            self._handing.add(item.service, reply)
+        if self._handed_over and self._handover is not None:
+            self._handover.add(item.service, reply)
 
-    def _act(self) -> None:
+    def _send_due(self) -> None:
         """Send what is due."""
         now = self._tools.clock.monotonic()
         for item in self._tries.values():
@@ -359,21 +370,21 @@
             for item in self._tries.values()
             if not item.covered and self._due.hedge_at(item) <= now
         ]
-        if now >= self._find_late_due():
-            self._elsewhere.ask_late(now)
-        elif self._is_left_too_much(now):
+        if now >= self._find_late_parts_time():
+            self._remote.request_late_parts(now)
+        elif self._must_send_deferred(now):
             # Too much is late for asking together.
-            self._sends.send_left(self._tries.values(), now)
+            self._sends.send_deferred(self._tries.values(), now)
         may = may_send_second_attempts(self._tries.values())
         for item in late:
-            if may or (self._sends.is_long_late(now) and self._is_vital(item)):
+            if may or (self._sends.is_likely_lost(now) and self._is_vital(item)):
                 self._sends.hedge(item, now)
             else:
-                self._sends.put_off(item, now)
+                self._sends.postpone_hedge(item, now)
 
-    def _is_left_too_much(self, now: float) -> bool:
+    def _must_send_deferred(self, now: float) -> bool:
         """Return whether what was left to be handed over is asked for from here."""
-        if self._handing is None or self._handed or self._watch.holds:
+        if self._handover is None or self._handed_over or self._watch.is_sequential:
             return False
         return now >= self._question.settle_at
 
@@ -381,10 +392,10 @@
         before = self._sends.sent
         self._sends.try_next(item, now)
         if self._sends.sent > before:
-            self._watch.note_sent(item.service)
+            self._watch.record_sent(item.service)
 
     def _cancel_rest(self) -> None:
         for item in self._tries.values():
             item.given_up = True
             self._sends.cancel(item)
-        self._elsewhere.cancel()
+        self._remote.cancel()
--- a/walkcart/fanout/routedquestion.py
+++ b/walkcart/fanout/routedquestion.py
@@ -29,7 +29,7 @@
         idempotent: whether it may run more than once at a service.
         most_attempts: leafs that may run it, for each service.
         whole_parts: whether only successes count, as over many shards.
-        first_only: whether no service gets an attempt beside, or after, one that may
+        await_confirmation: whether no service gets an attempt beside, or after, one that may
             have run, until whoever asked is known to leave the others to this instance.
         settle_at: when late parts are asked for in another region, all together; on
             that clock, infinite when each is asked for by itself.
@@ -56,7 +56,7 @@
     idempotent: bool = True
     most_attempts: int = 1
     whole_parts: bool = False
-    first_only: bool = False
+    await_confirmation: bool = False
     settle_at: float = float("inf")
     granted: bool = False
     traceparent: str | None = None
--- a/walkcart/fanout/routedsends.py
+++ b/walkcart/fanout/routedsends.py
@@ -24,12 +24,12 @@
 #: Seconds before a service whose leafs all refused or can't be reached is tried again.
 RETRY_DELAY = 0.03
 #: Tries at one service at the most, whatever came of them.
-MOST_TRIES = 6
+MAX_TRIES = 6
 #: Seconds after which a request that must not repeat, and of which nothing was sent for
 #: want of a connection, goes to another leaf: some round trips between regions.
-CONNECTION_TIME = 0.12
+CONNECTION_TIMEOUT = 0.12
 #: Least share of its usual time that must be left for another attempt to be sent.
-WORTHWHILE_SHARE = 0.5
+MIN_TIME_SHARE = 0.5
 
 
 class RoutedSends:
@@ -60,12 +60,12 @@
         time = min(question.objective_at, question.deadline) - tools.clock.monotonic()
         self._choice = LeafChoice(tools, question, max(0.0, time))
         #: When second attempts that were put off are considered again, in seconds.
-        self._second_look = find_second_look(
+        self._reconsider_at = find_second_look(
             tools.clock.monotonic(), question.objective_at, question.deadline
         )
         #: Whether attempts at leafs in other regions are left to be sent together.
-        self._leaves_far = question.settle_at < float("inf")
-        self._may_repeat = not question.first_only
+        self._defers_far = question.settle_at < float("inf")
+        self._may_repeat = not question.await_confirmation
         self.sent = 0
         self.repeats = 0
 
@@ -88,8 +88,12 @@
             return
         if item.arrived and not self.take_repeat(item, now):
             return
-        if item.arrived and leaf.id not in item.ran_at and self._is_left(leaf):
-            item.left = not item.regrouped
+        if (
+            item.arrived
+            and leaf.id not in item.ran_leaf_ids
+            and self._is_deferred(leaf)
+        ):
+            item.deferred = not item.regrouped
             item.given_up = item.regrouped
             return
         self._send(item, leaf, now)
@@ -103,7 +107,7 @@
             return
         self._send(item, leaf, now)
 
-    def find_last_call(self) -> float:
+    def find_last_repeat_time(self) -> float:
         """Return when a repeat must be sent to come within the objective."""
         now = self._tools.clock.monotonic()
         times = self._tools.pool.times_of(
@@ -111,24 +115,24 @@
         )
         return self._question.objective_at - times.high(now) - HEDGE_RESERVE
 
-    def send_left(self, tries: Iterable[ServiceTry], now: float) -> None:
+    def send_deferred(self, tries: Iterable[ServiceTry], now: float) -> None:
         """Send each attempt by itself from now on, also those that were left."""
-        self._leaves_far = False
+        self._defers_far = False
         for item in tries:
-            if item.left:
-                item.left = False
+            if item.deferred:
+                item.deferred = False
                 self.send_elsewhere(item, now)
 
     def plan(self, item: ServiceTry, now: float) -> None:
         """Decide whether and when a service is tried again after a failure."""
         if item.covered or item.under_way or item.delegated:
             return
-        if not self._may_try(item, now):
+        if not self._may_retry(item, now):
             item.given_up = True
             return
         leaves = self._tools.pool.leaves_of(item.service)
         ready = any(leaf.id not in item.tried for leaf in leaves)
-        ready = ready or bool(self._choice.find_askable(item))
+        ready = ready or bool(self._choice.find_repeatable(item))
         item.next_at = now if ready else now + RETRY_DELAY
 
     def due_at(self, item: ServiceTry) -> float:
@@ -159,9 +163,9 @@
             item.given_up = True
             return
         leaf = self._choice.choose_untried(item, now)
-        if leaf is not None and self._postpone(item, leaf, now):
+        if leaf is not None and self._postpone_while_busy(item, leaf, now):
             return
-        if leaf is None or self._is_left(leaf) or not self.take_repeat(item, now):
+        if leaf is None or self._is_deferred(leaf) or not self.take_repeat(item, now):
             item.given_up = True
             return
         for sent in item.under_way.values():
@@ -169,17 +173,17 @@
         self._tools.metrics.count("leaf.hedged")
         self._send(item, leaf, now)
 
-    def is_long_late(self, now: float) -> bool:
+    def is_likely_lost(self, now: float) -> bool:
         """Return whether a reply that is missing now is likely lost, not just late."""
-        return now >= self._second_look
+        return now >= self._reconsider_at
 
-    def put_off(self, item: ServiceTry, now: float) -> None:
+    def postpone_hedge(self, item: ServiceTry, now: float) -> None:
         """Put a second attempt off to the second look: too many are late for it now."""
-        if self.is_long_late(now):
+        if self.is_likely_lost(now):
             item.given_up = True
             return
         for id, sent in item.under_way.items():
-            item.under_way[id] = replace(sent, hedge_at=self._second_look)
+            item.under_way[id] = replace(sent, hedge_at=self._reconsider_at)
 
     def _withdraw(self, item: ServiceTry) -> bool:
         """Take back an attempt that waits inside this instance, for another leaf.
@@ -198,7 +202,7 @@
             return pool.withdraw(sent.leaf, id)
         return False
 
-    def _postpone(self, item: ServiceTry, leaf: Leaf, now: float) -> bool:
+    def _postpone_while_busy(self, item: ServiceTry, leaf: Leaf, now: float) -> bool:
         """Put a second attempt off while its leaf is busy; return whether it was."""
         busy = leaf.outstanding + leaf.stated_load(now) >= leaf.slots
         for id, sent in item.under_way.items():
@@ -213,26 +217,28 @@
         for id, sent in list(item.under_way.items()):
             self._tools.pool.cancel(sent.leaf, id, self._question.kind, now - sent.at)
 
-    def _may_try(self, item: ServiceTry, now: float) -> bool:
+    def _may_retry(self, item: ServiceTry, now: float) -> bool:
         if item.ran and not self._question.idempotent:
             return False
-        if not (self._choice.may_add(item) or self._choice.find_askable(item)):
+        if not (
+            self._choice.may_use_new_leaf(item) or self._choice.find_repeatable(item)
+        ):
             return False
         if not self._tools.pool.is_open:
             return False
-        return len(item.tried) < MOST_TRIES and self._has_time(now)
+        return len(item.tried) < MAX_TRIES and self._has_time(now)
 
     def _has_time(self, now: float) -> bool:
         times = self._tools.pool.times_of(
             self._question.kind, Distance.SAME_DATA_CENTRE
         )
         usual = times.median(now)
-        return now + usual * WORTHWHILE_SHARE < self._question.deadline
+        return now + usual * MIN_TIME_SHARE < self._question.deadline
 
-    def _is_left(self, leaf: Leaf) -> bool:
+    def _is_deferred(self, leaf: Leaf) -> bool:
         """Return whether attempts at a leaf are left to be sent with others."""
         far = self._tools.pool.distance_to(leaf) is Distance.OTHER_REGION
-        return self._leaves_far and far
+        return self._defers_far and far
 
     def take_repeat(
         self, item: ServiceTry, now: float, vital: bool | None = None
@@ -276,13 +282,13 @@
         pool = self._tools.pool
         kind = self._question.kind
         if not self._question.idempotent:
-            return now + CONNECTION_TIME, now + CONNECTION_TIME
+            return now + CONNECTION_TIMEOUT, now + CONNECTION_TIMEOUT
         service = leaf.labels["service"]
         others = [item for item in pool.leaves_of(service) if item is not leaf]
         nearest = min(
             (pool.distance_to(item) for item in others), default=pool.distance_to(leaf)
         )
-        if self._leaves_far and nearest is Distance.OTHER_REGION:
+        if self._defers_far and nearest is Distance.OTHER_REGION:
             return float("inf"), float("inf")
         late = pool.times_of(kind, pool.distance_to(leaf)).late(now)
         other = pool.times_of(kind, nearest).high(now)
@@ -304,18 +310,18 @@
             whole_part=question.whole_parts,
             traceparent=question.traceparent,
             fingerprint=question.fingerprint,
-            wary=self._watch.is_wary,
+            wary=self._watch.checks_liveness,
             kind=question.kind,
             regions=question.regions,
             grant=question.grant,
             rank=question.rank,
             objective_at=question.objective_at,
         )
-        again = leaf.id in item.ran_at
+        again = leaf.id in item.ran_leaf_ids
         if again:
             self._tools.metrics.count("leaf.asked_again")
         times = self._find_hedge_times(leaf, now)
-        item.under_way[attempt.id] = Sent(leaf, now, *times, again=again)
+        item.under_way[attempt.id] = Sent(leaf, now, *times, to_same_leaf=again)
         item.tried.append(leaf.id)
         item.places.add(leaf.place)
         item.arrived += 1
--- a/walkcart/fanout/routedverdict.py
+++ b/walkcart/fanout/routedverdict.py
@@ -12,7 +12,7 @@
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: When to come back after nothing could be run, in the absence of a leaf's word.
-COME_BACK = timedelta(seconds=0.5)
+DEFAULT_RETRY_AFTER = timedelta(seconds=0.5)
 
 
 def covers(question: RoutedQuestion, count: int) -> bool:
@@ -20,19 +20,19 @@
     return covers_share(question.least_coverage, len(question.services), count)
 
 
-def covers_share(least: float, services: int, count: int) -> bool:
+def covers_share(min_share: float, services: int, count: int) -> bool:
     """Return whether replies of `count` among some services make up a share of them."""
-    return count > 0 and count >= least * services - 1e-9
+    return count > 0 and count >= min_share * services - 1e-9
 
 
-def judge(
+def make_result(
     question: RoutedQuestion,
     tries: tuple[ServiceTry, ...],
     merged: tuple[MergedAnswer, ...],
     now: float,
     sent: int,
     repeats: int,
-    ends_leafs: bool = False,
+    ends_leaves: bool = False,
 ) -> Result[RoutedAnswer, RoutedFailure]:
     """Return the answer if it covers enough, else why there is none.
 
@@ -43,13 +43,13 @@
         now: the present, in seconds.
         sent: requests that went to leafs from here.
         repeats: those that were not the first to their service.
-        ends_leafs: whether leafs end when they run it.
+        ends_leaves: whether leafs end when they run it.
     """
     covered = sum(1 for item in tries if item.covered)
     answer = make_answer(tries, merged, sent, repeats)
     if not covers(question, covered):
         late = now >= question.deadline
-        return Failure(make_failure(tries, late, answer.sent, ends_leafs))
+        return Failure(make_failure(tries, late, answer.sent, ends_leaves))
     return Success(answer)
 
 
@@ -72,14 +72,16 @@
     )
     sent += sum(part.sent for part in merged)
     repeats += sum(part.repeats for part in merged)
-    return RoutedAnswer(replies, merged, len(tries), _missing(tries), sent, repeats)
+    return RoutedAnswer(
+        replies, merged, len(tries), _list_missing(tries), sent, repeats
+    )
 
 
 def make_failure(
     tries: tuple[ServiceTry, ...],
     late: bool,
     sent: int = 0,
-    ends_leafs: bool = False,
+    ends_leaves: bool = False,
 ) -> RoutedFailure:
     """Return the failure of a question; "not run" only when nothing may have run.
 
@@ -87,16 +89,16 @@
         tries: how it went at each service.
         late: whether its deadline has passed.
         sent: requests that went to leafs.
-        ends_leafs: whether leafs end when they run it.
+        ends_leaves: whether leafs end when they run it.
     """
-    missing = _missing(tries)
+    missing = _list_missing(tries)
     replied = len(tries) - len(missing)
     reasons = ", ".join(sorted({part.reason.value for part in missing}))
     detail = f"{replied} of {len(tries)} services replied; missing: {reasons}"
     failure = next((item.failure for item in tries if item.failure), None)
     if any(item.may_run or item.gathered or item.delegated for item in tries):
         reason = Reason.DEADLINE if late else Reason.LEAF_FAILED
-        reason = Reason.LEAF_ENDED if ends_leafs else reason
+        reason = Reason.LEAF_ENDED if ends_leaves else reason
         return RoutedFailure(MayHaveRun(reason, detail), failure, sent, missing)
     verdict = NotRun(_find_refusal(tries, missing), detail, _find_retry_time(tries))
     return RoutedFailure(verdict, failure, sent, missing)
@@ -112,7 +114,7 @@
     return missing[0].reason if missing else Reason.COVERAGE
 
 
-def _missing(tries: tuple[ServiceTry, ...]) -> tuple[MissingPart, ...]:
+def _list_missing(tries: tuple[ServiceTry, ...]) -> tuple[MissingPart, ...]:
     return tuple(
         MissingPart(item.service, item.why_missing, item.may_run, item.may_repeat)
         for item in tries
@@ -127,4 +129,4 @@
         for item in tries
         if item.refusal is not None and item.refusal.retry_after is not None
     ]
-    return max(asked, default=COME_BACK)
+    return max(asked, default=DEFAULT_RETRY_AFTER)
--- a/walkcart/fanout/servicetry.py
+++ b/walkcart/fanout/servicetry.py
@@ -20,14 +20,14 @@
         at: when it was sent, in seconds.
         hedge_at: when a second one is due beside it.
         last_hedge_at: until when that one may wait for a leaf with a free slot.
-        again: whether the leaf may have run the question before.
+        to_same_leaf: whether the leaf may have run the question before.
     """
 
     leaf: Leaf
     at: float
     hedge_at: float
     last_hedge_at: float = float("-inf")
-    again: bool = False
+    to_same_leaf: bool = False
 
 
 @dataclass(slots=True)
@@ -44,8 +44,8 @@
         tried: ids of leafs that got it, in order.
         arrived: attempts that may have reached a leaf.
         ran: leafs that may have run it, whether asked from here or elsewhere.
-        ran_at: ids of those among them that were asked from here.
-        lost_at: ids of those among these that live and whose answer was lost.
+        ran_leaf_ids: ids of those among them that were asked from here.
+        lost_leaf_ids: ids of those among these that live and whose answer was lost.
         closed: whether no leaf may get it any longer that didn't have it.
         ended: leafs that ended under it.
         next_at: when the next attempt is due; None when none is.
@@ -54,7 +54,7 @@
         reason: why there is no reply yet.
         refusal: the last word that an attempt did not run.
         places: where it was asked.
-        left: whether it waits to be asked for in another region with other late ones;
+        deferred: whether it waits to be asked for in another region with other late ones;
             the budget of repeats holds the request.
         may_repeat: whether the budget holds a request that another instance may send.
         regrouped: whether it was asked for there.
@@ -71,8 +71,8 @@
     tried: list[str] = field(default_factory=list)
     arrived: int = 0
     ran: int = 0
-    ran_at: set[str] = field(default_factory=set)
-    lost_at: set[str] = field(default_factory=set)
+    ran_leaf_ids: set[str] = field(default_factory=set)
+    lost_leaf_ids: set[str] = field(default_factory=set)
     closed: bool = False
     ended: int = 0
     next_at: float | None = None
@@ -81,7 +81,7 @@
     reason: Reason = Reason.DEADLINE
     refusal: NotRun | None = None
     places: set[Place] = field(default_factory=set)
-    left: bool = False
+    deferred: bool = False
     may_repeat: bool = False
     regrouped: bool = False
     awaited: bool = False
@@ -102,7 +102,7 @@
         """Whether its part may still come."""
         if self.covered:
             return False
-        if self.delegated or self.left or self.awaited:
+        if self.delegated or self.deferred or self.awaited:
             return True
         return bool(self.under_way) or self.next_at is not None
 
@@ -113,11 +113,11 @@
         One that another instance asks counts, also beside one of this instance's. A
         leaf that gets it once more counts once.
         """
-        first = sum(1 for sent in self.under_way.values() if not sent.again)
+        first = sum(1 for sent in self.under_way.values() if not sent.to_same_leaf)
         return self.ran + first + int(self.delegated)
 
-    def note_ran(self, leaf_id: str) -> None:
+    def record_run(self, leaf_id: str) -> None:
         """Note that a leaf that was asked from here may have run it."""
-        if leaf_id not in self.ran_at:
-            self.ran_at.add(leaf_id)
+        if leaf_id not in self.ran_leaf_ids:
+            self.ran_leaf_ids.add(leaf_id)
             self.ran += 1
--- a/walkcart/fanout/single.py
+++ b/walkcart/fanout/single.py
@@ -21,7 +21,7 @@
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: Seconds past the deadline after which a reply isn't waited for any longer.
-GRACE = 0.05
+REPLY_GRACE = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,11 +87,11 @@
             leaves.remove(leaf)
             match await self._try(request, shard, Snapshot(pin.layout, 0), leaf):
                 case Replied() as reply:
-                    watch.note_answer()
+                    watch.record_answer()
                     return Success(reply)
                 case Failed(verdict=MayHaveRun() as uncertain):
                     if uncertain.reason is Reason.LEAF_ENDED:
-                        watch.note_ended("")
+                        watch.record_ended("")
                     return Failure(uncertain)
                 case Failed(verdict=NotRun() as failed):
                     verdict = failed
@@ -117,10 +117,10 @@
             traceparent=question.traceparent,
             fingerprint=question.fingerprint,
         )
-        slot = _Slot()
+        slot = _OutcomeSlot()
         self._tools.gateway.submit(leaf, attempt, question.group, slot.deliver)
         start = self._tools.clock.monotonic()
-        with trio.move_on_at(question.deadline + GRACE):
+        with trio.move_on_at(question.deadline + REPLY_GRACE):
             return await slot.wait()
         # If it still waits here it is taken back, and surely did not run.
         waited = self._tools.clock.monotonic() - start
@@ -130,7 +130,7 @@
         return Failed(MayHaveRun(Reason.DEADLINE, "no reply before the deadline"))
 
 
-class _Slot:
+class _OutcomeSlot:
     """Holds one outcome."""
 
     def __init__(self) -> None:
--- a/walkcart/fanout/tests/test_service_try.py
+++ b/walkcart/fanout/tests/test_service_try.py
@@ -32,13 +32,13 @@
 
 def test_a_leaf_that_gets_a_question_once_more_counts_once():
     item = ServiceTry("s")
-    item.note_ran("leaf-1")
-    item.under_way["a"] = Sent(None, 0.0, 1.0, again=True)
+    item.record_run("leaf-1")
+    item.under_way["a"] = Sent(None, 0.0, 1.0, to_same_leaf=True)
     assert item.may_run == 1
     item.under_way.clear()
-    item.note_ran("leaf-1")
+    item.record_run("leaf-1")
     assert item.may_run == 1
-    item.note_ran("leaf-2")
+    item.record_run("leaf-2")
     assert item.may_run == 2
 
 
