--- a/walkcart/fanout/__init__.py
+++ b/walkcart/fanout/__init__.py
@@ -1,4 +1,4 @@
-"""One question to many shards and back: snapshot, attempts, gathering, coverage."""
+"""Fan-out of a question to many shards: snapshot, attempts, gathering, coverage."""
 
 from walkcart.lazyimport import attach_names
 
--- a/walkcart/fanout/answers.py
+++ b/walkcart/fanout/answers.py
@@ -1,4 +1,4 @@
-"""Answers and what they cover."""
+"""Answers and their coverage."""
 
 from __future__ import annotations
 
@@ -10,7 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingShard:
-    """A shard that the answer doesn't cover, or not wholly."""
+    """A shard that an answer doesn't cover.
+
+    Args:
+        shard: number of the shard.
+        reason: why it is missing.
+    """
 
     shard: int
     reason: Reason
@@ -18,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """What an answer covers, computed from the accepted replies alone.
+    """Coverage of an answer, computed from the accepted replies alone.
 
     Args:
         asked: number of shards in the layout.
-        answered: shards whose whole reply is in the answer, ascending.
-        partial: shards whose leaf itself saw only a part, ascending.
-        missing: the others, with reasons.
+        answered: shards with a complete reply in the answer, ascending.
+        partial: shards whose leaf stated that its reply is partial, ascending.
+        missing: the other shards, with reasons.
     """
 
     asked: int
@@ -34,27 +39,27 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every shard is covered wholly."""
+        """Whether every shard has a complete reply."""
         return len(self.answered) == self.asked
 
     @property
     def share(self) -> float:
-        """Share of the shards that are covered wholly."""
+        """Share of the shards that have a complete reply."""
         return len(self.answered) / self.asked if self.asked else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One snapshot's replies.
+    """Replies of one snapshot.
 
     Args:
-        snapshot: that every reply reflects.
-        coverage: what the replies cover.
-        replies: body by shard, ascending; the partial ones included.
-        sent: requests that went to leaves for this answer.
-        typical_time: median over the shards of the seconds to the reply; None
-            without replies. Stragglers don't move it, a queue everywhere does.
-        may_have_run: whether any leaf ran the question or may yet do so.
+        snapshot: the snapshot that every reply reflects.
+        coverage: coverage of the replies.
+        replies: shards with their reply bodies, ascending; includes partial replies.
+        sent: number of requests that went to leaves for this answer.
+        typical_time: median over the shards of the seconds to the reply; None without
+            replies. Stragglers don't change it, queues at all leaves do.
+        may_have_run: whether any leaf ran the question or may still run it.
     """
 
     snapshot: Snapshot
--- a/walkcart/fanout/carrying.py
+++ b/walkcart/fanout/carrying.py
@@ -1,8 +1,8 @@
-"""Parts of questions that this instance gathers for others.
+"""Gathers parts of questions for other instances.
 
-Whoever asked may have gone on without it, or ended, before a question arrives or while
-it is worked on. So a question that was on its way for long is turned down, one whose
-cancellation came first isn't begun, and one that isn't renewed is given up.
+The asking instance may have gone on by itself, or ended, before a question arrives or
+while it is in progress. So a question that was in transit for too long is rejected, one
+whose cancellation arrived first isn't begun, and one that isn't renewed is abandoned.
 
 See Also:
     `walkcart.fanout.delegates.Delegates`, the asking side.
@@ -42,49 +42,51 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Seconds after which a question that was on its way isn't begun: the asker went on
-#: without it long ago (`walkcart.routing.peerchoice.LONGEST_PATIENCE`), and its caller
-#: may have left. Leafs must be idle half a second after that.
+#: Seconds in transit after which a question isn't begun: the asker has long gone on by
+#: itself (`walkcart.routing.peerchoice.LONGEST_PATIENCE`), and its caller may have
+#: left. Leaves must be idle half a second after a caller has left.
 MOST_AGE = 0.2
-#: Seconds on its way that a question's times allow for: to another region and back,
-#: since its age is known to within one way.
+#: Seconds in transit that a question's times allow for: a round trip to another region,
+#: since the age of a message is known to within the time of one direction.
 USUAL_TRANSIT_TIME = 0.03
-#: Seconds without a renewal after which a question is given up: within the half second
-#: that leafs may work on for a caller that left, and three renewals.
+#: Seconds without a renewal after which a question is abandoned: three renewal
+#: intervals, and less than the half second for which leaves may go on working for a
+#: caller that has left.
 HOLD_TIME = 0.4
-#: Seconds for which a question's coming, cancellation or end is kept, for the same one
-#: that comes after it, or once more. A question isn't begun `MOST_AGE` after it left,
-#: but said to be "not run", which its sender may rely on for as long as it waits.
+#: Seconds for which the arrival, cancellation or end of a question is remembered, to
+#: recognize a copy that arrives later. Past `MOST_AGE` a copy would be rejected as "not
+#: run", which its sender may rely on for as long as it waits.
 HISTORY_TTL = 5.0
 
 
 @dataclass(slots=True)
 class _ActiveQuestion:
-    """A question in progress and the means to end it or hand it over."""
+    """A question in progress, its cancel scope and its hand-over."""
 
     scope: trio.CancelScope
     handover: Handover
     cancelled: bool = False
 
 
-#: Names a question here: its sender and the id that this one gave it. Ids of two
-#: senders may be alike, and nobody cancels or renews a question of another.
+#: Key of a question: its sender, and the id that the sender gave it. Two senders may
+#: use the same id, and a sender can't cancel or renew a question of another.
 QuestionKey = tuple[str, str]
-#: Gathers a question from this instance and merges it to so many records.
+#: Gathers a question from this instance and merges it to at most so many records.
 Gather = Callable[[RoutedQuestion, int, Handover], Awaitable[Outcome]]
 
 
 class Carrier:
-    """Gathers for other instances.
+    """Accepts questions of other instances, gathers them and sends the results.
 
     Args:
-        links: to them.
+        links: links to the other instances.
         clock: source of time.
         gather: gathers one question.
-        usual_high: returns a long time for a kind of request at leafs that are near.
-        events: where questions that aren't worked on are logged.
-        quarantines: requests under which leafs ended.
-        origins: tells whose a question is.
+        usual_high: returns a high percentile of the seconds that requests of a kind
+            take at nearby leaves.
+        events: log of rejected and abandoned questions.
+        quarantines: requests under which leaves crashed.
+        origins: finds the team of a question.
     """
 
     def __init__(
@@ -105,9 +107,9 @@
         self._usual_high = usual_high
         self._events = events
         self._active: dict[QuestionKey, _ActiveQuestion] = {}
-        #: When questions were cancelled or ended, for messages that may yet come.
+        #: When questions were cancelled or ended, for copies that may arrive later.
         self._closed_at: dict[QuestionKey, float] = {}
-        #: When questions came, by what tells them from all others, whoever sent them.
+        #: When questions arrived, by id and request id, whoever sent them.
         self._begun_at: dict[tuple[str, str], float] = {}
         self._nursery: trio.Nursery | None = None
         self._stopping = False
@@ -116,20 +118,21 @@
         links.on(DelegatedRenewal, self._on_renewal)
 
     def stop_taking(self) -> None:
-        """Turn new questions down: this instance stops.
+        """Reject new questions, because this instance stops.
 
-        Who asks goes on with another one at once. Where it went on taking them, it
-        never ran out, and cut those that it had when its time was up.
+        The asker turns to another instance at once. An instance that accepted questions
+        while stopping would never run out of them, and would have to cut those in
+        progress when its time to stop was up.
         """
         self._stopping = True
 
     @property
     def carrying(self) -> int:
-        """Questions of other instances that are in progress here."""
+        """Number of questions of other instances in progress here."""
         return len(self._active)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Carry questions until cancelled."""
+        """Gather questions until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             await trio.sleep_forever()
@@ -140,9 +143,10 @@
         copy = (message.id, message.request)
         known = copy in self._begun_at or key in self._closed_at or key in self._active
         if self._nursery is None or known:
-            # Cancelled before it came, or come once more: its sender has its answer,
-            # or gets it. "Not run", as of a late one, would be untrue: 3 of 300
-            # questions ran on more leafs than allowed where one in seven came twice.
+            # The question was cancelled before it arrived, or this is a copy, and its
+            # sender has or gets the answer. "Not run", as for a stale one, would be
+            # untrue: 3 of 300 questions ran on more leaves than allowed where one in
+            # seven arrived twice.
             return
         if self._stopping:
             self._reject(sender, message, Reason.STOPPING, "the instance stops")
@@ -167,7 +171,7 @@
     def _reject(
         self, sender: str, message: DelegatedQuestion, reason: Reason, detail: str
     ) -> None:
-        """Don't begin a question, and say so."""
+        """Reply that a question wasn't begun."""
         missing = tuple(MissingPart(name, reason, 0) for name in message.services)
         failure = RoutedFailure(NotRun(reason, detail), missing=missing)
         self._links.send(sender, encode_outcome(message.id, Failure(failure)))
@@ -175,10 +179,10 @@
     def _reject_stale(
         self, sender: str, message: DelegatedQuestion, age: float
     ) -> None:
-        """Don't begin a question that is old, or may be, and say so.
+        """Reply that a question wasn't begun because it is, or may be, too old.
 
-        The envelope of this answer tells the sender what this instance's clock shows,
-        by which the age of its next question is known.
+        The envelope of the reply carries this instance's clock, from which the age of
+        the sender's next question can be computed.
         """
         detail = "the question was on its way for too long"
         self._reject(sender, message, Reason.UNREACHABLE, detail)
@@ -199,7 +203,7 @@
             active.scope.cancel()
         self._remember_closed(key)
         if message.unheard:
-            # The connection by which this instance answers may have gone silent.
+            # The connection on which this instance answers may be dead.
             self._links.renew(sender)
 
     def _remember_closed(self, key: QuestionKey) -> None:
@@ -219,13 +223,13 @@
         late: float,
         active: _ActiveQuestion,
     ) -> None:
-        """Gather one question of another instance and send what came of it."""
+        """Gather one question of another instance and send its outcome."""
         handover = active.handover
         key = (sender, message.id)
         try:
             with active.scope:
-                # A cancellation that came with the question is seen here, before
-                # anything is sent.
+                # A cancellation that arrived together with the question takes effect
+                # here, before anything is sent.
                 await trio.lowlevel.checkpoint()
                 now = self._clock.monotonic() - late
                 question = decode_question(message, now, self._origins)
@@ -248,14 +252,14 @@
     def _report_fault(
         self, sender: str, message: DelegatedQuestion, error: Exception
     ) -> None:
-        """End one question by a fault of this program, and nothing else."""
+        """Report a fault of this program to the sender; it ends this question only."""
         note_task_fault(self._events, f"question of {sender}", error)
         verdict = MayHaveRun(Reason.INTERNAL, "a fault of walkcart")
         outcome: Outcome = Failure(RoutedFailure(verdict))
         self._links.send(sender, encode_outcome(message.id, outcome))
 
     def _report_abandoned(self, sender: str, message: DelegatedQuestion) -> None:
-        """Say that a question was given up, in case its sender lives after all."""
+        """Report an abandoned question, in case its sender is alive after all."""
         self._events.emit(
             Events.QUESTION_ABANDONED, request=message.request, peer=sender
         )
@@ -267,7 +271,7 @@
 def _record_time(
     known: dict[tuple[str, str], float], key: tuple[str, str], now: float
 ) -> None:
-    """Note that `key` was seen now, and forget what was seen long ago."""
+    """Record that `key` was seen now, and drop entries older than `HISTORY_TTL`."""
     known.pop(key, None)
     known[key] = now
     while known:
--- a/walkcart/fanout/crashwatch.py
+++ b/walkcart/fanout/crashwatch.py
@@ -1,43 +1,43 @@
-"""What one question may still do once leafs ended under it.
+"""Limits the attempts of one question under which leaves crashed.
 
-The load it answers: a question that ends each leaf which runs it. Sent again to the
-other replica of each shard, as after any loss, it takes all leafs of a service down
-within 0.3 s. Where leafs crash together for reasons of their own, the same question
-would be answered by those that are left, so one of these is asked first.
+A question may crash each leaf that runs it. Sent again to the other replica of each
+shard, as after any loss, it takes all leaves of a service down within 0.3 s. Where
+leaves crash together for another reason, those that are left would answer the same
+question, so one of them is asked first.
 
 See Also:
-    `walkcart.routing.quarantine`, which remembers over many tries.
+    `walkcart.routing.quarantine`, which keeps the record over many requests.
 """
 
 from __future__ import annotations
 
-#: Leafs that ended under a question, without an answer of any other, from which on it
-#: is sent to no more than one further leaf at a time. One alone is an ordinary loss.
+#: Number of leaves that crash under an unanswered question before it is sent to one
+#: leaf at a time. A single crash is an ordinary loss.
 ENDED_THRESHOLD = 2
 
 
 class CrashWatch:
-    """Counts the leafs that ended under one try of a question.
+    """Counts the leaves that crashed under one run of a question.
 
     Args:
-        services: that are asked.
-        careful: whether one leaf is to answer before the others are asked.
+        services: number of services that the question goes to.
+        careful: whether one leaf must answer before the others are asked.
     """
 
     def __init__(self, services: int, careful: bool = False) -> None:
         self._has_several_services = services > 1
         self._careful = careful
-        #: The service whose leaf is asked by itself, while it is.
+        #: The service with the only attempt under way in sequential mode, or None.
         self._sole_service: str | None = None
         self.ended = 0
         self.answered = False
-        #: Whether a leaf ended that was asked by itself, or another instance knows that
-        #: the question ends leafs.
+        #: Whether nothing more may be sent: the only leaf that was asked crashed, or
+        #: another instance reports that the question crashes leaves.
         self.is_stopped = False
 
     @property
     def is_sequential(self) -> bool:
-        """Whether leafs are asked one at a time, until one answers."""
+        """Whether leaves are asked one at a time, until one answers."""
         if self.answered:
             return False
         many = self._has_several_services and self.ended >= ENDED_THRESHOLD
@@ -45,32 +45,33 @@
 
     @property
     def checks_liveness(self) -> bool:
-        """Whether a leaf ended under the question, and none has answered since.
+        """Whether a leaf must prove that it is alive before it is asked.
 
-        A leaf is then seen to live before it is asked. Where many crash at the same
-        moment, one that was down already would be taken for another that this question
-        ended: 9 innocent ones of 400 were, when all leafs of a test crashed at once.
+        This holds while a leaf has crashed under the question and none has answered.
+        Where many leaves crash at the same moment, one that was already down would be
+        counted as crashed by this question: 9 of 400 harmless questions were blamed
+        when all leaves of a test crashed at once.
         """
         return not self.answered and (self._careful or self.ended > 0)
 
     def may_send(self, service: str) -> bool:
-        """Return whether a leaf of a service may be asked now."""
+        """Return whether an attempt at a leaf of `service` may be sent now."""
         if not self.is_sequential:
             return True
         return not self.is_stopped and self._sole_service is None
 
     def record_sent(self, service: str) -> None:
-        """Note that a leaf of a service is asked."""
+        """Record that an attempt was sent to a leaf of `service`."""
         if self.is_sequential:
             self._sole_service = service
 
     def record_answer(self) -> None:
-        """Note that a leaf ran the question to its end and lives."""
+        """Record that a leaf ran the question to its end and is alive."""
         self.answered = True
         self.is_stopped = False
 
     def record_ended(self, service: str, count: int = 1) -> None:
-        """Note that leafs of a service ended under the question."""
+        """Record that `count` leaves of `service` crashed under the question."""
         was_lone = self._sole_service == service
         self.ended += count
         self._clear_sole_service(service)
@@ -78,16 +79,16 @@
             self.is_stopped = True
 
     def record_failed(self, service: str) -> None:
-        """Note that an attempt ended otherwise, without an answer."""
+        """Record that an attempt failed in another way, without an answer."""
         self._clear_sole_service(service)
 
     def record_refused(self) -> None:
-        """Note that another instance knows that the question ends leafs."""
+        """Record that another instance reports that the question crashes leaves."""
         if not self.answered:
             self.is_stopped = True
 
     def count_strikes(self) -> int:
-        """Return how many independent losses this try shows."""
+        """Return how many independent crashes this run counts for the quarantine."""
         if self.answered or not self.ended:
             return 0
         if self._careful:
--- a/walkcart/fanout/delegatedgroup.py
+++ b/walkcart/fanout/delegatedgroup.py
@@ -1,4 +1,4 @@
-"""Services of a question that another instance gathers."""
+"""State of a group of services that another instance gathers."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 
 
 class Loan(Protocol):
-    """Repeats that another instance is lent."""
+    """Repeats that are lent to another instance."""
 
     @property
     def services(self) -> frozenset[str]:
-        """The services for which a repeat is lent still."""
+        """The services for which a repeat is still lent."""
         ...
 
     def return_unspent(self, services: Collection[str]) -> None:
-        """Take back what surely wasn't spent and never will be."""
+        """Take back repeats that surely weren't sent and never will be."""
         ...
 
     def end(self) -> None:
-        """Count what is left as spent: nothing more will be heard of it."""
+        """Count the remaining repeats as spent: no return is expected any longer."""
         ...
 
 
 class DelegatedGroup:
-    """Services that another instance gathers, and how that ended.
+    """A group of services that another instance gathers, and its outcome.
 
     Args:
-        services: their names.
-        place: where it is gathered.
-        kind: of the request.
-        most_attempts: leafs of each that may run the request.
-        peer: the other instance.
-        at: when it was asked, in seconds.
-        on_update: told when it ended, and when there is something to take.
-        loan: repeats that the other instance is lent; None without any.
+        services: names of the services.
+        place: place whose leaves are asked.
+        kind: kind of the request.
+        most_attempts: maximum number of leaves of each service that may run it.
+        peer: name of the other instance.
+        at: time at which it was asked, in seconds.
+        on_update: called when there are updates to process, and at the end.
+        loan: repeats lent to the other instance; None without any.
     """
 
     def __init__(
@@ -66,15 +66,16 @@
         self.peer = peer
         self.at = at
         self.taken = False
-        #: Whether it was taken back before it was sent.
+        #: Whether it was withdrawn before it was sent.
         self.unsent = False
         self.ended = False
         self.outcome: Outcome | None = None
         self.scope = trio.CancelScope()
         self.changed = trio.Event()
-        #: What was gathered when the other instance left the late parts to this one.
+        #: The merged parts at the time of the hand-over, when the other instance left
+        #: the late parts to this one; None before.
         self.handed_over: MergedAnswer | None = None
-        #: Late parts that came since, by service, until they are taken.
+        #: Late parts that arrived since, by service, until they are processed.
         self.parts: deque[tuple[str, MergedAnswer]] = deque()
         self.is_handover_processed = False
         self.most_attempts = most_attempts
@@ -83,18 +84,18 @@
 
     @property
     def has_updates(self) -> bool:
-        """Whether there is anything to take."""
+        """Whether there are updates to process."""
         handed = self.handed_over is not None and not self.is_handover_processed
         return handed or bool(self.parts) or self.ended
 
     @property
     def may_have_arrived(self) -> bool:
-        """Whether leafs may have got its requests, though nobody said so."""
+        """Whether leaves may have got its requests although no outcome is known."""
         return self.outcome is None and not self.unsent
 
     @property
     def is_begun(self) -> bool:
-        """Whether the other instance asked leafs, or said that it would."""
+        """Whether the other instance asked leaves, or accepted the question."""
         if self.handed_over is not None:
             return True
         match self.outcome:
@@ -108,7 +109,7 @@
 
     @property
     def reason(self) -> Reason | None:
-        """Why nothing came of it, in the other instance's words; None without."""
+        """Reason that the other instance gave for its failure; None without one."""
         match self.outcome:
             case Failure(failure):
                 return failure.verdict.reason
@@ -116,14 +117,13 @@
                 return None
 
     def missing(self) -> dict[str, MissingPart]:
-        """Return the services whose parts didn't come, by name."""
+        """Return the services whose parts didn't arrive, by name."""
         if self.handed_over is not None:
             return {part.service: part for part in self.handed_over.missing}
         match self.outcome:
             case None:
-                # It may be at work with all attempts that are allowed; one that
-                # never said that it had the question likely got its cancellation
-                # together with it.
+                # The other instance may be using all allowed attempts. One that never
+                # accepted the question likely got the cancellation together with it.
                 ran = self.most_attempts if self.taken else int(not self.unsent)
                 parts = [
                     MissingPart(name, Reason.UNREACHABLE, ran) for name in self.services
@@ -141,36 +141,40 @@
         return {part.service: part for part in parts}
 
     def cancel(self) -> None:
-        """Nobody waits for it any longer."""
+        """Stop waiting for the outcome."""
         self.scope.cancel()
 
     def wake(self) -> None:
-        """Wake what waits for news of it."""
+        """Wake the task that waits for a change of the group."""
         self.changed.set()
         self.changed = trio.Event()
 
     def hand_over(self, answer: MergedAnswer) -> None:
-        """Note what was gathered; the rest is late."""
+        """Record what was gathered before the late parts."""
         self.handed_over = answer
         self._on_update()
 
     def add_part(self, service: str, part: MergedAnswer) -> None:
-        """Note a late part."""
+        """Record a late part."""
         self.parts.append((service, part))
         self._on_update()
 
     def return_unspent(self, bits: int) -> None:
-        """Take back the repeats that the other instance says it won't send."""
+        """Take back the repeats that the other instance states it won't send.
+
+        Args:
+            bits: their services, a bit for each (`lentrepeats.decode_services`).
+        """
         if self._loan is not None:
             self._loan.return_unspent(decode_services(self.services, bits))
 
     def end(self, outcome: Outcome | None) -> None:
-        """Note how it ended; None when it must be done from here."""
+        """Record the outcome; None when the other instance sent none."""
         self.outcome = outcome
         self.ended = True
         if self._loan is not None:
             # The other instance sends lent repeats only once this one has confirmed
-            # that the question was taken.
+            # its acceptance of the question.
             if not self.taken and self.most_attempts > 1:
                 self._loan.return_unspent(self.services)
             self._loan.end()
--- a/walkcart/fanout/delegates.py
+++ b/walkcart/fanout/delegates.py
@@ -1,12 +1,12 @@
-"""Other instances that gather parts of questions for this one.
+"""Delegates parts of questions to other instances, which gather them for this one.
 
-A question is sent to one instance in a region that has the leafs. That one says at
-once that it has it. Without that word in time, or when the instance falls silent and
-the answer is overdue, the asker goes on without it.
+A question is sent to one instance in a region that has the leaves. That instance
+accepts it at once by a message. Without the acceptance in time, or when the instance
+falls silent and the answer is overdue, the asker goes on without it.
 
 See Also:
-    `walkcart.fanout.carrying.Carrier`, the other side.
-    `walkcart.fanout.groups.divide_services`, which decides what is asked of others.
+    `walkcart.fanout.carrying.Carrier`, which gathers on the other side.
+    `walkcart.fanout.groups.divide_services`, which decides what is delegated.
 """
 
 from __future__ import annotations
@@ -45,23 +45,28 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Seconds past the objective for which the answer of an instance that was heard of
-#: since is waited for.
+#: Seconds past the objective for which the answer is awaited of an instance that has
+#: been silent since it accepted the question. A message within as many seconds after
+#: the question is taken for the acceptance.
 OVERDUE_GRACE = 0.05
 
-#: Seconds between two renewals of a question that takes long: three go within
+#: Seconds between two renewals of a question in progress: three fit into
 #: `walkcart.fanout.carrying.HOLD_TIME`, so that a lost or late one does no harm.
 RENEWAL_INTERVAL = 0.12
 
-#: Seconds between two looks at whether those links are up.
+#: Seconds between two checks that links to other instances are up.
 LINK_CHECK_INTERVAL = 1.0
 #: Seconds for which a question waits for a link to come up before it goes elsewhere:
-#: two round trips between the users' farthest regions.
+#: two round trips between the users' most distant regions.
 LINK_TIMEOUT = 0.05
 
 
 class Delegates:
-    """Sends parts of questions to other instances."""
+    """Delegates groups of services to other instances.
+
+    Args:
+        tools: shared components of delegation.
+    """
 
     def __init__(self, tools: DelegateTools) -> None:
         self._tools = tools
@@ -81,11 +86,11 @@
         return self._tools.gatherers
 
     def open_links(self) -> None:
-        """Have links ready to those that may be asked."""
+        """Open links to the instances that may be asked."""
         self._selection.open_links()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Follow what others were asked and keep links up."""
+        """Follow the delegated groups and keep links up, until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             while True:
@@ -93,7 +98,7 @@
                 self.open_links()
 
     def can_ask(self, wanted: Group, without: frozenset[str]) -> bool:
-        """Return whether any instance but some may gather a group."""
+        """Return whether an instance that isn't in `without` may gather a group."""
         return self._selection.choose(wanted, without) is not None
 
     def submit(
@@ -105,15 +110,18 @@
         without: frozenset[str] = frozenset(),
         loan: Loan | None = None,
     ) -> DelegatedGroup | None:
-        """Have another instance gather some services; None when none can.
+        """Have another instance gather some services.
 
         Args:
-            question: what to ask.
+            question: the question.
             wanted: the services to gather, and where.
-            top: records of the merged reply at the most.
-            on_update: told when the group ended.
+            top: maximum number of records of the merged reply.
+            on_update: called when the group has updates or has ended.
             without: names of instances that aren't asked.
-            loan: repeats that it may send of this instance's budget.
+            loan: repeats of this instance's budget that the other one may send.
+
+        Returns:
+            The group in progress; None when no instance can gather it.
         """
         peer = self._selection.choose(wanted, without)
         if peer is None or self._nursery is None:
@@ -149,7 +157,7 @@
         group: DelegatedGroup,
         question: RoutedQuestion,
     ) -> None:
-        """See one group to its end."""
+        """Wait for the outcome of one group, then end it."""
         id = message.id
         outcome: Outcome | None = None
         try:
@@ -170,9 +178,9 @@
     def _cancel_question(
         self, message: DelegatedQuestion, group: DelegatedGroup
     ) -> None:
-        """Have the other instance stop, and make a new link if it seems silent.
+        """Have the other instance stop, and renew the link to it if it seems silent.
 
-        A question that still waits to be sent is not sent at all.
+        A question that still waits to be sent is withdrawn instead.
         """
         links = self._tools.links
         id = message.id
@@ -190,7 +198,7 @@
         group: DelegatedGroup,
         question: RoutedQuestion,
     ) -> float:
-        """Return until when the word that a question was taken is waited for."""
+        """Return the time until which the acceptance of a question is awaited."""
         if self._tools.links.is_waiting(group.peer, message):
             return group.at + LINK_TIMEOUT
         until = question.objective_at
@@ -204,7 +212,7 @@
         group: DelegatedGroup,
         question: RoutedQuestion,
     ) -> Outcome | None:
-        """Wait for the outcome while there is hope of one."""
+        """Wait for the outcome; return None when none is expected any longer."""
         id = message.id
         accounts = self._tools.accounts
         renew_at = group.at + RENEWAL_INTERVAL
@@ -256,7 +264,8 @@
             self.times.note_way(now - group.at)
         group.taken = True
         if group.most_attempts > 1:
-            # From now on it may use all of them: it isn't asked for from here any more.
+            # The first renewal confirms that this instance leaves further attempts to
+            # the other one, which may use all of them from now on.
             self._tools.links.send(sender, DelegatedRenewal(message.id))
         group.wake()
 
--- a/walkcart/fanout/delegatetools.py
+++ b/walkcart/fanout/delegatetools.py
@@ -1,4 +1,4 @@
-"""What has questions gathered by other instances works with."""
+"""Shared components of the delegation of questions to other instances."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from walkcart.membership.registration import Registration
 from walkcart.routing.peerchoice import PeerAccounts
 
-#: Messages that are taken in before an instance counts as silent: one each turn of the
-#: event loop, of which a busy one has some waiting.
+#: Maximum number of pending messages that are received before an instance counts as
+#: silent: one in each turn of the event loop, and a busy loop has several pending.
 MAX_PENDING_MESSAGES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class DelegateTools:
-    """What the delegates work with.
+    """The components that delegation uses.
 
     Args:
-        links: to the other instances.
-        registration: knows them.
-        accounts: of how they did.
-        ids: names questions.
+        links: links to the other instances.
+        registration: the list of instances.
+        accounts: statistics of each instance, such as round trip and load.
+        ids: source of ids of delegations.
         clock: source of time.
         random: breaks ties.
-        events: where lost questions are logged.
-        gatherers: those of them that are asked first.
+        events: log of lost questions.
+        gatherers: the instances that gather, which are asked first.
     """
 
     links: PeerLinks
@@ -46,6 +46,6 @@
 
 
 async def receive_pending_messages() -> None:
-    """Let the links' task take in what has come while the event loop was busy."""
+    """Let the links' task receive what has arrived while the event loop was busy."""
     for _ in range(MAX_PENDING_MESSAGES):
         await trio.lowlevel.checkpoint()
--- a/walkcart/fanout/delegationcodec.py
+++ b/walkcart/fanout/delegationcodec.py
@@ -1,8 +1,8 @@
-"""Delegated questions and their outcomes as messages between instances.
+"""Encodes delegated questions and their outcomes as messages between instances.
 
 See Also:
-    `walkcart.fanout.delegates.Delegates`, who asks.
-    `walkcart.fanout.carrying.Carrier`, who gathers.
+    `walkcart.fanout.delegates.Delegates`, the side that asks.
+    `walkcart.fanout.carrying.Carrier`, the side that gathers.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Delegation:
-    """One question as it is sent to another instance.
+    """Parameters of a question that is delegated to another instance.
 
     Args:
-        id: names it between the two instances.
-        services: that the other one gathers.
-        top: records of the merged reply at the most.
-        round_trip: seconds to the other one and back.
+        id: id of the delegation between the two instances.
+        services: services that the other instance gathers.
+        top: maximum number of records of the merged reply.
+        round_trip: seconds for a message to the other instance and its reply.
         lent: services for which a repeat is lent.
     """
 
@@ -52,7 +52,13 @@
 def encode_question(
     question: RoutedQuestion, delegation: Delegation, now: float
 ) -> DelegatedQuestion:
-    """Return the message that has another instance gather parts of a question."""
+    """Return the message that delegates some services of a question.
+
+    Args:
+        question: the question.
+        delegation: what is delegated of it.
+        now: the current time, in seconds.
+    """
     services = delegation.services
     spent = now + delegation.round_trip
     return DelegatedQuestion(
@@ -79,9 +85,10 @@
 
 
 def _find_fair_coverage(question: RoutedQuestion, delegation: Delegation) -> float:
-    """Return the share by which the other one judges repeats, with those it is lent.
+    """Return the coverage by which the other instance decides which repeats are vital.
 
-    Without them it has only its own, which are for what an answer can't do without.
+    Without a loan it has only its own repeats, which are for parts that the answer
+    depends on.
     """
     if not delegation.lent:
         return 0.0
@@ -97,19 +104,19 @@
 
 
 def extract_request(message: DelegatedQuestion) -> HttpRequest:
-    """Return the request that leafs get."""
+    """Return the request of a message, as leaves get it."""
     return HttpRequest(message.method, message.target, message.headers, message.body)
 
 
 def decode_question(
     message: DelegatedQuestion, now: float, origins: RequestOrigins
 ) -> RoutedQuestion:
-    """Return the question that a message asks for, on this instance's clock.
+    """Return the question of a message, with times on this instance's clock.
 
     Args:
-        message: that asks for it.
-        now: the present, in seconds.
-        origins: tells whose request it is, by the configuration in force here.
+        message: the delegated question.
+        now: time at which it was sent, as nearly as is known, in seconds.
+        origins: finds the team of the request, by the configuration in force here.
     """
     request = extract_request(message)
     team = origins.find_team(request)
@@ -138,11 +145,11 @@
 
 
 def encode_outcome(id: str, outcome: Outcome, unspent: int = 0) -> Message:
-    """Return the message that tells how a question ended.
+    """Return the message that reports the outcome of a question.
 
     Args:
-        id: of the question.
-        outcome: how it ended.
+        id: id of the delegation.
+        outcome: the outcome.
         unspent: lent repeats that are returned, a bit for each service.
     """
     match outcome:
@@ -168,9 +175,9 @@
     """Return the message that holds merged parts.
 
     Args:
-        id: of the question.
-        answer: the parts.
-        more: whether late ones may follow.
+        id: id of the delegation.
+        answer: the merged parts.
+        more: whether late parts may follow.
         unspent: lent repeats that are returned, a bit for each service.
     """
     return DelegatedAnswer(
@@ -195,7 +202,7 @@
 
 
 def decode_missing(missing: tuple[DelegatedMissing, ...]) -> tuple[MissingPart, ...]:
-    """Return the missing parts that a message tells of."""
+    """Return the missing parts that a message lists."""
     return tuple(
         MissingPart(part.service, parse_reason(part.reason), part.ran, part.may_repeat)
         for part in missing
@@ -203,7 +210,10 @@
 
 
 def parse_reason(text: str) -> Reason:
-    """Return the reason that a text names; a later version may know others."""
+    """Return the reason that a text names.
+
+    `Reason.INTERNAL` stands for an unknown one: a later version may send others.
+    """
     try:
         return Reason(text)
     except ValueError:
@@ -211,11 +221,11 @@
 
 
 def find_group_coverage(question: RoutedQuestion, count: int) -> float:
-    """Return the share of a group that must be in if all other parts are.
+    """Return the share of a group that the answer needs if all other parts arrive.
 
     Args:
-        question: that the group belongs to.
-        count: services of the group.
+        question: the question that the group belongs to.
+        count: number of services of the group.
 
     Examples:
         >>> from walkcart.wire.http import HttpRequest
--- a/walkcart/fanout/dependence.py
+++ b/walkcart/fanout/dependence.py
@@ -1,11 +1,11 @@
-"""On which services an answer depends, and which second attempts it earns.
+"""Decides which services an answer depends on, and whether hedges may be sent.
 
-Plain functions over how far a question has come, so that they can be tested without a
-network. The load they answer: leafs that refuse or fail part of their requests, where
-repeats are short (`walkcart.routing.repeats.VITAL_SHARE`), and leafs that pause.
+Plain functions over the progress of a question, so that they can be tested without a
+network. They matter where leaves refuse or fail part of their requests and repeats are
+short (`walkcart.routing.repeats.VITAL_SHARE`), and where leaves pause.
 
 See Also:
-    `walkcart.fanout.routed.RoutedGathering`, which asks here.
+    `walkcart.fanout.routed.RoutedGathering`, which calls them.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
     item: ServiceTry,
     early: bool,
 ) -> bool:
-    """Return whether too few other services have replied, or will in time.
+    """Return whether the answer can't cover enough without the part of a service.
 
     Args:
-        question: with the least that its answer covers.
-        tries: how far it has come at each service.
-        item: the service in question.
+        question: the question, with the coverage that its answer needs.
+        tries: its state at each service.
+        item: the service whose part is considered.
         early: whether a repeat that is sent later would still come in time; if not,
-            what hasn't replied yet isn't counted on any longer.
+            only the services that have replied are counted on.
     """
     others = sum(
         1
@@ -43,13 +43,14 @@
 
 
 def may_send_second_attempts(tries: Collection[ServiceTry]) -> bool:
-    """Return whether few enough services that were asked from here are late.
+    """Return whether few enough services are late for hedges to be worth sending.
 
-    Groups that other instances gather come all at once, mostly later than second
-    attempts are due, and say nothing about the leafs that are asked from here.
+    Only services that are asked from here count. Groups that other instances gather
+    arrive all at once, mostly after hedges are due, and say nothing about the leaves
+    that are asked from here.
 
     Args:
-        tries: how far a question has come at each service.
+        tries: the question's state at each service.
     """
     asked = [item for item in tries if item.tried]
     return may_hedge(len(asked), sum(1 for item in asked if not item.covered))
--- a/walkcart/fanout/duetimes.py
+++ b/walkcart/fanout/duetimes.py
@@ -1,7 +1,7 @@
-"""When a routed question has something to do next.
+"""Computes when the next action of a routed question is due.
 
 See Also:
-    `walkcart.fanout.routed.RoutedGathering`, which waits until then.
+    `walkcart.fanout.routed.RoutedGathering`, which sleeps until then.
 """
 
 from __future__ import annotations
@@ -18,12 +18,14 @@
 
 
 class DueTimes:
-    """The times at which attempts, hedges and the answer are due, in seconds.
+    """Computes when attempts, hedges and the answer of a question are due.
+
+    All times are on the kernel's monotonic clock, in seconds.
 
     Args:
-        question: whose times they are.
-        sends: knows its attempts.
-        watch: says which of them may be sent.
+        question: the question.
+        sends: its attempts.
+        watch: decides which of them may be sent after crashes of leaves.
         clock: source of time.
     """
 
@@ -40,13 +42,16 @@
         self._clock = clock
 
     def attempt_at(self, item: ServiceTry) -> float:
-        """Return when the next planned attempt at a service may be sent."""
+        """Return when the next planned attempt at a service may be sent.
+
+        Infinite when none may.
+        """
         if not self._watch.may_send(item.service):
             return _NEVER
         return self._sends.due_at(item)
 
     def hedge_at(self, item: ServiceTry) -> float:
-        """Return when a second attempt beside one that is late may be sent."""
+        """Return when a hedge of a late attempt may be sent; infinite when none may."""
         return _NEVER if self._watch.is_sequential else self._sends.hedge_at(item)
 
     def find_next(
@@ -56,13 +61,13 @@
         last_repeat_at: float,
         late_parts_at: float,
     ) -> float:
-        """Return when anything is due.
+        """Return when the next action is due.
 
         Args:
-            tries: how far the question has come, by service.
-            answerable: whether what is in would do for an answer.
-            last_repeat_at: when a repeat must be sent to come within the objective.
-            late_parts_at: when late parts are asked for together.
+            tries: the question's state at each service.
+            answerable: whether the parts that have arrived are enough for an answer.
+            last_repeat_at: latest time to send a repeat that meets the objective.
+            late_parts_at: time at which late parts are requested together.
         """
         open_tries = [item for item in tries if not item.covered]
         due = self._question.deadline
--- a/walkcart/fanout/elsewhere.py
+++ b/walkcart/fanout/elsewhere.py
@@ -1,8 +1,8 @@
-"""The parts of one question that other instances gather.
+"""Delegates parts of one question to other instances and processes their results.
 
 See Also:
-    `walkcart.fanout.routed.RoutedGathering`, which asks for the others.
-    `walkcart.fanout.lateparts.LateParts`, for those that are late everywhere.
+    `walkcart.fanout.routed.RoutedGathering`, which asks for the other parts itself.
+    `walkcart.fanout.lateparts.LateParts`, which requests late parts in another region.
 """
 
 from __future__ import annotations
@@ -25,22 +25,24 @@
 from walkcart.routing.distance import Place
 from walkcart.wire.verdicts import Reason
 
-#: Times that a group of one question is given to another instance after one didn't take
-#: it: twice for each of the six groups that the users' largest questions make.
+#: Maximum number of times that groups of one question are sent to another instance
+#: because the first one didn't accept them: twice for each of the six groups of the
+#: users' largest questions.
 MAX_REROUTES = 12
 
 
 class GatheredElsewhere:
-    """Has other instances gather parts of one question, and takes what they send.
+    """Has other instances gather parts of one question, and processes their results.
 
     Args:
-        tools: what routed questions use.
-        question: with the time to settle.
-        top: records of the merged answer; 0 where nothing is delegated.
-        sends: for parts that are asked for from here.
-        tries: how far the question has come, by service.
-        watch: counts the leafs that ended under it.
-        wake: told when there is something to take.
+        tools: shared components of routed questions.
+        question: the question, with `settle_at` set.
+        top: maximum number of records of the merged answer; 0 where nothing is
+            delegated.
+        sends: sends the attempts of this instance itself.
+        tries: the question's state, by service.
+        watch: counts the leaves that crash under the question.
+        wake: called when there are updates to process.
     """
 
     def __init__(
@@ -63,7 +65,7 @@
         self._groups: list[DelegatedGroup] = []
         self._merged: list[MergedAnswer] = []
         self._reroutes = 0
-        #: Names of the instances that didn't take a group.
+        #: Names of the instances that didn't accept a group.
         self._unresponsive: set[str] = set()
         self._late: LateParts | None = None
         if top and question.settle_at < float("inf"):
@@ -71,16 +73,16 @@
 
     @property
     def has_updates(self) -> bool:
-        """Whether there is something to take."""
+        """Whether there are updates to process."""
         return any(group.has_updates for group in self._groups)
 
     def merged(self) -> tuple[MergedAnswer, ...]:
-        """Return what was gathered."""
+        """Return the merged parts that other instances gathered."""
         parts = [item.part for item in self._tries.values() if item.part]
         return (*self._merged, *parts)
 
     def start(self) -> set[str]:
-        """Have what is far gathered near it; return those services."""
+        """Delegate services to instances near their leaves; return their names."""
         delegates = self._tools.delegates
         if not self._top or delegates is None:
             return set()
@@ -108,10 +110,10 @@
             self._tries[name].places.add(group.place)
 
     def late_parts_at(self, busy: bool) -> float:
-        """Return when late parts are asked for together; infinite when they aren't.
+        """Return when late parts are requested together; infinite when they aren't.
 
         Args:
-            busy: whether attempts from here are under way.
+            busy: whether attempts of this instance are under way or planned.
         """
         if self._late is None:
             return float("inf")
@@ -122,17 +124,17 @@
         return self._late.due_at(pending, busy)
 
     def request_late_parts(self, now: float) -> None:
-        """Ask for late parts together."""
+        """Request late parts together."""
         if self._late is not None:
             self._groups += self._late.ask(self._tries.values(), now)
 
     def cancel(self) -> None:
-        """Nobody waits for any of it any longer."""
+        """Cancel all groups: the question has ended."""
         for group in self._groups:
             group.cancel()
 
     def process_updates(self) -> int:
-        """Take what other instances sent; return how many services it covered."""
+        """Process what other instances sent; return how many services it covered."""
         if not self.has_updates:
             return 0
         before = sum(item.covered for item in self._tries.values())
@@ -156,7 +158,7 @@
             self._retry_awaited(self._tries[name])
 
     def _retry_awaited(self, item: ServiceTry) -> None:
-        """Ask once more for a part that another instance waited for in vain."""
+        """Defer a part for another request if the instance that awaited it ended."""
         was_awaited, item.awaited = item.awaited, False
         if not was_awaited or item.open or item.covered or self._late is None:
             return
@@ -165,7 +167,7 @@
         item.deferred = self._sends.take_repeat(item, self._tools.clock.monotonic())
 
     def _process_late_part(self, item: ServiceTry, part: MergedAnswer) -> None:
-        """Take a part that came after the other instance had handed over."""
+        """Accept a part that arrived after the other instance's hand-over."""
         self._watch.record_answer()
         if item.covered:
             self._tools.metrics.count("leaf.late")
@@ -173,7 +175,7 @@
             item.part = part
 
     def _process_result(self, group: DelegatedGroup) -> None:
-        """Take what another instance gathered; ask here for what it didn't."""
+        """Accept what another instance gathered, and reassign what it didn't."""
         now = self._tools.clock.monotonic()
         missing = group.missing()
         if group.handed_over is not None:
@@ -198,7 +200,7 @@
     def _record_leaf_outcomes(
         self, group: DelegatedGroup, missing: Mapping[str, MissingPart]
     ) -> None:
-        """Note how leafs fared under a group."""
+        """Record whether leaves answered or crashed under a group."""
         if len(missing) < len(group.services):
             self._watch.record_answer()
         for name, part in missing.items():
@@ -211,10 +213,10 @@
     def _reassign_missing(
         self, group: DelegatedGroup, missing: list[ServiceTry], now: float
     ) -> None:
-        """Ask for what an instance didn't gather: of another one, or from here."""
+        """Request the parts that an instance didn't gather elsewhere or from here."""
         waiting = [item for item in missing if not (item.deferred or item.awaited)]
         if group.reason is Reason.NO_ROOM:
-            # The leafs are those that another instance would ask.
+            # Another instance would ask the same leaves, which have no room.
             for item in waiting:
                 item.given_up = True
             return
@@ -228,7 +230,7 @@
             self._sends.plan(item, now)
 
     def _may_reroute(self, waiting: list[ServiceTry], now: float) -> bool:
-        """Return whether what an instance didn't take may go to another one."""
+        """Return whether parts that an instance didn't accept may go to another one."""
         few = len(waiting) < LEAST_GROUP
         if few or self._reroutes >= MAX_REROUTES or now >= self._question.deadline:
             return False
@@ -237,11 +239,15 @@
     def _reroute(
         self, group: DelegatedGroup, waiting: list[ServiceTry], now: float
     ) -> list[ServiceTry]:
-        """Have another instance gather what one didn't take; return what none does.
+        """Delegate parts that an instance didn't accept to another one.
 
         Asked from here, 24 parts keep a machine of half a core busy for 30 ms, and
-        where many groups are lost at once their words come too late for that. What may
-        have arrived the first time is a repeat, and is paid for from this budget.
+        where many groups are lost at once, the acceptances of other groups would be
+        processed too late. Requests that may have arrived the first time count as
+        repeats against this instance's budget.
+
+        Returns:
+            The services that no other instance gathers, by name.
         """
         late = self._late is not None and self._late.is_late(group)
         question = self._question
@@ -254,17 +260,18 @@
             most_attempts=question.most_attempts - max(i.may_run for i in waiting),
             granted=late or group.may_have_arrived,
         )
-        left = {item.service: item for item in waiting}
+        remaining = {item.service: item for item in waiting}
         for other in self._regroup(group, waiting):
-            items = [left.pop(name) for name in other.services]
-            left |= self._delegate_group(question, other, items, group, late, now)
-        return list(left.values())
+            items = [remaining.pop(name) for name in other.services]
+            remaining |= self._delegate_group(question, other, items, group, late, now)
+        return list(remaining.values())
 
     def _regroup(self, group: DelegatedGroup, waiting: list[ServiceTry]) -> list[Group]:
-        """Return where what an instance didn't take is gathered now.
+        """Return the groups, with places, of parts that an instance didn't accept.
 
-        What never left goes to the same place. What may have arrived has one attempt
-        less: where the whole place is cut off another one there would waste the last.
+        A group that was never sent goes to the same place. One that may have arrived
+        has one attempt less: where its whole place is cut off, another instance there
+        would waste the last one.
         """
         services = tuple(item.service for item in waiting)
         if not group.may_have_arrived:
@@ -286,7 +293,11 @@
         late: bool,
         now: float,
     ) -> dict[str, ServiceTry]:
-        """Have an instance gather a part of a lost group; return what it doesn't."""
+        """Delegate some services of a lost group.
+
+        Returns:
+            The services that remain for this instance to ask, by name.
+        """
         delegates = self._tools.delegates
         lost = frozenset(self._unresponsive)
         if delegates is None or not delegates.can_ask(other, lost):
@@ -300,7 +311,7 @@
             self._tools, question, wanted, self._top, self._wake, lost
         )
         if asked is None:
-            # The links have just ended; the budget holds these already.
+            # The links have just closed. The budget already accounts for these repeats.
             for item in items:
                 self._sends.send_elsewhere(item, now)
             return {}
@@ -311,9 +322,10 @@
         return {}
 
     def _mark_gathered(self, item: ServiceTry) -> None:
-        """Take a part that another instance gathered; one of this instance gives way.
+        """Mark a part as gathered by another instance, and drop this instance's own.
 
-        The merged records can't be told apart any more, so that one can't.
+        The merged records can't be separated by service any more, so the other
+        instance's part has to stay.
         """
         item.reply = item.part = None
         item.gathered = True
--- a/walkcart/fanout/gatherer.py
+++ b/walkcart/fanout/gatherer.py
@@ -1,7 +1,7 @@
-"""Answers to questions: the choice of the snapshot, the fan-out, the judgement.
+"""Answers questions: chooses the snapshot, gathers the replies and checks the coverage.
 
 See Also:
-    `walkcart.fanout.gathering.Gathering`, which asks at one snapshot.
+    `walkcart.fanout.gathering.Gathering`, which asks the shards at one snapshot.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 from walkcart.routing.quarantine import Standing
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: When to come back after every leaf that was asked refused.
+#: Retry time after every leaf that was asked refused.
 DEFAULT_RETRY_AFTER = timedelta(seconds=1)
 
 
 class Gatherer:
-    """Answers questions.
+    """Answers questions at a consistent snapshot of all shards.
 
     Args:
-        tools: what every gathering uses.
+        tools: shared components of the instance's gatherings.
     """
 
     def __init__(self, tools: GatherTools) -> None:
@@ -43,8 +43,8 @@
         """Ask all shards.
 
         Returns:
-            The answer, or why there is none; an answer may be partial, but never
-            below the question's least coverage.
+            The answer, or the verdict when there is none. An answer may be partial, but
+            never below the question's least coverage.
         """
         admitted = await self._tools.quarantines.admit(question.fingerprint)
         if isinstance(admitted, NotRun):
@@ -76,19 +76,19 @@
         return _make_result(question, answer)
 
     def choose(self, question: Question) -> tuple[Snapshot, ResolvedLayout]:
-        """Return the snapshot and layout that a question would use now."""
+        """Return the snapshot and layout that a question uses if it is asked now."""
         resolved = self._tools.table.find_group(question.document, question.group)
         layout, pin = self._pins.choose(resolved)
         return pin, layout
 
     def _may_move(self, question: Question) -> bool:
-        """Return whether there is time to ask all shards once more."""
+        """Return whether there is time to ask all shards again at another snapshot."""
         now = self._tools.clock.monotonic()
         usual = self._tools.gateway.delay_of(question.group).median(now)
         return question.deadline - now > usual
 
     def _check_invariants(self, answer: Answer) -> None:
-        """Assert the promises that every answer must keep."""
+        """Check the invariants that hold for every answer."""
         check = self._tools.invariants.check
         shards = [shard for shard, _ in answer.replies]
         coverage = answer.coverage
@@ -100,7 +100,7 @@
 
 
 def _choose_better(first: Answer, second: Answer) -> Answer:
-    """Return the answer that covers more; of equals the newer."""
+    """Return the answer that covers more; among equals the second."""
     chosen = second if second.coverage.share >= first.coverage.share else first
     ran = first.may_have_run or second.may_have_run
     return replace(chosen, sent=first.sent + second.sent, may_have_run=ran)
@@ -109,7 +109,7 @@
 def _make_result(
     question: Question, answer: Answer
 ) -> Result[Answer, NotRun | MayHaveRun]:
-    """Return the answer if it covers enough."""
+    """Return the answer if it covers enough, else the verdict."""
     coverage = answer.coverage
     if coverage.answered and coverage.share >= question.least_coverage - 1e-9:
         return Success(answer)
@@ -118,7 +118,8 @@
         f"{len(coverage.answered)} of {coverage.asked} shards answered; "
         f"missing: {', '.join(reasons)}"
     )
-    # Asking again does no harm, but where a leaf ran it "not run" would be untrue.
+    # Retrying does no harm in either case, but "not run" would be untrue if a leaf ran
+    # the question.
     if answer.may_have_run:
         return Failure(MayHaveRun(Reason.COVERAGE, detail))
     return Failure(NotRun(Reason.COVERAGE, detail, DEFAULT_RETRY_AFTER))
--- a/walkcart/fanout/gatherers.py
+++ b/walkcart/fanout/gatherers.py
@@ -1,8 +1,8 @@
-"""The instances that gather parts of questions, as this instance sees them.
+"""Finds the instances that gather parts of questions for others.
 
 See Also:
-    `walkcart.routing.gatherers`, which decides by plain data.
-    `walkcart.fanout.delegates.Delegates`, which asks them.
+    `walkcart.routing.gatherers`, which decides on plain data.
+    `walkcart.fanout.delegates.Delegates`, which sends questions to them.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 )
 from walkcart.routing.shares import rank_rendezvous
 
-#: Returns the places that have leafs of the services that questions go to.
+#: Returns the places that have leaves of services over which questions are spread.
 FindPlaces = Callable[[], Collection[Place]]
 
 
 def find_gathering_places(
     table: RouteTable, directory: LeafDirectory
 ) -> frozenset[Place]:
-    """Return the places that have leafs of any service that is asked with others.
+    """Return the places that have leaves of any service that is a shard of a route.
 
     Args:
-        table: of the routes.
-        directory: of the leafs.
+        table: the routes in force.
+        directory: the known leaves.
     """
     places: set[Place] = set()
     for route in table.document.routes:
@@ -50,12 +50,12 @@
 
 
 class Gatherers:
-    """Knows who gathers in each data centre.
+    """Determines which instances gather in each data centre.
 
     Args:
-        registration: knows the instances.
+        registration: the list of instances.
         clock: source of time.
-        find_places: where there is anything to gather.
+        find_places: returns the places where there is anything to gather.
     """
 
     def __init__(
@@ -70,15 +70,15 @@
         registration.on_change(self._ranked.clear)
 
     def note_change(self) -> None:
-        """Note that routes or leafs changed."""
+        """Drop the cached places where parts are gathered: routes or leaves changed."""
         self._places = None
 
     def count(self) -> int:
-        """Return how many instances gather, in all data centres."""
+        """Return the number of instances that gather, over all data centres."""
         return sum(len(self.of(place)) for place in self._gathering_places())
 
     def note_question(self, parts: int) -> None:
-        """Note that a caller's question over so many parts was begun."""
+        """Record that a caller's question over `parts` services was begun."""
         self._rate.note(self._clock.monotonic(), parts)
 
     def is_own(self) -> bool:
@@ -87,7 +87,7 @@
         return own.name in self.of(own.data_centre)
 
     def of(self, data_centre: str) -> list[str]:
-        """Return the names of those of a data centre, this instance's included."""
+        """Return the names of those in a data centre; may include this instance."""
         ranked, capacities = self._rank(data_centre)
         rate = self._rate.estimate(self._clock.monotonic())
         instances = len(self._registration.others()) + 1
@@ -95,9 +95,10 @@
         return choose_gatherers(ranked, capacities, needed)
 
     def rank_for(self, data_centre: str) -> list[str]:
-        """Return who is to work with the leafs of a data centre, in order.
+        """Return the instances that work with the leaves of a data centre, in order.
 
-        Those that gather there; where no instance stands in it, all of them.
+        These are the ones that gather there, or all instances where the data centre has
+        none.
         """
         found = self.of(data_centre)
         if found:
@@ -106,7 +107,7 @@
         return sorted(names, key=lambda name: rank_rendezvous(data_centre, name))
 
     def all(self) -> list[str]:
-        """Return the names of the others that gather, of all data centres."""
+        """Return the names of the other instances that gather, in all data centres."""
         own = self._registration.own.name
         places = sorted(self._gathering_places())
         return [name for place in places for name in self.of(place) if name != own]
--- a/walkcart/fanout/gathering.py
+++ b/walkcart/fanout/gathering.py
@@ -1,17 +1,17 @@
-"""One question at one snapshot: attempts, retries, hedges and their replies.
+"""Asks all shards one question at one snapshot: attempts, retries, hedges and replies.
 
-The caller's own task runs it. Attempts are carried by the connections' tasks,
-which put outcomes into the question's inbox; here they are taken in turn, so
-there is no task for each shard.
+The caller's own task runs it. The connections' tasks send the attempts and put their
+outcomes into the question's inbox, from which they are processed in turn, so no task is
+needed for each shard.
 
-Rules that keep the answer honest:
+Rules that make the answer correct:
 
 * only replies that state the chosen snapshot are accepted, one for each shard;
 * coverage is computed from the accepted replies;
-* a shard without a reply is missing, with the reason.
+* a shard without a reply is listed as missing, with the reason.
 
 See Also:
-    `walkcart.leaves.gateway.LeafGateway`, which carries the attempts.
+    `walkcart.leaves.gateway.LeafGateway`, which sends the attempts.
 """
 
 from __future__ import annotations
@@ -45,18 +45,31 @@
 from walkcart.routing.hedging import may_hedge
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
+#: Maximum number of attempts at one shard.
 MAX_TRIES = 5
-#: Hedges of one shard at the most. One leaves a tail where stalls are random: a
-#: hedge stalls as often as a first try does.
+#: Maximum number of hedges of one shard. A single one leaves a tail of slow answers
+#: where stalls are random: a hedge stalls as often as a first attempt.
 MAX_HEDGE_ROUNDS = 3
+#: Seconds before the first retry at a leaf that was tried already; doubled each time.
 FIRST_RETRY_DELAY = 0.01
-#: Time kept back from the deadline to put the reply together, in seconds.
+#: Seconds reserved before the deadline to assemble the reply.
 REPLY_TIME = 0.005
 
 
 @dataclass(frozen=True, slots=True)
 class GatherTools:
-    """What every gathering of an instance uses."""
+    """The components that every gathering of an instance uses.
+
+    Args:
+        table: the table of leaves by layout and shard.
+        gateway: sends attempts to leaves.
+        selector: selects the leaf for an attempt.
+        ids: source of ids of attempts.
+        clock: source of time.
+        invariants: checks that report a violation.
+        metrics: counters of attempts.
+        quarantines: requests under which leaves crashed.
+    """
 
     table: LeafTable
     gateway: LeafGateway
@@ -69,7 +82,17 @@
 
 
 class Gathering:
-    """One question at one snapshot."""
+    """Runs one question at one snapshot.
+
+    Args:
+        tools: shared components.
+        question: the question.
+        layout: the layout whose shards are asked.
+        pin: the snapshot that replies must reflect.
+        hedges: the group's budget of hedges.
+        retries: the group's budget of retries.
+        watch: counts the leaves that crash under the question.
+    """
 
     def __init__(
         self,
@@ -108,13 +131,13 @@
 
     @property
     def lacks_version(self) -> bool:
-        """Whether some shard has no leaf that holds the pinned version."""
+        """Whether all leaves of some shard stated they lack the pinned version."""
         return any(item.lacks_version for item in self._progress)
 
     def move(self, layout: ResolvedLayout, pin: Snapshot) -> Gathering:
-        """Return the gathering of the same question at another snapshot.
+        """Return a gathering of the same question at another snapshot.
 
-        Replies of that snapshot which came in already are kept.
+        Replies of that snapshot that have already arrived are kept.
         """
         moved = Gathering(
             self._tools,
@@ -133,7 +156,7 @@
         return moved
 
     async def run(self) -> Answer:
-        """Ask the shards until the answer is whole or no more can come."""
+        """Ask the shards until the answer is complete or no more replies can come."""
         start = self._start = self._tools.clock.monotonic()
         policy = self._question.policy
         tries = self._open
@@ -165,7 +188,7 @@
         return self._make_answer()
 
     def _is_enough(self) -> bool:
-        """Return whether waiting for more isn't wanted."""
+        """Return whether to stop waiting for more replies."""
         now = self._tools.clock.monotonic()
         if now >= self._deadline or self._watch.is_stopped:
             return True
@@ -176,7 +199,7 @@
         return answered / len(self._progress) >= least
 
     async def _wait(self) -> None:
-        """Wait for an outcome or for the next time at which something is due."""
+        """Wait for an outcome or until the next action is due."""
         due = min(self._deadline, self._next_retry())
         if not self._watch.is_sequential:
             due = min(due, self._hedge_at)
@@ -226,7 +249,8 @@
                 if reason is Reason.VERSION_NOT_HELD:
                     item.lost_version.add(sent.leaf.address)
                 item.reason = reason
-                # Neither costs the leaf work; a leaving one refuses only once.
+                # Neither a leaf without the version nor one that is leaving has done
+                # any work, and a leaving leaf refuses only once.
                 free = reason is Reason.VERSION_NOT_HELD or not (
                     self._tools.gateway.may_use(sent.leaf)
                 )
@@ -246,7 +270,7 @@
         ):
             self._adopt_pin(reply.snapshot)
         if not fits_pin(self._pin, reply.snapshot):
-            # The leaf can't pin: its reply is of use only to another answer.
+            # The leaf can't pin: its reply is only of use at its own snapshot.
             self._other_snapshots.setdefault(reply.snapshot, {})[item.shard] = reply
             item.reason = Reason.OTHER_VERSION
             self._plan_retry(item, free=False)
@@ -257,16 +281,16 @@
         self._cancel_losers(item)
 
     def _adopt_pin(self, snapshot: Snapshot) -> None:
-        """Pin what the first reply states, when nothing was known before."""
+        """Pin the snapshot of the first reply, when no version was known before."""
         self._pin = snapshot
 
     def _plan_retry(self, item: ShardProgress, free: bool) -> None:
-        """Decide whether and when the shard is tried again.
+        """Decide whether and when a shard is retried.
 
         Args:
-            item: the shard.
-            free: whether the last try cost no leaf any work, so that trying the
-                sibling is no extra load.
+            item: the question's state at the shard.
+            free: whether the last attempt cost no leaf any work, so that asking another
+                leaf is no additional load.
         """
         if item.under_way:
             return
@@ -303,14 +327,14 @@
             self._hedge_late(now)
 
     def _hedge_late(self, now: float) -> None:
-        """Send hedges for the late shards, if they are few enough."""
+        """Send hedges for the late shards, if these are few enough."""
         late = [
             item for item in self._progress if item.reply is None and item.under_way
         ]
         if not may_hedge(len(self._progress), len(late)):
             return
         for item in late:
-            # A second hedge may go back to the first leaf: it has other slots.
+            # A second hedge may go back to the first leaf, which has other slots.
             leaf = self._select(item, now, {item.tried[-1]} | item.lost_version)
             if leaf is None or not _has_free_slot(leaf, item, now):
                 continue
@@ -323,7 +347,7 @@
             self._send(item, leaf, now, hedge=True)
 
     def _cancel_earlier(self, item: ShardProgress, leaf: Leaf, now: float) -> None:
-        """Cancel what the shard has at `leaf` already: it stalls and holds a slot."""
+        """Cancel the shard's earlier attempt at `leaf`: it stalls and holds a slot."""
         for id, sent in item.under_way.items():
             if sent.leaf is leaf:
                 self._tools.gateway.cancel(leaf, id, now - sent.at)
@@ -387,7 +411,10 @@
                 self._cancel_losers(item)
 
     def _make_answer(self) -> Answer:
-        """Put the answer together from one snapshot's replies."""
+        """Assemble the answer from the replies of one snapshot.
+
+        This is the pinned snapshot, or another one that more replies reflect.
+        """
         replies = {
             item.shard: item.reply for item in self._progress if item.reply is not None
         }
@@ -411,10 +438,11 @@
 
 
 def _has_free_slot(leaf: Leaf, item: ShardProgress, now: float) -> bool:
-    """Return whether a hedge would likely run at once at `leaf`.
+    """Return whether a hedge would likely run at `leaf` without queueing.
 
-    One that has to queue there is no faster than what it hedges, and under load
-    it feeds the queue. What the shard has there itself is cancelled for it.
+    A hedge that queues is no faster than the attempt that it hedges, and under load it
+    lengthens the queue. The shard's own attempts at the leaf don't count: they are
+    cancelled for the hedge.
     """
     own = sum(1 for sent in item.under_way.values() if sent.leaf is leaf)
     return leaf.outstanding - own + leaf.stated_load(now) < leaf.slots
--- a/walkcart/fanout/groups.py
+++ b/walkcart/fanout/groups.py
@@ -1,8 +1,8 @@
-"""Which services of a question which instances gather.
+"""Divides the services of a question into groups that other instances gather.
 
-Services with a leaf in this data centre are asked from here, up to so many that one
+Services with a leaf in this data centre are asked from here, up to the number that one
 processor handles without delay. The rest is gathered in data centres that have the
-leafs: what crosses is one merged reply instead of many.
+leaves, so that one merged reply crosses between data centres instead of many.
 
 Examples:
     >>> here, north, south = Place("r", "a"), Place("r", "b"), Place("s", "c")
@@ -19,11 +19,11 @@
 
 from walkcart.routing.distance import Place, measure_distance
 
-#: Fewer services than this are asked directly: one reply more costs little, and a
-#: message to another instance costs about as much.
+#: Minimum number of services of a group; fewer are asked directly. One more reply costs
+#: little, and a message to another instance costs about as much.
 LEAST_GROUP = 2
-#: Services that one instance asks at once for a question. Each takes about half a
-#: millisecond of a fast processor, and small instances have half of one.
+#: Maximum number of services that one instance asks at once for a question. Each takes
+#: about half a millisecond of a fast processor, and small instances have half of one.
 MOST_SERVICES = 24
 
 
@@ -32,8 +32,8 @@
     """Services to be gathered together.
 
     Args:
-        services: their names.
-        place: which has a leaf of each of them.
+        services: names of the services.
+        place: a place that has a leaf of each of them.
     """
 
     services: tuple[str, ...]
@@ -47,11 +47,11 @@
     random: Random,
     gathers: bool = True,
 ) -> list[Group]:
-    """Return the groups to be gathered elsewhere; what is in none is asked from here.
+    """Return the groups to delegate; services in no group are asked from here.
 
     Args:
-        services: of the question.
-        places_of: returns the places where a service has leafs.
+        services: names of the question's services.
+        places_of: returns the places where a service has leaves.
         own: this instance's place.
         random: chooses among places that are equally good.
         gathers: whether this instance is one of those that gather; if not, it leaves
@@ -73,7 +73,7 @@
 
 
 def _choose_place(left: dict[str, set[Place]], own: Place, random: Random) -> Place:
-    """Return the nearest place, of equally near ones one with the most services."""
+    """Return the nearest place; among equally near ones, one with the most services."""
     counts: dict[Place, int] = {}
     for places in left.values():
         for place in places:
@@ -86,7 +86,7 @@
 
 
 def cut_evenly(names: Sequence[str], most: int) -> list[tuple[str, ...]]:
-    """Return the names in as few chunks of about equal size as `most` allows.
+    """Return the names in the fewest chunks of about equal size, at most `most` each.
 
     Examples:
         >>> cut_evenly("abcde", 3)
--- a/walkcart/fanout/handing.py
+++ b/walkcart/fanout/handing.py
@@ -1,8 +1,8 @@
-"""Handing over what was gathered for another instance, before the late parts are in.
+"""Merges and hands over parts gathered for another instance, before the late ones.
 
 See Also:
-    `walkcart.fanout.carrying.Handover`, which sends it.
-    `walkcart.fanout.lateparts.LateParts`, the other side.
+    `walkcart.fanout.handover.Handover`, which sends them.
+    `walkcart.fanout.lateparts.LateParts`, for the side of the asking instance.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     """Merges answers and hands them over.
 
     Args:
-        handover: to the instance that asked.
+        handover: sends merged answers to the asking instance.
         merge: merges the replies of an answer.
     """
 
@@ -29,7 +29,12 @@
     merge: Callable[[RoutedAnswer], MergedAnswer]
 
     def settle(self, answer: RoutedAnswer, unspent: Collection[str] = ()) -> None:
-        """Hand over what is in, and the lent repeats of some services."""
+        """Hand over the parts that have arrived, and return lent repeats.
+
+        Args:
+            answer: the parts, and the services that are left to the asking instance.
+            unspent: services whose lent repeats are returned.
+        """
         self.handover.settle(self.merge(answer), unspent)
 
     def add(self, service: str, reply: Replied) -> None:
--- a/walkcart/fanout/handover.py
+++ b/walkcart/fanout/handover.py
@@ -1,7 +1,7 @@
-"""What an instance that gathers sends in pieces to the one that asked.
+"""Sends the result of a delegated question to the asking instance in several messages.
 
 See Also:
-    `walkcart.fanout.carrying.Carrier`, which makes one for each question.
+    `walkcart.fanout.carrying.Carrier`, which makes a `Handover` for each question.
     `walkcart.fanout.handing.Handing`, which merges what is handed over.
 """
 
@@ -17,12 +17,12 @@
 
 
 class Handover:
-    """Hands over what was gathered before the late parts, and then each of those.
+    """Hands over the parts that arrived in time, then each late part.
 
     Args:
-        id: of the question.
-        services: that it goes to.
-        send: sends a message to who asked it.
+        id: id of the delegation.
+        services: names of its services.
+        send: sends a message to the asking instance.
     """
 
     def __init__(
@@ -36,22 +36,22 @@
         self.is_settled = False
 
     def confirm(self) -> None:
-        """Note that who asked knows that the question was taken."""
+        """Record that the asking instance knows that the question was accepted."""
         if not self._confirmed:
             self._confirmed = True
             self._listener()
 
     def on_confirmed(self, listener: Callable[[], object]) -> None:
-        """Call `listener` once that is so, which may be at once."""
+        """Call `listener` on the confirmation; at once if it has come already."""
         self._listener = listener
         if self._confirmed:
             listener()
 
     def settle(self, answer: MergedAnswer, unspent: Collection[str] = ()) -> None:
-        """Hand over what is in.
+        """Hand over the parts that have arrived.
 
         Args:
-            answer: says what is left to who asked.
+            answer: the merged parts, and the services that are left to the asker.
             unspent: services whose lent repeats are returned.
         """
         self.is_settled = True
@@ -63,5 +63,5 @@
         self._send(DelegatedPart(self._id, service, part.body, part.proofs))
 
     def end(self) -> None:
-        """Say that nothing more comes."""
+        """Report that no more parts follow."""
         self._send(DelegatedPart(self._id, last=True))
--- a/walkcart/fanout/ids.py
+++ b/walkcart/fanout/ids.py
@@ -1,14 +1,14 @@
-"""Attempt ids: unique over all instances and their lives."""
+"""Ids of attempts, unique over all instances and their restarts."""
 
 from __future__ import annotations
 
 
 class IdSource:
-    """Gives ids made of the instance, its process life and a count.
+    """Generates ids from the instance's name, its incarnation and a counter.
 
     Args:
         instance: name of the instance.
-        incarnation: number of its process life.
+        incarnation: number that differs at each start of the instance's process.
 
     Examples:
         >>> IdSource("a", 7).take()
--- a/walkcart/fanout/lateparts.py
+++ b/walkcart/fanout/lateparts.py
@@ -1,7 +1,7 @@
-"""The late parts of one question, asked for together in another region.
+"""Requests the late parts of one question together in another region.
 
 See Also:
-    `walkcart.routing.settling`, which says when.
+    `walkcart.routing.settling`, which decides when.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 def plan_settling(
     tools: RoutedTools, question: RoutedQuestion, top: int
 ) -> RoutedQuestion:
-    """Return the question with the time at which its late parts are asked for.
+    """Return the question with the time at which its late parts are requested.
 
-    Questions of few services have one or two late ones, which are asked for directly.
+    A question of few services has one or two late parts, which are requested directly.
     """
     few = len(question.services) <= MOST_SERVICES
     if not top or few or tools.delegates is None or question.most_attempts < 2:
@@ -43,14 +43,14 @@
 
 
 class LateParts:
-    """Asks for late parts of one question.
+    """Requests late parts of one question.
 
     Args:
-        tools: what routed questions use.
-        question: with the time to settle.
-        top: records of the merged answer.
-        sends: for parts that are asked for one by one.
-        wake: told when a group ended.
+        tools: shared components of routed questions.
+        question: the question, with `settle_at` set.
+        top: maximum number of records of the merged answer.
+        sends: sends single attempts for parts that no other instance gathers.
+        wake: called when a group has updates.
     """
 
     def __init__(
@@ -69,26 +69,26 @@
         self._groups: list[DelegatedGroup] = []
 
     def due_at(self, pending: bool, busy: bool) -> float:
-        """Return when late parts are asked for.
+        """Return when late parts are requested; minus infinity for at once.
 
         Args:
-            pending: whether other instances gather parts still.
-            busy: whether attempts from here are under way.
+            pending: whether other instances still gather parts.
+            busy: whether attempts of this instance are under way or planned.
         """
         if pending:
             return self._question.settle_at + SETTLE_GRACE
         return self._question.settle_at if busy else float("-inf")
 
     def add_group(self, group: DelegatedGroup) -> None:
-        """Note that another instance was asked for what one of these didn't take."""
+        """Record that a group of late parts went to another instance instead."""
         self._groups.append(group)
 
     def is_late(self, group: DelegatedGroup) -> bool:
-        """Return whether a group was asked for here."""
+        """Return whether a group was requested as late parts."""
         return group in self._groups
 
     def ask(self, tries: Collection[ServiceTry], now: float) -> list[DelegatedGroup]:
-        """Ask for what is late; return the groups that other instances gather."""
+        """Request the late parts; return the groups that other instances gather."""
         late = self._choose(tries, now)
         if not late:
             return []
@@ -110,13 +110,13 @@
         return groups
 
     def _choose(self, tries: Collection[ServiceTry], now: float) -> list[ServiceTry]:
-        """Return the services whose parts are late, or were left to be asked for."""
+        """Return the services whose parts are deferred, or late and repeatable now."""
         waiting = [
             item
             for item in tries
             if not (item.covered or item.regrouped or item.delegated)
         ]
-        left = [item for item in waiting if item.deferred]
+        chosen = [item for item in waiting if item.deferred]
         late = [
             item
             for item in waiting
@@ -126,15 +126,15 @@
         ]
         direct = sum(1 for item in tries if item.tried)
         if may_hedge(direct, len(late)):
-            left += [item for item in late if self._sends.take_repeat(item, now)]
-        return left
+            chosen += [item for item in late if self._sends.take_repeat(item, now)]
+        return chosen
 
     def _may_repeat(self, item: ServiceTry) -> bool:
         """Return whether one attempt is under way and another is allowed."""
         return len(item.under_way) == 1 and item.may_run < self._question.most_attempts
 
     def _find_fair_coverage(self, tries: Collection[ServiceTry]) -> float:
-        """Return the share of what isn't in that the answer can't do without."""
+        """Return the share of the missing parts without which there is no answer."""
         open_count = sum(1 for item in tries if not item.covered)
         return find_group_coverage(self._question, open_count)
 
--- a/walkcart/fanout/lateturns.py
+++ b/walkcart/fanout/lateturns.py
@@ -1,7 +1,7 @@
-"""Parts of a question whose turn at their leafs surely comes too late.
+"""Refuses parts of a question whose queue at their leaves is longer than the deadline.
 
-The load it answers: more requests than the leafs of a shard can run for longer than
-callers wait. Without an answer in sight nothing is sent and nothing waits in vain.
+This happens when the leaves of a shard get more requests than they can run, for longer
+than callers wait. A request that can't be answered is then neither sent nor queued.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 def check_queue_delay(
     tools: RoutedTools, question: RoutedQuestion, item: ServiceTry
 ) -> NotRun | None:
-    """Return why a service's part can't come before the caller leaves; None if it can.
+    """Return the refusal of a part that can't come by the deadline; None if it can.
 
     Args:
-        tools: what routed questions use.
-        question: of which nothing was sent yet.
-        item: the service.
+        tools: shared components of routed questions.
+        question: the question, of which nothing was sent yet.
+        item: its state at the service.
     """
     delay = tools.pool.find_delay(item.service, question.rank)
     if not comes_too_late(delay, question.deadline - tools.clock.monotonic()):
--- a/walkcart/fanout/leafchoice.py
+++ b/walkcart/fanout/leafchoice.py
@@ -1,12 +1,12 @@
-"""Which leaf may get the next attempt of a routed question at one service.
+"""Chooses the leaf for the next attempt of a routed question at one service.
 
-A route bounds the number of leafs that may run a request. A leaf whose answer was lost
-has likely run it, so asking that leaf once more, on another connection, adds none to
-the number. The load it answers: many leafs that run requests and lose part of their
-answers by a reset.
+A route bounds the number of leaves that may run a request. A leaf whose answer was lost
+has likely run it, so asking that leaf again, on another connection, doesn't add to the
+number. This serves fleets in which many leaves run requests and lose part of their
+answers to connection resets.
 
 See Also:
-    `walkcart.routing.placement`, which chooses among those that may.
+    `walkcart.routing.placement`, which chooses among the permitted leaves.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from walkcart.fanout.servicetry import ServiceTry
 from walkcart.leaves.leaf import Leaf
 
-#: Times that one leaf gets a question whose answers it loses: with three, a leaf that
-#: loses two of five answers brings nine parts of ten.
+#: Maximum number of times that one leaf gets a question whose answers it loses. With
+#: three, a leaf that loses two of five answers delivers nine parts of ten.
 MOST_TIMES = 3
 
 
 class LeafChoice:
-    """Chooses leafs for the attempts of one question.
+    """Chooses leaves for the attempts of one question.
 
     Args:
-        tools: what routed questions use.
-        question: whose attempts these are.
-        objective: seconds within which it is to be answered.
+        tools: shared components of routed questions.
+        question: the question.
+        objective: seconds within which it should be answered.
     """
 
     def __init__(
@@ -38,13 +38,13 @@
         self._objective = objective
 
     def may_use_new_leaf(self, item: ServiceTry) -> bool:
-        """Return whether a further leaf may get the question."""
+        """Return whether a leaf that hasn't had the question may get it."""
         return not item.closed and item.may_run < self._question.most_attempts
 
     def find_repeatable(self, item: ServiceTry) -> set[str]:
-        """Return the ids of leafs that may be asked once more for a lost answer.
+        """Return the ids of leaves that may be asked again for a lost answer.
 
-        None are while another instance sees to the part.
+        There are none while another instance gathers the part.
         """
         if item.may_repeat or item.delegated or not self._question.idempotent:
             return set()
@@ -54,8 +54,8 @@
         """Return the leaf for the next attempt, or None when none may get it.
 
         Args:
-            item: how far the question has come at the service.
-            now: the present, in seconds.
+            item: the question's state at the service.
+            now: the current time, in seconds.
         """
         if not self.may_use_new_leaf(item):
             leaves = {leaf.id for leaf in self._tools.pool.leaves_of(item.service)}
@@ -66,11 +66,11 @@
         return leaf
 
     def choose_untried(self, item: ServiceTry, now: float) -> Leaf | None:
-        """Return the leaf for a second attempt beside the first."""
+        """Return the leaf for a hedge: one that wasn't tried; None without any."""
         return self._choose(item, set(item.tried), now)
 
     def choose_elsewhere(self, item: ServiceTry, now: float) -> Leaf | None:
-        """Return a leaf in a place that wasn't asked yet."""
+        """Return a leaf in a place that wasn't asked yet; None without any."""
         leaves = self._tools.pool.leaves_of(item.service)
         asked = {leaf.id for leaf in leaves if leaf.place in item.places}
         return self._choose(item, asked.union(item.tried), now)
--- a/walkcart/fanout/lentrepeats.py
+++ b/walkcart/fanout/lentrepeats.py
@@ -1,7 +1,7 @@
-"""Repeats that an instance may send for a question that it gathers for another one.
+"""Repeats that an instance is lent for a question that it gathers for another one.
 
 See Also:
-    `walkcart.fanout.repeatloans.RepeatLoan`, on the side that lends.
+    `walkcart.fanout.repeatloans.RepeatLoan`, for the side that lends.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 
 class LentRepeats:
-    """What is left of them.
+    """The lent repeats that haven't been used.
 
     Args:
-        services: one repeat is lent for each of these.
+        services: names of the services; one repeat is lent for each.
 
     Examples:
         >>> lent = LentRepeats({"a"})
@@ -27,21 +27,25 @@
         self._remaining = set(services)
 
     def take(self, service: str) -> bool:
-        """Take the repeat for a service; return False when there is none."""
+        """Use the repeat of a service; return False when there is none."""
         if service not in self._remaining:
             return False
         self._remaining.remove(service)
         return True
 
     def release(self, without: Collection[str] = ()) -> frozenset[str]:
-        """Give back what is left, but for some services; return what that is."""
+        """Give up the remaining repeats, except those of the services in `without`.
+
+        Returns:
+            The services whose repeats were given up.
+        """
         released = frozenset(self._remaining.difference(without))
         self._remaining -= released
         return released
 
 
 def encode_services(services: Sequence[str], chosen: Collection[str]) -> int:
-    """Return some of a group's services as a number with a bit for each.
+    """Return the chosen services of a group as a bit set.
 
     Examples:
         >>> encode_services(("a", "b", "c"), {"a", "c"})
@@ -51,7 +55,7 @@
 
 
 def decode_services(services: Sequence[str], bits: int) -> frozenset[str]:
-    """Return the services whose bits are set.
+    """Return the services of a group whose bits are set.
 
     Examples:
         >>> sorted(decode_services(("a", "b", "c"), 5))
--- a/walkcart/fanout/mergedanswer.py
+++ b/walkcart/fanout/mergedanswer.py
@@ -1,4 +1,4 @@
-"""The answer to a question over shards: merged records and what they cover."""
+"""Merged answer to a question over shards: its records and their coverage."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     """A service whose part isn't in an answer.
 
     Args:
-        service: its name.
-        reason: why.
-        ran: requests to it that ran, may have run or may run yet.
-        may_repeat: whether a budget of repeats already holds another request to it.
+        service: name of the service.
+        reason: why the part is missing.
+        ran: number of leaves that ran its request, may have run it or may still run it.
+        may_repeat: whether a repeat budget already accounts for another request to it.
     """
 
     service: str
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedAnswer:
-    """Merged parts.
+    """Merged parts of an answer.
 
     Args:
         body: the merged records.
-        proofs: what the leafs gave as proof of each part.
-        missing: services that aren't in it.
-        sent: requests that went to leafs.
-        repeats: those among them that were not the first to their service.
+        proofs: the proofs that leaves gave for their parts.
+        missing: services whose parts aren't in it.
+        sent: number of requests that went to leaves.
+        repeats: number of those that were not the first to their service.
     """
 
     body: bytes
--- a/walkcart/fanout/origins.py
+++ b/walkcart/fanout/origins.py
@@ -1,11 +1,11 @@
-"""Whose a request is, by the configuration in force at this instance.
+"""Finds the team of a request, by the configuration in force at this instance.
 
-Where requests need keys, leafs and other instances get the name of the key's team in
-its place. So an instance that gathers for another one learns from the request itself
-whose it is, and looks up the rest.
+Where requests need keys, leaves and other instances get the name of the key's team
+instead of the key. So an instance that gathers for another one reads the team from the
+request itself, and looks up its rank and permissions.
 
 See Also:
-    `walkcart.entry.teamaccess`, which decides whose request may run.
+    `walkcart.entry.teamaccess`, which decides which teams' requests may run.
 """
 
 from __future__ import annotations
@@ -20,21 +20,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOrigins:
-    """Tells whose requests are.
+    """Finds the team of requests, and what follows from it.
 
     Args:
-        keeper: the configuration in force.
-        team_header: names the team on requests that leafs and instances get.
+        keeper: holds the configuration in force.
+        team_header: name of the header with the team, on requests to leaves and other
+            instances.
     """
 
     keeper: RouteKeeper
     team_header: bytes
 
     def fingerprint(self, request: HttpRequest) -> bytes:
-        """Return the fingerprint of a request as leafs get it.
+        """Return the fingerprint of a request as leaves get it.
 
-        Its sender is the team where requests need keys: a team's callers may each have
-        a key, and the key isn't told to other instances.
+        Where requests need keys, the fingerprint identifies the sender by its team:
+        each caller of a team may have its own key, and keys aren't sent to other
+        instances.
         """
         if self.keeper.table.document.teams is None:
             return fingerprint_request(request)
@@ -48,14 +50,14 @@
         return named.encode("latin-1").decode("utf-8", "replace")
 
     def find_rank(self, kind: str, team: str) -> int:
-        """Return the rank of a route's requests that a team sends."""
+        """Return the rank of a team's requests of a kind; 0 is the most urgent."""
         return self.keeper.table.rank_of(kind, team)
 
     def find_grant(self, kind: str, team: str) -> Grant | None:
-        """Return what must stay in force for a request of another instance.
+        """Return the permission that must stay in force for another instance's request.
 
-        What isn't in force here to begin with is that one's to judge: it may have a
-        later configuration.
+        None if this instance's configuration doesn't grant it to begin with: the other
+        instance decides then, as it may have a later configuration.
         """
         grant = Grant(team)
         return grant if self.keeper.table.upholds(kind, grant) else None
--- a/walkcart/fanout/peerselection.py
+++ b/walkcart/fanout/peerselection.py
@@ -1,8 +1,8 @@
-"""Which other instance gathers a group, and the links that stand ready for it.
+"""Selects the instance that gathers a group, and keeps links open to candidates.
 
 See Also:
-    `walkcart.routing.gatherers`, which says who gathers.
-    `walkcart.fanout.delegates.Delegates`, which asks.
+    `walkcart.routing.gatherers`, which decides which instances gather.
+    `walkcart.fanout.delegates.Delegates`, which sends questions to them.
 """
 
 from __future__ import annotations
@@ -15,18 +15,20 @@
 from walkcart.wire.delegations import Greeting
 from walkcart.wire.messagebase import Message
 
-#: Fleets up to this size have links to all others; past it to those that gather, so
-#: that the links of an instance don't grow with the fleet.
+#: Maximum number of other instances to which an instance keeps links to all of them. In
+#: a larger fleet it keeps links to those that gather, so that the number of its links
+#: doesn't grow with the fleet.
 MOST_GREETED = 100
-#: Instances of a data centre among which a group's is chosen: one may be silent.
+#: Maximum number of instances of a data centre among which the one for a group is
+#: chosen: more than one, as any may be silent.
 MAX_CANDIDATES = 3
 
 
 class PeerSelection:
-    """Chooses among the other instances.
+    """Selects among the other instances.
 
     Args:
-        tools: of the delegates.
+        tools: shared components of delegation.
     """
 
     def __init__(self, tools: DelegateTools) -> None:
@@ -35,7 +37,7 @@
         tools.links.on(Greeting, self._on_greeting)
 
     def open_links(self) -> None:
-        """Have links ready to others: a question waits for none to come up."""
+        """Open missing links, so that no question has to wait for one."""
         names = [record.name for record in self._tools.registration.others()]
         if len(names) > MOST_GREETED:
             names = self._tools.gatherers.all()
@@ -53,12 +55,12 @@
             self._tools.links.send(sender, Greeting(answers=True))
 
     def choose(self, wanted: Group, without: frozenset[str]) -> InstanceRecord | None:
-        """Return the instance for a group, among few that get all like it.
+        """Return the instance for a group, or None when there is none.
 
-        One that wasn't heard of yet may still be starting, and would turn it down; one
-        without a connection has likely ended. Those that gather go first, and of them
-        the same ones for the same services: they keep connections to the leafs and know
-        how they are.
+        An instance that hasn't sent a message yet may still be starting, and would
+        reject the group; one without a connection has likely ended. Instances that
+        gather are preferred, and the same few of them for the same services: they keep
+        connections to the leaves and know their state.
 
         Args:
             wanted: the services, and where they are gathered.
@@ -68,8 +70,9 @@
         place = wanted.place.data_centre
         usable = self._find_connected(tools.gatherers.of(place))
         if not usable:
-            # Those that are connected and silent are left alone with their data centre:
-            # it may be cut off, and all others there would be tried in turn.
+            # Other instances of the data centre are asked only if none that gathers is
+            # connected. Where those are connected but silent, the data centre may be
+            # cut off, and all others there would be tried in turn.
             others = [
                 record.name
                 for record in tools.registration.others()
@@ -86,7 +89,7 @@
             key=lambda name: rank_by_weight(wanted.services[0], name, cores[name]),
         )
         # A group of 24 parts keeps a machine of half a core busy for 28 ms, one of 2.15
-        # cores for 7 ms (worked out): a quarter of the shortest objective.
+        # cores for 7 ms (computed): a quarter of the shortest objective.
         parts = len(wanted.services) * PART_TIME
         work = {name: parts / cores[name] for name in names[:MAX_CANDIDATES]}
         now = tools.clock.monotonic()
@@ -97,7 +100,7 @@
         return tools.registration.find(name) if name else None
 
     def _find_connected(self, names: list[str]) -> list[str]:
-        """Return those of some instances that may be asked."""
+        """Return those of `names` that are connected and have sent a message."""
         links, own = self._tools.links, self._tools.registration.own.name
         return [
             name
--- a/walkcart/fanout/pinning.py
+++ b/walkcart/fanout/pinning.py
@@ -1,4 +1,4 @@
-"""The layout and version that a question is pinned to, kept until news comes."""
+"""Chooses the layout and version that questions are pinned to, and caches them."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class SnapshotPins:
-    """Chooses snapshots from what the leaves said they hold.
+    """Chooses snapshots by the versions that the leaves state they hold.
 
     Args:
-        table: tells when what is held changed.
-        gateway: tells which leaves may be used.
+        table: the leaf table; its version changes when the held versions do.
+        gateway: decides which leaves may be used.
     """
 
     def __init__(self, table: LeafTable, gateway: LeafGateway) -> None:
@@ -22,7 +22,10 @@
         self._cache: dict[str, tuple[int, ResolvedLayout, Snapshot]] = {}
 
     def choose(self, resolved: ResolvedGroup) -> tuple[ResolvedLayout, Snapshot]:
-        """Return the newest layout that is served whole, and its snapshot."""
+        """Return the newest layout of which all shards are served, and its snapshot.
+
+        Without such a layout, the one with the most shards served is returned.
+        """
         name = resolved.group.name
         version = self._table.version
         cached = self._cache.get(name)
@@ -35,7 +38,7 @@
     def _choose_uncached(
         self, resolved: ResolvedGroup
     ) -> tuple[ResolvedLayout, Snapshot]:
-        """Choose; when no layout is served whole, the one with most shards served."""
+        """Choose a layout and its snapshot from the present holdings."""
         best: tuple[float, ResolvedLayout, Snapshot] | None = None
         for layout in resolved.layouts:
             holdings = self._list_holdings(layout)
--- a/walkcart/fanout/progress.py
+++ b/walkcart/fanout/progress.py
@@ -1,4 +1,4 @@
-"""How far one question has come at one shard."""
+"""Progress of one question at one shard."""
 
 from __future__ import annotations
 
@@ -12,7 +12,13 @@
 
 @dataclass(slots=True)
 class Sent:
-    """An attempt under way."""
+    """An attempt under way.
+
+    Args:
+        leaf: the leaf that got it.
+        at: time at which it was sent, in seconds.
+        hedge: whether it is a hedge of another attempt.
+    """
 
     leaf: Leaf
     at: float
@@ -21,18 +27,18 @@
 
 @dataclass(slots=True)
 class ShardProgress:
-    """One shard of one question.
+    """The state of one question at one shard.
 
     Args:
-        shard: its number.
-        leaves: that may serve it.
-        reply: accepted for the pinned snapshot.
+        shard: number of the shard.
+        leaves: leaves that may serve the shard.
+        reply: the reply accepted for the pinned snapshot, or None.
         time: seconds from the question's start to the reply.
-        under_way: attempts by id.
-        tried: addresses in the order of use.
-        tries: attempts so far.
-        retry_at: when the next try is due; None when none is.
-        lost_version: leaves that said they don't hold the version.
+        under_way: attempts under way, by id.
+        tried: addresses of the leaves that were asked, in order.
+        tries: number of attempts so far.
+        retry_at: time at which the next attempt is due; None when none is planned.
+        lost_version: addresses of leaves that stated they don't hold the version.
         reason: why there is no reply yet.
     """
 
@@ -49,7 +55,7 @@
 
     @property
     def open(self) -> bool:
-        """Whether a reply may still come."""
+        """Whether a reply may still arrive."""
         return self.reply is None and bool(self.under_way or self.retry_at is not None)
 
     @property
@@ -61,11 +67,11 @@
 def make_coverage(
     progress: list[ShardProgress], replies: dict[int, Replied]
 ) -> Coverage:
-    """Return what accepted replies cover.
+    """Return the coverage of accepted replies.
 
     Args:
-        progress: of every shard.
-        replies: accepted, by shard.
+        progress: the question's state at every shard.
+        replies: accepted replies, by shard.
     """
     whole = sorted(shard for shard in replies if not replies[shard].partial)
     partial = sorted(shard for shard in replies if replies[shard].partial)
@@ -78,6 +84,6 @@
 
 
 def typical_time(progress: list[ShardProgress]) -> float | None:
-    """Return the median seconds to a reply, or None without replies."""
+    """Return the median of the seconds to a reply, or None without replies."""
     times = sorted(item.time for item in progress if item.reply is not None)
     return times[len(times) // 2] if times else None
--- a/walkcart/fanout/quarantinepeers.py
+++ b/walkcart/fanout/quarantinepeers.py
@@ -1,7 +1,7 @@
-"""Which other instances are told of requests under which leafs ended.
+"""Chooses the instances that are told of requests under which leaves crashed.
 
 See Also:
-    `walkcart.membership.quarantinenews.QuarantineSpread`, which tells them.
+    `walkcart.membership.quarantinenews.QuarantineSpread`, which sends the messages.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 class QuarantinePeers:
-    """Chooses by links that stand ready: all others, or in a large fleet few.
+    """Chooses instances to which links are open: all others, or few in a large fleet.
 
     Args:
-        registration: knows the instances.
-        gatherers: those that gather.
+        registration: the list of instances.
+        gatherers: the instances that gather.
     """
 
     def __init__(self, registration: Registration, gatherers: Gatherers) -> None:
@@ -26,7 +26,11 @@
         self._gatherers = gatherers
 
     def find_peers(self) -> Sequence[str]:
-        """Return who is told: those that gather, and by them their data centres."""
+        """Return the names of the instances that this one tells.
+
+        In a large fleet these are the ones that gather, which in turn tell the others
+        of their data centre.
+        """
         others = self._registration.others()
         if not self._is_large():
             return [record.name for record in others]
@@ -39,7 +43,7 @@
         return list(names)
 
     def may_relay(self) -> bool:
-        """Return whether this instance passes on what it is told."""
+        """Return whether this instance relays to others what it is told."""
         return self._is_large() and self._gatherers.is_own()
 
     def _is_large(self) -> bool:
--- a/walkcart/fanout/quarantines.py
+++ b/walkcart/fanout/quarantines.py
@@ -1,8 +1,8 @@
-"""Requests under which leafs ended: what they may still do, and who is told.
+"""Admits or refuses requests under which leaves crashed, and reports them to others.
 
 See Also:
-    `walkcart.routing.quarantine`, which decides over many tries.
-    `walkcart.fanout.crashwatch`, which decides within one.
+    `walkcart.routing.quarantine`, which decides over many runs of a request.
+    `walkcart.fanout.crashwatch`, which decides within one run.
 """
 
 from __future__ import annotations
@@ -25,30 +25,31 @@
 from walkcart.wire.fingerprint import make_fingerprint
 from walkcart.wire.verdicts import NotRun, Reason
 
-#: Bytes of the number that names a strike: two of a thousand are alike with a
+#: Bytes of the id of a strike: any two of a thousand strikes have the same id with a
 #: probability below 1e-8.
 STRIKE_BYTES = 6
-#: Seconds for which a request waits while the same one is tried at a leaf. Most leafs
-#: answer within that; a caller that waits longer is better told to come back.
+#: Maximum number of seconds for which a request waits while the same one is tried at
+#: one leaf. Most leaves answer within that time; a caller that would have to wait
+#: longer is told to retry.
 MAX_TRIAL_WAIT = 0.25
-#: When to come back then.
+#: Retry time that such a caller is told.
 TRIAL_RETRY_AFTER = timedelta(seconds=1)
 
-#: Told the fingerprint of a request of which more is known than before.
+#: Called with the fingerprint of a request whose quarantine record changed.
 Listener = Callable[[bytes], None]
 
 
 class Quarantines:
-    """Admits requests, and notes how leafs fared under them.
+    """Admits requests, and records whether leaves answered or crashed under them.
 
     Args:
-        quarantine: what is remembered.
+        quarantine: the records of requests under which leaves crashed.
         clock: source of time.
-        instance: name of this instance; two with the same source of chance name their
-            strikes differently by it.
-        random: names strikes.
-        events: where decisions are logged.
-        metrics: where they are counted.
+        instance: name of this instance; it makes the ids of strikes differ between
+            instances with the same random source.
+        random: source of ids of strikes.
+        events: log of decisions.
+        metrics: counters of decisions.
     """
 
     def __init__(
@@ -71,23 +72,23 @@
         self._store_refused: Listener = lambda fingerprint: None
 
     def follow(self, tell: Listener, keep: Listener) -> None:
-        """Name who is told of what is noted here.
+        """Set the listeners for changes that this instance records.
 
         Args:
-            tell: tells the other instances.
+            tell: tells the other instances of a changed record.
             keep: stores a request that is refused from now on.
         """
         self._notify = tell
         self._store_refused = keep
 
     def find_standing(self, fingerprint: bytes) -> Standing:
-        """Return what a request may do."""
+        """Return how a request is handled at present."""
         return self._quarantine.find_standing(fingerprint, self._clock.monotonic())
 
     def is_kept(self, question: DelegatedQuestion, origins: RequestOrigins) -> bool:
-        """Return whether a question of another instance isn't asked as a whole.
+        """Return whether a question of another instance is under any restriction.
 
-        Its sender doesn't know yet what is known here.
+        It is rejected then: its sender doesn't have the record of this instance yet.
         """
         if not len(self._quarantine):
             return False
@@ -95,10 +96,10 @@
         return self.find_standing(fingerprint) is not Standing.USUAL
 
     async def admit(self, fingerprint: bytes) -> Standing | NotRun:
-        """Return what a request may do, or why it isn't run.
+        """Return how a request is handled, or the verdict if it isn't run.
 
-        Of requests that are tried at one leaf first, one at a time is; the others wait
-        a moment for what comes of it.
+        Of equal requests that must be tried at one leaf first, one is tried at a time;
+        the others wait up to `MAX_TRIAL_WAIT` for its result.
         """
         standing = self.find_standing(fingerprint)
         if standing is Standing.USUAL:
@@ -117,7 +118,7 @@
         return standing
 
     def refuse(self, fingerprint: bytes) -> NotRun:
-        """Return the verdict on a request that isn't run, and when it may be."""
+        """Return the verdict on a refused request, with its retry time."""
         self._metrics.count("query.quarantined")
         now = self._clock.monotonic()
         wait = max(0.0, self._quarantine.find_wait(fingerprint, now))
@@ -126,12 +127,12 @@
         return NotRun(Reason.QUARANTINED, detail, retry_after)
 
     def note(self, fingerprint: bytes, watch: CrashWatch, careful: bool) -> None:
-        """Note how leafs fared under one try of a request.
+        """Record whether leaves answered or crashed under one run of a request.
 
         Args:
-            fingerprint: of the request.
-            watch: of the try.
-            careful: whether one leaf was to answer first.
+            fingerprint: fingerprint of the request.
+            watch: the crash counts of the run.
+            careful: whether the run was a trial, in which one leaf had to answer first.
         """
         if watch.answered:
             self._record_answer(fingerprint)
@@ -141,7 +142,7 @@
             trial.set()
 
     def note_news(self, fingerprint: bytes) -> None:
-        """Log what another instance told, where it changes what a request may do."""
+        """Log a record received from another instance, if it restricts the request."""
         self._log_standing(fingerprint, "told")
 
     def _record_answer(self, fingerprint: bytes) -> None:
--- a/walkcart/fanout/questions.py
+++ b/walkcart/fanout/questions.py
@@ -1,4 +1,4 @@
-"""A question as the fan-out takes it."""
+"""Input of the fan-out at a pinned snapshot."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     Args:
         service: name of the service.
         group: name of its shard group.
-        document: the configuration that it was admitted under.
-        policy: of the service under that configuration.
-        scope: what the partner may see.
-        body: what each leaf is asked.
-        deadline: on the kernel's monotonic clock, in seconds.
+        document: the configuration under which the question was admitted.
+        policy: the service's policy in that configuration.
+        scope: the scope of data that the partner may see.
+        body: request body that each leaf gets.
+        deadline: time on the kernel's monotonic clock, in seconds.
         least_coverage: share of the shards that an answer must cover.
-        traceparent: of the trace.
+        traceparent: W3C trace context of the caller's trace.
     """
 
     service: str
@@ -37,5 +37,5 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """What tells that it is the same question when it is asked again."""
+        """Digest that is equal for the same question when it is asked again."""
         return make_fingerprint(self.service.encode(), self.scope.encode(), self.body)
--- a/walkcart/fanout/repeatloans.py
+++ b/walkcart/fanout/repeatloans.py
@@ -1,13 +1,13 @@
-"""Repeats that an instance which asks lends to the one that gathers for it.
+"""Lends repeats of this instance's budget to an instance that gathers for it.
 
-The allowance of repeats is divided among all instances, and most requests to leafs go
-through the few that gather. So the asker sets repeats of its own part aside, at most
-one for each service, and the other instance may send these beside its own. A loan
-counts here from when it is made until it is known how it ended, and from then on for a
-window if it was spent or may have been, so the sum over all instances stays as it was.
+The allowance of repeats is divided among all instances, but most requests to leaves go
+through the few that gather. So the asker reserves repeats of its own share, at most one
+for each service, and the other instance may send these beside its own. A loan counts
+against the lender's budget until its end is known, and from then on for a window if it
+was spent or may have been, so the total over all instances stays the same.
 
 See Also:
-    `walkcart.routing.repeats.RepeatBudget`, which holds them.
+    `walkcart.routing.repeats.RepeatBudget`, which accounts for them.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 class RepeatLoan:
-    """What one group of services was lent, on the side that lends.
+    """The repeats that one group of services was lent, on the side that lends.
 
     Args:
-        budget: that holds the repeats.
+        budget: the budget that accounts for the repeats.
         clock: source of time.
-        services: one repeat is lent for each of these.
+        services: names of the services; one repeat is lent for each.
     """
 
     def __init__(
@@ -40,15 +40,15 @@
 
     @property
     def services(self) -> frozenset[str]:
-        """The services for which a repeat is lent still."""
+        """The services for which a repeat is still lent."""
         return frozenset(self._lent)
 
     def return_unspent(self, services: Collection[str]) -> None:
-        """Take back what surely wasn't spent and never will be."""
+        """Take back repeats that surely weren't sent and never will be."""
         self._close(services, spent=False)
 
     def end(self) -> None:
-        """Count what is left as spent: nothing more will be heard of it."""
+        """Count the remaining repeats as spent: no return is expected any longer."""
         self._close(tuple(self._lent), spent=True)
 
     def _close(self, services: Collection[str], spent: bool) -> None:
@@ -68,7 +68,7 @@
 ) -> DelegatedGroup | None:
     """Have another instance gather some services, and lend it repeats for them.
 
-    See `walkcart.fanout.delegates.Delegates.submit` for the arguments.
+    See `walkcart.fanout.delegates.Delegates.submit` for the arguments and the result.
     """
     assert tools.delegates is not None
     now, instances = tools.clock.monotonic(), tools.instances()
--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -1,19 +1,19 @@
-"""One routed request at one leaf of each service: attempts, repeats and replies.
+"""Sends one routed request to a leaf of each service and gathers the replies.
 
-The caller's own task runs it. Links put outcomes into its inbox, and they are taken
-here in turn, so there is no task for each shard.
+The caller's own task runs it. Links put the outcomes of attempts into its inbox, from
+which they are processed in turn, so no task is needed for each shard.
 
 Rules:
 
-* a request that must not be repeated is sent again only after a word that it surely
+* a request that must not be repeated is sent again only after a verdict that it surely
   did not run;
-* repeats keep to the budget of their service over all instances;
-* shards whose leafs are elsewhere are gathered there, by another instance;
-* an answer covers what was accepted, and when its objective nears, one that covers
-  enough isn't held back for the rest.
+* repeats stay within the budget of their service over all instances;
+* shards whose leaves are in other places are gathered there, by another instance;
+* an answer covers what was accepted; once its objective has passed, an answer that
+  covers enough doesn't wait for the rest.
 
 See Also:
-    `walkcart.fanout.gathering.Gathering`, the same at one pinned snapshot.
+    `walkcart.fanout.gathering.Gathering`, which does the same at a pinned snapshot.
 """
 
 from __future__ import annotations
@@ -40,22 +40,23 @@
 from walkcart.routing.hedging import may_hedge
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: From this status on a leaf's answer is a failure of its own.
+#: Lowest status with which a leaf reports a failure of its own.
 MIN_FAILURE_STATUS = 500
-#: Statuses of a leaf that ran a request to its end.
+#: Statuses that show that a leaf ran a request to its end.
 SUCCESS_STATUSES = range(200, 300)
 
 
 class RoutedGathering:
-    """One routed question.
+    """Runs one routed question.
 
     Args:
-        tools: what routed questions use.
-        question: what to ask.
-        top: records of a merged answer at the most; 0 where nothing is merged, and
-            then nothing is delegated.
-        handing: hands over to another instance what is in before the late parts.
-        watch: counts the leafs that end under it; None for one that nobody reads.
+        tools: shared components of routed questions.
+        question: the question.
+        top: maximum number of records of a merged answer; 0 where nothing is merged,
+            and then nothing is delegated.
+        handing: hands the parts that have arrived over to the asking instance, before
+            the late ones; None where a caller asks.
+        watch: counts the leaves that crash under the question; None for a private one.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
             handing.handover.on_confirmed(self._allow_repeats)
 
     async def run(self) -> Result[RoutedAnswer, RoutedFailure]:
-        """Ask the services until the answer is whole, or must do as it is."""
+        """Ask the services until the answer is whole or waiting longer is no use."""
         if not self._can_cover():
             return Failure(make_failure(tuple(self._tries.values()), late=False))
         self._start(self._tools.clock.monotonic())
@@ -127,7 +128,10 @@
         )
 
     def _can_cover(self) -> bool:
-        """Return whether enough services have leafs in time, before any is asked."""
+        """Return whether enough services have leaves that can reply in time.
+
+        Called before anything is sent.
+        """
         served = 0
         waits = self._tools.pool.has_waiting
         for item in self._tries.values():
@@ -143,16 +147,16 @@
         return covers(self._question, served)
 
     def _may_be_served(self, item: ServiceTry) -> bool:
-        """Return whether a service has leafs that may get the question now.
+        """Return whether a service has leaves that may get the question now.
 
-        Cold ones without room here may have some at the instances that gather.
+        Cold leaves without room here may have some at the instances that gather.
         """
         if self._top:
             return bool(self._tools.pool.leaves_of(item.service))
         return bool(self._tools.pool.leaves_with_room(item.service))
 
     def _start(self, now: float) -> None:
-        """Send the first attempts, and delegate what is far."""
+        """Send the first attempts, and delegate services in other places."""
         if self._watch.is_sequential:
             self._start_with_one(now)
             return
@@ -167,16 +171,16 @@
             self._tools.send_time.observe(spent)
 
     def _start_with_one(self, now: float) -> None:
-        """Plan all attempts, of which one is sent until a leaf has answered.
+        """Plan all attempts, but send one at a time until a leaf has answered.
 
-        They are sent from here then: such questions are few.
+        Nothing is delegated: such questions are few.
         """
         for item in self._tries.values():
             self._tools.budget.note_request(item.service, now)
             item.next_at = now
 
     def _is_done(self) -> bool:
-        """Return whether nothing more is worth waiting for."""
+        """Return whether nothing is left that is worth waiting for."""
         now = self._tools.clock.monotonic()
         if self._covered_count == len(self._tries) or now >= self._question.deadline:
             return True
@@ -193,12 +197,12 @@
         return now >= objective and covers(self._question, self._covered_count)
 
     def _is_vital(self, item: ServiceTry) -> bool:
-        """Return whether there is no answer in time without a service's part."""
+        """Return whether no answer is possible in time without a service's part."""
         early = self._tools.clock.monotonic() < self._last_repeat_at
         return is_vital(self._question, self._tries.values(), item, early)
 
     def _retry_held_back(self) -> None:
-        """Try services again that were held back, once the answer depends on them."""
+        """Retry services that were held back, once the answer depends on them."""
         now = self._tools.clock.monotonic()
         for item in self._tries.values():
             if not item.held_back or item.covered or item.open:
@@ -209,7 +213,7 @@
             self._sends.plan(item, now)
 
     def _should_hand_over(self) -> bool:
-        """Return whether to leave what is missing to who asked."""
+        """Return whether to leave the missing parts to the asking instance."""
         question = self._question
         if (
             self._handover is None
@@ -228,7 +232,10 @@
         return may_hedge(len(self._tries), late)
 
     def _hand_over(self) -> None:
-        """Hand over what is in; attempts under way go on, no other is made."""
+        """Hand over the parts that have arrived.
+
+        Attempts under way continue, and no further ones are made.
+        """
         assert self._handover is not None
         self._handed_over = True
         now = self._tools.clock.monotonic()
@@ -238,7 +245,7 @@
                 continue
             if item.may_run < self._question.most_attempts:
                 held = item.deferred or not item.arrived
-                # It is asked for elsewhere now or not at all.
+                # Only the asking instance may request the part from now on.
                 vital = is_vital(self._question, tries, item, early=False)
                 item.may_repeat = held or self._sends.take_repeat(item, now, vital)
             item.deferred, item.next_at, item.given_up = False, None, True
@@ -250,18 +257,18 @@
         self._handover.settle(answer, unspent)
 
     async def _wait(self) -> None:
-        """Wait for an outcome or for the next time at which something is due."""
+        """Wait for an outcome or until the next action is due."""
         if self._inbox or self._remote.has_updates:
             return
         if not any(item.open for item in self._tries.values()):
-            # What was just done left nothing to wait for.
+            # The last actions left nothing to wait for.
             return
         self._wakeup = trio.Event()
         with trio.move_on_at(self._find_next_due()):
             await self._wakeup.wait()
 
     def _find_next_due(self) -> float:
-        """Return when something is due, if no outcome comes before."""
+        """Return when the next action is due if no outcome arrives before."""
         answerable = not self._handed_over and covers(
             self._question, self._covered_count
         )
@@ -273,14 +280,14 @@
         )
 
     def _find_late_parts_time(self) -> float:
-        """Return when late parts are asked for together."""
+        """Return when late parts are requested together; infinite when they aren't."""
         if self._watch.is_sequential:
             return float("inf")
         busy = any(item.under_way or item.next_at for item in self._tries.values())
         return self._remote.late_parts_at(busy)
 
     def _allow_repeats(self) -> None:
-        """Use all attempts: who asked takes the question back no more."""
+        """Allow all attempts: the asking instance leaves them to this one."""
         self._sends.allow_repeats()
         self._wakeup.set()
 
@@ -325,7 +332,7 @@
                 self._watch.record_failed(item.service)
                 item.reason = verdict.reason
                 item.refusal = verdict
-                # It reached no leaf, so it is no repeat when it is sent again.
+                # The request reached no leaf, so sending it again is no repeat.
                 item.arrived -= 1
             case Failed(MayHaveRun(reason=Reason.LEAF_ENDED)):
                 item.record_run(leaf_id)
@@ -339,9 +346,9 @@
         self._sends.plan(item, now)
 
     def _record_reply(self, item: ServiceTry, status: int) -> None:
-        """Note that a leaf replied; only a success shows that it ran the question.
+        """Record that a leaf replied; only a success shows that it ran the question.
 
-        One that fails part of what it gets may do so before it begins.
+        A leaf that fails part of its requests may do so before it begins to run them.
         """
         if status in SUCCESS_STATUSES:
             self._watch.record_answer()
@@ -360,7 +367,7 @@
             self._handover.add(item.service, reply)
 
     def _send_due(self) -> None:
-        """Send what is due."""
+        """Send the attempts and hedges that are due."""
         now = self._tools.clock.monotonic()
         for item in self._tries.values():
             if not item.covered and self._due.attempt_at(item) <= now:
@@ -373,17 +380,17 @@
         if now >= self._find_late_parts_time():
             self._remote.request_late_parts(now)
         elif self._must_send_deferred(now):
-            # Too much is late for asking together.
+            # Too many parts are late for a request of them all together.
             self._sends.send_deferred(self._tries.values(), now)
-        may = may_send_second_attempts(self._tries.values())
+        few_late = may_send_second_attempts(self._tries.values())
         for item in late:
-            if may or (self._sends.is_likely_lost(now) and self._is_vital(item)):
+            if few_late or (self._sends.is_likely_lost(now) and self._is_vital(item)):
                 self._sends.hedge(item, now)
             else:
                 self._sends.postpone_hedge(item, now)
 
     def _must_send_deferred(self, now: float) -> bool:
-        """Return whether what was left to be handed over is asked for from here."""
+        """Return whether parts deferred for a hand-over must be requested from here."""
         if self._handover is None or self._handed_over or self._watch.is_sequential:
             return False
         return now >= self._question.settle_at
--- a/walkcart/fanout/routedquestion.py
+++ b/walkcart/fanout/routedquestion.py
@@ -1,4 +1,4 @@
-"""A routed request as the fan-out takes it, and how it ended."""
+"""Input and outcome of the fan-out of one routed request."""
 
 from __future__ import annotations
 
@@ -15,35 +15,39 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedQuestion:
-    """A caller's request that goes to one leaf of each of some services.
+    """A caller's request that goes to one leaf of each of its services.
 
     Args:
-        id: of the request, as the caller gave it.
-        kind: names requests that take alike, for their usual time.
-        request: what each leaf gets.
-        services: a single one, or the shards.
-        deadline: on the kernel's monotonic clock, in seconds.
-        objective_at: when an answer begins to lose value, on that clock; infinite
-            when it doesn't.
+        id: the caller's id of the request.
+        kind: name under which the times of similar requests are learned.
+        request: the HTTP request that each leaf gets.
+        services: names of the services: a single one, or the shards.
+        deadline: time on the kernel's monotonic clock, in seconds.
+        objective_at: time on that clock from which an answer loses value; infinite
+            without an objective.
         least_coverage: share of the services that an answer must cover.
-        idempotent: whether it may run more than once at a service.
-        most_attempts: leafs that may run it, for each service.
-        whole_parts: whether only successes count, as over many shards.
-        await_confirmation: whether no service gets an attempt beside, or after, one that may
-            have run, until whoever asked is known to leave the others to this instance.
-        settle_at: when late parts are asked for in another region, all together; on
-            that clock, infinite when each is asked for by itself.
-        granted: whether the budgets of repeats already hold the first attempts.
-        traceparent: of the trace.
-        fingerprint: of the request (`walkcart.wire.fingerprint`).
-        careful: whether one leaf is to answer before others are asked.
-        regions: that it may be served in, by the configuration of who admitted it.
+        idempotent: whether the request may run more than once at a service.
+        most_attempts: maximum number of leaves of each service that may run it.
+        whole_parts: whether only success statuses count as a part of the answer, as
+            for requests over many shards.
+        await_confirmation: whether a service whose first attempt may have run gets no
+            other one until the asking instance confirms that it leaves the repeats to
+            this instance.
+        settle_at: time on that clock at which all late parts are requested together
+            in another region; infinite where each is requested by itself.
+        granted: whether the repeat budgets already account for the first attempts.
+        traceparent: W3C trace context of the caller's trace.
+        fingerprint: fingerprint of the request (`walkcart.wire.fingerprint`).
+        careful: whether one leaf must answer before the others are asked.
+        regions: regions that may serve the request, by the configuration of the
+            instance that admitted it.
         team: name of the team that asks; empty where requests need no key.
-        rank: 0 is the most urgent: its team's, else its route's.
-        grant: by what it was let in; None where that isn't looked at.
-        fair_coverage: share of the services by which repeats are judged, where that is
-            more than an answer must cover.
-        lent: repeats that whoever asked lends.
+        rank: priority of the team, else of the route; 0 is the most urgent.
+        grant: the permission that admitted the request and must stay in force; None
+            where this isn't checked.
+        fair_coverage: share of the services that decides which repeats are vital,
+            where it is more than `least_coverage`.
+        lent: repeats that the asking instance lends.
     """
 
     id: str
@@ -72,15 +76,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedAnswer:
-    """Replies of as many services as came in time.
+    """The replies that arrived in time.
 
     Args:
-        replies: by service.
-        merged: parts that other instances gathered.
-        asked: number of services.
-        missing: the others.
-        sent: requests that went to leafs.
-        repeats: those among them that were not the first to their service.
+        replies: service names with their replies.
+        merged: merged parts that other instances gathered.
+        asked: number of services that were asked.
+        missing: services without a part.
+        sent: number of requests that went to leaves.
+        repeats: number of those that were not the first to their service.
     """
 
     replies: tuple[tuple[str, Replied], ...]
@@ -93,12 +97,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedFailure:
-    """Too few services replied.
+    """The failure of a question to which too few services replied.
 
     Args:
         verdict: whether the request may have run, and why there is no answer.
-        reply: of a leaf that answered with a failure, to pass on; None without one.
-        sent: requests that went to leafs.
+        reply: a leaf's failure reply to pass on to the caller; None without one.
+        sent: number of requests that went to leaves.
         missing: services without a reply.
     """
 
--- a/walkcart/fanout/routedsends.py
+++ b/walkcart/fanout/routedsends.py
@@ -1,4 +1,4 @@
-"""The requests that one routed question sends to leafs."""
+"""Sends the requests of one routed question to leaves."""
 
 from __future__ import annotations
 
@@ -21,26 +21,27 @@
 )
 from walkcart.wire.verdicts import Reason
 
-#: Seconds before a service whose leafs all refused or can't be reached is tried again.
+#: Seconds before a service is retried after all its leaves refused or were unreachable.
 RETRY_DELAY = 0.03
-#: Tries at one service at the most, whatever came of them.
+#: Maximum number of attempts at one service, whatever their outcomes.
 MAX_TRIES = 6
-#: Seconds after which a request that must not repeat, and of which nothing was sent for
-#: want of a connection, goes to another leaf: some round trips between regions.
+#: Seconds for which a request that must not repeat waits for a connection, with nothing
+#: sent, before it goes to another leaf: several round trips between regions.
 CONNECTION_TIMEOUT = 0.12
-#: Least share of its usual time that must be left for another attempt to be sent.
+#: Share of the median time of a request that must be left before the deadline for
+#: another attempt to be worth sending.
 MIN_TIME_SHARE = 0.5
 
 
 class RoutedSends:
-    """Sends the attempts of one question, within its rules and its budget.
+    """Sends the attempts of one question, within its limits and its repeat budget.
 
     Args:
-        tools: what routed questions use.
-        question: whose attempts these are.
-        deliver: told how each attempt ended.
-        is_vital: returns whether there is no answer without a service's part.
-        watch: counts the leafs that ended under the question.
+        tools: shared components of routed questions.
+        question: the question.
+        deliver: called with the outcome of each attempt.
+        is_vital: returns whether no answer is possible without a service's part.
+        watch: counts the leaves that crash under the question.
     """
 
     def __init__(
@@ -59,26 +60,26 @@
         self._attempts: dict[str, ServiceTry] = {}
         time = min(question.objective_at, question.deadline) - tools.clock.monotonic()
         self._choice = LeafChoice(tools, question, max(0.0, time))
-        #: When second attempts that were put off are considered again, in seconds.
+        #: Time at which postponed hedges are considered again, in seconds.
         self._reconsider_at = find_second_look(
             tools.clock.monotonic(), question.objective_at, question.deadline
         )
-        #: Whether attempts at leafs in other regions are left to be sent together.
+        #: Whether repeats at leaves in other regions are deferred, to be sent together.
         self._defers_far = question.settle_at < float("inf")
         self._may_repeat = not question.await_confirmation
         self.sent = 0
         self.repeats = 0
 
     def allow_repeats(self) -> None:
-        """Make attempts beside, or after, those that may have run, from now on."""
+        """Allow, from now on, attempts beside or after ones that may have run."""
         self._may_repeat = True
 
     def find(self, attempt: Attempt) -> ServiceTry:
-        """Return the service that an attempt was sent to."""
+        """Return the state of the service that an attempt was sent to."""
         return self._attempts[attempt.id]
 
     def try_next(self, item: ServiceTry, now: float) -> None:
-        """Send the next attempt, to a leaf that wasn't tried if there is one."""
+        """Send the next attempt, preferably to a leaf that wasn't tried yet."""
         item.next_at = None
         leaf = self._choice.choose(item, now)
         if leaf is None:
@@ -99,7 +100,10 @@
         self._send(item, leaf, now)
 
     def send_elsewhere(self, item: ServiceTry, now: float) -> None:
-        """Send an attempt that the budget holds, to a leaf in a place not asked yet."""
+        """Send an attempt to a leaf in a place that wasn't asked yet.
+
+        The repeat budget already accounts for the attempt.
+        """
         leaf = self._choice.choose_elsewhere(item, now)
         if leaf is None:
             item.reason = Reason.NO_LEAF
@@ -108,7 +112,7 @@
         self._send(item, leaf, now)
 
     def find_last_repeat_time(self) -> float:
-        """Return when a repeat must be sent to come within the objective."""
+        """Return the latest time to send a repeat that meets the objective."""
         now = self._tools.clock.monotonic()
         times = self._tools.pool.times_of(
             self._question.kind, Distance.SAME_DATA_CENTRE
@@ -116,7 +120,7 @@
         return self._question.objective_at - times.high(now) - HEDGE_RESERVE
 
     def send_deferred(self, tries: Iterable[ServiceTry], now: float) -> None:
-        """Send each attempt by itself from now on, also those that were left."""
+        """Send deferred attempts now, and each later one by itself."""
         self._defers_far = False
         for item in tries:
             if item.deferred:
@@ -124,7 +128,7 @@
                 self.send_elsewhere(item, now)
 
     def plan(self, item: ServiceTry, now: float) -> None:
-        """Decide whether and when a service is tried again after a failure."""
+        """Decide whether and when a service is retried after a failure."""
         if item.covered or item.under_way or item.delegated:
             return
         if not self._may_retry(item, now):
@@ -142,7 +146,7 @@
         return item.next_at
 
     def hedge_at(self, item: ServiceTry) -> float:
-        """Return when a second attempt is due beside, or instead of, the first."""
+        """Return when a hedge of the only attempt under way is due; else infinity."""
         if len(item.under_way) != 1 or not self._may_repeat:
             return float("inf")
         if item.given_up or item.may_run >= self._question.most_attempts:
@@ -150,10 +154,11 @@
         return next(iter(item.under_way.values())).hedge_at
 
     def hedge(self, item: ServiceTry, now: float) -> None:
-        """Send a second attempt beside the one that is late, or instead of it.
+        """Send a hedge beside the attempt that is late, or move that attempt.
 
-        One that still waits for a connection is taken back, which costs nothing, and
-        goes elsewhere. Only what may be repeated is sent beside one that was sent.
+        An attempt that still waits for a connection is withdrawn, which costs nothing,
+        and goes to another leaf. Once it was sent, only an idempotent request gets a
+        second attempt beside it.
         """
         pool = self._tools.pool
         kind = self._question.kind
@@ -174,11 +179,11 @@
         self._send(item, leaf, now)
 
     def is_likely_lost(self, now: float) -> bool:
-        """Return whether a reply that is missing now is likely lost, not just late."""
+        """Return whether a reply that hasn't come by `now` is likely lost."""
         return now >= self._reconsider_at
 
     def postpone_hedge(self, item: ServiceTry, now: float) -> None:
-        """Put a second attempt off to the second look: too many are late for it now."""
+        """Postpone a hedge while too many services are late; later, give it up."""
         if self.is_likely_lost(now):
             item.given_up = True
             return
@@ -186,9 +191,10 @@
             item.under_way[id] = replace(sent, hedge_at=self._reconsider_at)
 
     def _withdraw(self, item: ServiceTry) -> bool:
-        """Take back an attempt that waits inside this instance, for another leaf.
+        """Withdraw an attempt that waits inside this instance; it goes to another leaf.
 
-        Where all leafs had one it keeps its place in the order.
+        Where all leaves have been tried, it keeps its place in the queue instead.
+        Return whether one of the two was done.
         """
         pool = self._tools.pool
         leaves = pool.leaves_of(item.service)
@@ -203,7 +209,7 @@
         return False
 
     def _postpone_while_busy(self, item: ServiceTry, leaf: Leaf, now: float) -> bool:
-        """Put a second attempt off while its leaf is busy; return whether it was."""
+        """Postpone a hedge while its leaf is busy; return whether it was postponed."""
         busy = leaf.outstanding + leaf.stated_load(now) >= leaf.slots
         for id, sent in item.under_way.items():
             if busy and now < sent.last_hedge_at:
@@ -212,7 +218,7 @@
         return False
 
     def cancel(self, item: ServiceTry) -> None:
-        """Cancel what is under way at a service."""
+        """Cancel the attempts under way at a service."""
         now = self._tools.clock.monotonic()
         for id, sent in list(item.under_way.items()):
             self._tools.pool.cancel(sent.leaf, id, self._question.kind, now - sent.at)
@@ -236,7 +242,7 @@
         return now + usual * MIN_TIME_SHARE < self._question.deadline
 
     def _is_deferred(self, leaf: Leaf) -> bool:
-        """Return whether attempts at a leaf are left to be sent with others."""
+        """Return whether repeats at a leaf are deferred, to be sent with others."""
         far = self._tools.pool.distance_to(leaf) is Distance.OTHER_REGION
         return self._defers_far and far
 
@@ -245,13 +251,13 @@
     ) -> bool:
         """Take a repeat from the budget; return False when none is left.
 
-        One without which there may still be an answer leaves a reserve, and is asked
-        for again when the answer comes to depend on it.
+        A repeat that the answer doesn't depend on leaves a reserve in the budget. If it
+        is denied, it is retried when the answer comes to depend on it.
 
         Args:
-            item: the service that gets it.
-            now: the present, in seconds.
-            vital: whether there is no answer without it; found out if None.
+            item: the service that gets the repeat.
+            now: the current time, in seconds.
+            vital: whether no answer is possible without it; computed if None.
         """
         if vital is None:
             vital = self._is_vital(item)
@@ -267,7 +273,7 @@
         return False
 
     def _take_lent(self, item: ServiceTry) -> bool:
-        """Take a repeat that who asked lends; only once its word has come."""
+        """Take a repeat lent by the asking instance, once that has confirmed."""
         lent = self._question.lent
         if not self._may_repeat or lent is None or not lent.take(item.service):
             return False
@@ -275,9 +281,9 @@
         return True
 
     def _find_hedge_times(self, leaf: Leaf, now: float) -> tuple[float, float]:
-        """Return from when and until when a second attempt is due beside one at `leaf`.
+        """Return when a hedge of an attempt at `leaf` is due, and its latest time.
 
-        The second of them holds where the leaf for it is busy.
+        The latest time applies where the leaf for the hedge is busy.
         """
         pool = self._tools.pool
         kind = self._question.kind
--- a/walkcart/fanout/routedtools.py
+++ b/walkcart/fanout/routedtools.py
@@ -1,4 +1,4 @@
-"""What every routed question of an instance uses."""
+"""Shared components of an instance's routed questions."""
 
 from __future__ import annotations
 
@@ -21,22 +21,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedTools:
-    """What every routed question of an instance uses.
+    """The components that every routed question of an instance uses.
 
     Args:
-        pool: sends attempts; a question's own sees only where that one may go.
-        budget: of repeats.
-        instances: returns the number of instances that divide the budget.
-        ids: names attempts.
+        pool: sends attempts to leaves; a `ScopedPool` is limited to the leaves that one
+            question may use.
+        budget: the budget of repeats.
+        instances: returns the number of instances that share the budget.
+        ids: source of ids of attempts.
         clock: source of time.
-        metrics: where repeats are counted.
-        events: where decisions on a question are logged.
-        place: of this instance.
-        random: chooses among what is equally good.
-        delegates: other instances that gather; None where there are none.
-        quarantines: requests under which leafs ended.
-        send_time: how long sending a question's requests keeps the processor: what
-            reading it and writing its answer take is about the same.
+        metrics: counters of repeats.
+        events: log of decisions on questions.
+        place: place of this instance.
+        random: chooses among equally good alternatives.
+        quarantines: requests under which leaves crashed.
+        delegates: delegates to other instances; None where there are none.
+        send_time: processor time that sending a question's requests takes. Reading the
+            question and writing its answer take about as long.
     """
 
     pool: LeafPool | ScopedPool
--- a/walkcart/fanout/routedverdict.py
+++ b/walkcart/fanout/routedverdict.py
@@ -1,4 +1,4 @@
-"""What a routed question comes to: an answer, or a failure that tells the truth."""
+"""Builds the outcome of a routed question: an answer, or a failure with its verdict."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from walkcart.fanout.servicetry import ServiceTry
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: When to come back after nothing could be run, in the absence of a leaf's word.
+#: Retry time after nothing could be run, where no leaf stated one.
 DEFAULT_RETRY_AFTER = timedelta(seconds=0.5)
 
 
@@ -21,7 +21,13 @@
 
 
 def covers_share(min_share: float, services: int, count: int) -> bool:
-    """Return whether replies of `count` among some services make up a share of them."""
+    """Return whether `count` of `services` services are at least a share of them.
+
+    Args:
+        min_share: the share, from 0 to 1; at least one service is needed in any case.
+        services: number of services in all.
+        count: number of services that replied.
+    """
     return count > 0 and count >= min_share * services - 1e-9
 
 
@@ -34,16 +40,16 @@
     repeats: int,
     ends_leaves: bool = False,
 ) -> Result[RoutedAnswer, RoutedFailure]:
-    """Return the answer if it covers enough, else why there is none.
+    """Return the answer if it covers enough, else the failure.
 
     Args:
-        question: what was asked.
-        tries: how it went at each service.
-        merged: what other instances gathered.
-        now: the present, in seconds.
-        sent: requests that went to leafs from here.
-        repeats: those that were not the first to their service.
-        ends_leaves: whether leafs end when they run it.
+        question: the question.
+        tries: its state at each service.
+        merged: merged parts that other instances gathered.
+        now: the current time, in seconds.
+        sent: number of requests that this instance sent to leaves.
+        repeats: number of those that were not the first to their service.
+        ends_leaves: whether leaves crash when they run it.
     """
     covered = sum(1 for item in tries if item.covered)
     answer = make_answer(tries, merged, sent, repeats)
@@ -59,13 +65,13 @@
     sent: int,
     repeats: int,
 ) -> RoutedAnswer:
-    """Return the answer that is in.
+    """Return the answer made of the parts that have arrived.
 
     Args:
-        tries: how it went at each service.
-        merged: what other instances gathered.
-        sent: requests that went to leafs from here.
-        repeats: those that were not the first to their service.
+        tries: the question's state at each service.
+        merged: merged parts that other instances gathered.
+        sent: number of requests that this instance sent to leaves.
+        repeats: number of those that were not the first to their service.
     """
     replies = tuple(
         (item.service, item.reply) for item in tries if item.reply is not None
@@ -86,10 +92,10 @@
     """Return the failure of a question; "not run" only when nothing may have run.
 
     Args:
-        tries: how it went at each service.
+        tries: the question's state at each service.
         late: whether its deadline has passed.
-        sent: requests that went to leafs.
-        ends_leaves: whether leafs end when they run it.
+        sent: number of requests that went to leaves.
+        ends_leaves: whether leaves crash when they run it.
     """
     missing = _list_missing(tries)
     replied = len(tries) - len(missing)
@@ -107,7 +113,7 @@
 def _find_refusal(
     tries: tuple[ServiceTry, ...], missing: tuple[MissingPart, ...]
 ) -> Reason:
-    """Return why nothing was run: what was refused weighs more than what followed."""
+    """Return why nothing was run; a refusal for lack of room outranks later reasons."""
     refusals = (item.refusal.reason for item in tries if item.refusal is not None)
     if Reason.NO_ROOM in refusals:
         return Reason.NO_ROOM
@@ -123,7 +129,7 @@
 
 
 def _find_retry_time(tries: tuple[ServiceTry, ...]) -> timedelta:
-    """Return when to come back: the longest time that a leaf asked for."""
+    """Return the retry time: the longest that a refusal stated, else the default."""
     asked = [
         item.refusal.retry_after
         for item in tries
--- a/walkcart/fanout/selection.py
+++ b/walkcart/fanout/selection.py
@@ -1,4 +1,4 @@
-"""The choice of a shard's leaf for a question, from the leaves' accounts."""
+"""Selects a shard's leaf for a question by load, latency and policy."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class LeafSelector:
-    """Selects leaves.
+    """Selects leaves for attempts.
 
     Args:
-        gateway: holds the groups' usual latencies.
-        chooser: the policies.
+        gateway: source of the median latency of each group.
+        chooser: implements the replica policies.
     """
 
     def __init__(self, gateway: LeafGateway, chooser: ReplicaChooser) -> None:
@@ -40,7 +40,14 @@
 
 
 def describe_leaf(leaf: Leaf, policy: Policy, usual: float, now: float) -> Candidate:
-    """Return a leaf as its choice sees it."""
+    """Return the properties of a leaf that a replica policy uses.
+
+    Args:
+        leaf: the leaf.
+        policy: policy of the service.
+        usual: median latency of the group, in seconds.
+        now: the current time, in seconds.
+    """
     return Candidate(
         key=leaf.address,
         outstanding=leaf.outstanding,
--- a/walkcart/fanout/servicetry.py
+++ b/walkcart/fanout/servicetry.py
@@ -1,4 +1,4 @@
-"""How far one routed question has come at one service."""
+"""Progress of one routed question at one service."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """An attempt under way.
+    """An attempt under way. Times are on the kernel's monotonic clock, in seconds.
 
     Args:
-        leaf: that has it.
-        at: when it was sent, in seconds.
-        hedge_at: when a second one is due beside it.
-        last_hedge_at: until when that one may wait for a leaf with a free slot.
+        leaf: the leaf that got it.
+        at: time at which it was sent.
+        hedge_at: time from which a hedge is due.
+        last_hedge_at: time until which the hedge may wait for a leaf with a free slot.
         to_same_leaf: whether the leaf may have run the question before.
     """
 
@@ -32,34 +32,36 @@
 
 @dataclass(slots=True)
 class ServiceTry:
-    """One service of one question.
+    """The state of one question at one service.
 
     Args:
-        service: its name.
-        reply: accepted.
-        delegated: whether another instance is at work on it.
-        gathered: whether another instance gathered its part.
-        failure: last reply that told of a failure.
-        under_way: attempts by id.
-        tried: ids of leafs that got it, in order.
-        arrived: attempts that may have reached a leaf.
-        ran: leafs that may have run it, whether asked from here or elsewhere.
-        ran_leaf_ids: ids of those among them that were asked from here.
-        lost_leaf_ids: ids of those among these that live and whose answer was lost.
-        closed: whether no leaf may get it any longer that didn't have it.
-        ended: leafs that ended under it.
-        next_at: when the next attempt is due; None when none is.
+        service: name of the service.
+        reply: the accepted reply, or None.
+        delegated: whether another instance is gathering the part.
+        gathered: whether the part is in an answer that another instance merged.
+        failure: the last failure reply of a leaf.
+        under_way: attempts under way, by id.
+        tried: ids of the leaves that were asked from here, in order.
+        arrived: number of attempts that may have reached a leaf.
+        ran: number of leaves that may have run it, asked from here or elsewhere.
+        ran_leaf_ids: ids of those leaves that were asked from here.
+        lost_leaf_ids: ids of those among them that are alive and whose answer was
+            lost.
+        closed: whether it may no longer go to a leaf that hasn't had it.
+        ended: number of leaves that crashed under it.
+        next_at: time at which the next attempt is due; None when none is planned.
         given_up: whether no further attempt will be made.
-        held_back: whether an attempt was not made to leave the budget's reserve alone.
+        held_back: whether an attempt wasn't made, to spare the budget's reserve.
         reason: why there is no reply yet.
-        refusal: the last word that an attempt did not run.
-        places: where it was asked.
-        deferred: whether it waits to be asked for in another region with other late ones;
-            the budget of repeats holds the request.
-        may_repeat: whether the budget holds a request that another instance may send.
-        regrouped: whether it was asked for there.
-        awaited: whether another instance still waits for an attempt of its own.
-        part: that such an attempt brought.
+        refusal: the last verdict that an attempt did not run.
+        places: places in which it was asked.
+        deferred: whether it waits to be requested in another region together with
+            other late parts; the repeat budget already accounts for the request.
+        may_repeat: whether the budget accounts for a request that the asking instance
+            may send.
+        regrouped: whether it was requested in another region with other late parts.
+        awaited: whether another instance still waits for its own attempt.
+        part: the late part that such an attempt brought.
     """
 
     service: str
@@ -89,17 +91,17 @@
 
     @property
     def why_missing(self) -> Reason:
-        """Why there is no part; a leaf that ended outweighs what came after."""
+        """Why the part is missing; a leaf's crash outranks later reasons."""
         return Reason.LEAF_ENDED if self.ended else self.reason
 
     @property
     def covered(self) -> bool:
-        """Whether its part is in."""
+        """Whether the part has arrived."""
         return self.gathered or self.reply is not None or self.part is not None
 
     @property
     def open(self) -> bool:
-        """Whether its part may still come."""
+        """Whether the part may still arrive."""
         if self.covered:
             return False
         if self.delegated or self.deferred or self.awaited:
@@ -108,16 +110,16 @@
 
     @property
     def may_run(self) -> int:
-        """Leafs that ran it, may have run it, or may run it yet.
+        """Number of leaves that ran it, may have run it or may still run it.
 
-        One that another instance asks counts, also beside one of this instance's. A
-        leaf that gets it once more counts once.
+        A leaf that another instance asks counts too, also beside one that this
+        instance asks. A leaf that gets it twice counts once.
         """
         first = sum(1 for sent in self.under_way.values() if not sent.to_same_leaf)
         return self.ran + first + int(self.delegated)
 
     def record_run(self, leaf_id: str) -> None:
-        """Note that a leaf that was asked from here may have run it."""
+        """Record that a leaf that was asked from here may have run it."""
         if leaf_id not in self.ran_leaf_ids:
             self.ran_leaf_ids.add(leaf_id)
             self.ran += 1
--- a/walkcart/fanout/single.py
+++ b/walkcart/fanout/single.py
@@ -1,6 +1,6 @@
-"""A non-repeatable request: one attempt at a time, never hedged.
+"""Sends non-repeatable requests: one attempt at a time, without hedges.
 
-It goes to a sibling only after a verdict that the request surely did not run.
+A request goes to another leaf only after a verdict that it surely did not run.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from walkcart.routing.quarantine import Standing
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Seconds past the deadline after which a reply isn't waited for any longer.
+#: Seconds past the deadline for which a reply is awaited.
 REPLY_GRACE = 0.05
 
 
@@ -29,11 +29,11 @@
     """A request that must run at most once.
 
     Args:
-        question: service, scope, body and deadline.
-        routing_key: chooses the shard.
-        once_key: what the leaf records the run under.
-        expires: time of day, in seconds since 1970, after which the leaf must
-            not begin it.
+        question: the service, scope, body and deadline.
+        routing_key: key that determines the shard.
+        once_key: key under which the leaf records that the request ran.
+        expires: time of day, in seconds since 1970, after which the leaf must not begin
+            the request.
     """
 
     question: Question
@@ -46,8 +46,8 @@
     """Sends non-repeatable requests.
 
     Args:
-        tools: the instance's gateway, ids and clock.
-        gatherer: knows the layout in use.
+        tools: shared components of the instance's gatherings.
+        gatherer: determines the layout in use.
     """
 
     def __init__(self, tools: GatherTools, gatherer: Gatherer) -> None:
@@ -55,7 +55,11 @@
         self._gatherer = gatherer
 
     async def send(self, request: OnceRequest) -> Result[Replied, NotRun | MayHaveRun]:
-        """Send `request` to one leaf of its shard after another, while that is safe."""
+        """Send `request` to the leaves of its shard in turn, while that is safe.
+
+        Returns:
+            The reply, or a verdict on whether the request may have run.
+        """
         fingerprint = request.question.fingerprint
         admitted = await self._tools.quarantines.admit(fingerprint)
         if isinstance(admitted, NotRun):
@@ -102,7 +106,7 @@
     async def _try(
         self, request: OnceRequest, shard: int, pin: Snapshot, leaf: Leaf
     ) -> Outcome:
-        """Send one attempt and wait for its end."""
+        """Send one attempt and wait for its outcome."""
         assert pin.version == ANY_VERSION
         question = request.question
         attempt = Attempt(
@@ -122,7 +126,8 @@
         start = self._tools.clock.monotonic()
         with trio.move_on_at(question.deadline + REPLY_GRACE):
             return await slot.wait()
-        # If it still waits here it is taken back, and surely did not run.
+        # An attempt that still waits in this instance is withdrawn, and surely did not
+        # run: its outcome is then known at once.
         waited = self._tools.clock.monotonic() - start
         self._tools.gateway.cancel(leaf, attempt.id, waited)
         if slot.outcome is not None:
@@ -131,14 +136,14 @@
 
 
 class _OutcomeSlot:
-    """Holds one outcome."""
+    """Holds the outcome of one attempt."""
 
     def __init__(self) -> None:
         self._ended = trio.Event()
         self.outcome: Outcome | None = None
 
     def deliver(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Take the outcome."""
+        """Set the outcome."""
         self.outcome = outcome
         self._ended.set()
 
@@ -150,6 +155,11 @@
 
 
 def choose_shard(routing_key: str, shards: int) -> int:
-    """Return the shard of a routing key; the same at every instance."""
+    """Return the shard of a routing key; it is the same at every instance.
+
+    Args:
+        routing_key: the key.
+        shards: number of shards.
+    """
     digest = blake2b(routing_key.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") % shards
--- a/walkcart/fanout/snapshots.py
+++ b/walkcart/fanout/snapshots.py
@@ -1,9 +1,10 @@
-"""Which snapshot a question is asked of.
+"""Chooses the version to which a question is pinned.
 
-The newest version that every usable leaf of each shard holds goes first: then
-each shard has a sibling to hedge to. If there is none, the newest that at least
-one leaf of each shard holds. If there is none either, the version that most
-shards hold. Nothing known means: ask without a pin and group the replies.
+The first choice is the newest version that every usable leaf of each shard holds, so
+that each shard has another leaf to hedge to. Without one, it is the newest version that
+at least one leaf of each shard holds, and failing that, the version that the most
+shards hold. If no held versions are known, the question is asked without a pin, and the
+replies are grouped by their snapshot.
 
 See Also:
     ``docs/design/snapshots.md``.
@@ -14,13 +15,13 @@
 from collections import Counter
 from collections.abc import Sequence
 
-#: For each shard, the versions that each of its usable leaves holds, None when
-#: a leaf hasn't said yet.
+#: For each shard, the versions that each of its usable leaves holds; None for a leaf
+#: that hasn't stated them yet.
 Holdings = Sequence[Sequence[frozenset[int] | None]]
 
 
 def choose_snapshot(holdings: Holdings) -> int | None:
-    """Return the version to pin, or None when nothing is known.
+    """Return the version to pin, or None when no held versions are known.
 
     Examples:
         >>> one, both = frozenset({1}), frozenset({1, 2})
@@ -47,7 +48,7 @@
 
 
 def _find_widest(sets: list[frozenset[int]]) -> int | None:
-    """Return the version in most sets; of equals the newest."""
+    """Return the version in the most sets; among equals the newest."""
     counts = Counter(version for versions in sets for version in versions)
     if not counts:
         return None
--- a/walkcart/fanout/tests/test_crash_watch.py
+++ b/walkcart/fanout/tests/test_crash_watch.py
@@ -1,9 +1,9 @@
-"""What one question may do once leafs ended under it."""
+"""Attempts that one question may send after leaves crashed under it."""
 
 from walkcart.fanout.crashwatch import CrashWatch
 
 
-def test_one_loss_changes_nothing():
+def test_one_crash_changes_nothing():
     watch = CrashWatch(services=20)
     watch.record_ended("a")
     assert not watch.is_sequential
@@ -11,7 +11,7 @@
     assert watch.count_strikes() == 1
 
 
-def test_after_two_losses_without_an_answer_one_leaf_is_asked_at_a_time():
+def test_after_two_crashes_without_an_answer_one_leaf_is_asked_at_a_time():
     watch = CrashWatch(services=20)
     watch.record_ended("a")
     watch.record_ended("b")
@@ -22,7 +22,7 @@
     assert watch.may_send("b")
 
 
-def test_a_leaf_that_was_asked_by_itself_and_ends_settles_it():
+def test_a_crash_of_the_only_leaf_asked_stops_the_question():
     watch = CrashWatch(services=20)
     for name in "abc":
         watch.record_ended(name)
@@ -35,7 +35,7 @@
     assert watch.count_strikes() == 2
 
 
-def test_any_answer_frees_the_question():
+def test_any_answer_ends_the_sequential_mode():
     watch = CrashWatch(services=20)
     for name in "abc":
         watch.record_ended(name)
@@ -48,7 +48,7 @@
     assert watch.count_strikes() == 0
 
 
-def test_a_careful_question_is_over_with_its_first_leaf():
+def test_a_careful_question_stops_when_its_first_leaf_crashes():
     watch = CrashWatch(services=20, careful=True)
     assert watch.may_send("a")
     watch.record_sent("a")
@@ -58,7 +58,7 @@
     assert watch.count_strikes() == 1
 
 
-def test_losses_of_a_request_to_one_leaf_each_count():
+def test_each_crash_counts_for_a_request_to_a_single_service():
     watch = CrashWatch(services=1)
     watch.record_ended("a")
     assert not watch.is_sequential
--- a/walkcart/fanout/tests/test_crashing_questions.py
+++ b/walkcart/fanout/tests/test_crashing_questions.py
@@ -1,7 +1,7 @@
-"""Questions of the product's own interface that end the leaves which run them.
+"""Questions of the product's own interface that crash the leaves which run them.
 
-As with routed requests, where the incident stands in full: one question took
-both replicas of each shard down, at each try anew.
+Guards against one question taking down both replicas of each shard at each retry, as
+with routed requests: after a crash it was sent to the other replica.
 """
 
 from random import Random
@@ -17,8 +17,8 @@
 CONTACT_TIME = 4.0
 
 
-class Ends:
-    """Ends leaves that begin bad requests, and starts them again."""
+class LeafCrasher:
+    """Kills leaves that begin bad requests, and restarts them."""
 
     def __init__(self, world, nursery):
         self._world = world
@@ -45,22 +45,22 @@
         self._watch(name)
 
 
-def play(act):
+def run_in_world(act):
     async def run():
         async with open_estate(shards=SHARDS) as world:
             caller = make_caller(world)
             addresses = [item.address for item in world.instances.values()]
             async with trio.open_nursery() as nursery:
-                ends = Ends(world, nursery)
-                result = await act(world, ends, caller, addresses)
+                crasher = LeafCrasher(world, nursery)
+                result = await act(world, crasher, caller, addresses)
                 nursery.cancel_scope.cancel()
             return result
 
     return run_mocked(run)
 
 
-def test_a_question_over_shards_is_soon_refused_at_all_instances():
-    async def act(world, ends, caller, addresses):
+def test_a_crashing_question_over_shards_is_soon_refused_at_all_instances():
+    async def act(world, crasher, caller, addresses):
         replies = []
         for number in range(9):
             address = addresses[number % 3]
@@ -70,17 +70,17 @@
             (await caller.query(address, "parts", {"item": "good"})).status
             for address in addresses
         ]
-        return replies, good, len(ends.at)
+        return replies, good, len(crasher.at)
 
-    replies, good, ended = play(act)
+    replies, good, ended = run_in_world(act)
     assert [item.verdict for item in replies[-5:]] == ["not_run"] * 5
     assert int(replies[-1].headers[b"retry-after"]) > 60
     assert good == [200] * 3
     assert ended <= SHARDS + 4
 
 
-def test_requests_that_must_not_repeat_are_refused_after_three_leaves_ended():
-    async def act(world, ends, caller, addresses):
+def test_non_repeatable_requests_are_refused_after_three_leaves_crashed():
+    async def act(world, crasher, caller, addresses):
         replies = []
         for number in range(8):
             now = trio.current_time()
@@ -88,15 +88,15 @@
             key = make_key(world.clock.now(), Random(number))
             replies.append(await caller.execute(address, "cards", {"item": "bad"}, key))
             await trio.sleep(max(0.0, now + 4 - trio.current_time()))
-        return replies, len(ends.at)
+        return replies, len(crasher.at)
 
-    replies, ended = play(act)
+    replies, ended = run_in_world(act)
     assert ended == 3
     assert [item.verdict for item in replies[-4:]] == ["not_run"] * 4
 
 
-def test_leaves_that_are_killed_at_once_make_no_question_suspect():
-    async def act(world, ends, caller, addresses):
+def test_leaves_killed_at_the_same_time_quarantine_no_question():
+    async def act(world, crasher, caller, addresses):
         async def ask(number, statuses):
             asked = await caller.query(addresses[number % 3], "parts", {"n": number})
             statuses.append(asked.status)
@@ -120,5 +120,5 @@
         await load(after)
         return after
 
-    after = play(act)
+    after = run_in_world(act)
     assert after.count(200) == len(after)
--- a/walkcart/fanout/tests/test_dependence.py
+++ b/walkcart/fanout/tests/test_dependence.py
@@ -1,4 +1,4 @@
-"""On which services an answer depends."""
+"""Services that an answer depends on, and the hedges that may be sent."""
 
 from walkcart.fanout.dependence import is_vital, may_send_second_attempts
 from walkcart.fanout.routedquestion import RoutedQuestion
@@ -14,7 +14,12 @@
 
 
 def make_tries(replied, waiting):
-    """Return tries of which so many have replied and so many are under way."""
+    """Return the state of five services.
+
+    Args:
+        replied: number of services that have replied.
+        waiting: number of services with an attempt under way.
+    """
     tries = [ServiceTry(name) for name in NAMES]
     for item in tries[:replied]:
         item.gathered = True
@@ -24,24 +29,24 @@
     return tries
 
 
-def test_a_part_that_an_answer_can_do_without_is_not_vital():
+def test_a_part_is_vital_only_if_the_others_cover_too_little():
     tries = make_tries(replied=2, waiting=2)
     assert not is_vital(make_question(0.8), tries, tries[4], early=True)
     assert is_vital(make_question(1.0), tries, tries[4], early=True)
 
 
-def test_what_has_not_replied_late_is_not_counted_on():
+def test_parts_missing_at_a_late_time_are_not_counted_on():
     tries = make_tries(replied=2, waiting=2)
     assert is_vital(make_question(0.8), tries, tries[4], early=False)
     assert not is_vital(make_question(0.4), tries, tries[4], early=False)
 
 
-def test_services_that_others_gather_do_not_count_as_late():
+def test_delegated_services_do_not_count_as_late():
     tries = make_tries(replied=0, waiting=2)
     for item in tries[2:]:
         item.delegated = True
     assert may_send_second_attempts(tries)
 
 
-def test_no_second_attempts_where_most_are_late():
+def test_no_hedges_are_sent_where_most_services_are_late():
     assert not may_send_second_attempts(make_tries(replied=0, waiting=5))
--- a/walkcart/fanout/tests/test_foreign_messages.py
+++ b/walkcart/fanout/tests/test_foreign_messages.py
@@ -1,9 +1,9 @@
-"""Messages of peers that come twice, are foreign or make no sense.
+"""Messages of peers that are duplicates, of other senders or malformed.
 
-The story: an instance ended with all that it had in hand, since two others had given
-two questions the same id. The second replaced the first, and when the second of them
-ended there was nothing left to remove (`KeyError`), which nothing held. A cancellation
-and a renewal of one also acted on the question of the other.
+Guards against a crash of the whole instance when two senders use the same id: the
+second question replaced the first, and when the later of them ended, removing it raised
+a `KeyError` that nothing caught. A cancellation or renewal by one sender also acted on
+the question of the other.
 """
 
 from io import StringIO
@@ -42,8 +42,8 @@
 WORK = 0.1
 
 
-class Gathering:
-    """Answers each question after a while with its target."""
+class EchoGathering:
+    """Answers each question with its target, after `WORK` seconds."""
 
     def __init__(self):
         self.begun = []
@@ -58,8 +58,8 @@
         return Success(MergedAnswer(body, (), (), 1, 0))
 
 
-class Carried:
-    """A carrier with the messages that it sends, by receiver."""
+class Harness:
+    """A server of delegations, with the messages that it sends."""
 
     def __init__(self, carrier, links, gathering, sent, log):
         self.carrier = carrier
@@ -68,7 +68,7 @@
         self.sent = sent
         self.log = log
 
-    def take(self, sender, message, age=0.0):
+    def receive(self, sender, message, age=0.0):
         self.links._handle(sender, message, age)
 
     def answers(self, kind=DelegatedAnswer):
@@ -79,7 +79,7 @@
         ]
 
 
-def play(act):
+def run_harness(act):
     async def run():
         log = StringIO()
         clock = TrioClock()
@@ -97,7 +97,7 @@
         QuarantineSpread(
             quarantine, links, clock, lambda: [], lambda: False, lambda item: None
         )
-        gathering = Gathering()
+        gathering = EchoGathering()
         quarantines = SimpleNamespace(is_kept=lambda message, origins: False)
         origins = RequestOrigins(RouteKeeper(clock, events, metrics), b"team")
         carrier = Carrier(
@@ -112,10 +112,10 @@
         async with trio.open_nursery() as nursery:
             await nursery.start(links.run)
             await nursery.start(carrier.run)
-            carried = Carried(carrier, links, gathering, sent, log)
-            carried.quarantine = quarantine
-            carried.transport, carried.address = transport, listener.address
-            result = await act(carried)
+            harness = Harness(carrier, links, gathering, sent, log)
+            harness.quarantine = quarantine
+            harness.transport, harness.address = transport, listener.address
+            result = await act(harness)
             nursery.cancel_scope.cancel()
         return result
 
@@ -128,92 +128,92 @@
     )
 
 
-def test_a_question_that_comes_twice_is_gathered_once():
-    async def act(carried):
-        carried.take("a", make_question("q"))
-        carried.take("a", make_question("q"))
+def test_a_question_that_arrives_twice_is_gathered_once():
+    async def act(harness):
+        harness.receive("a", make_question("q"))
+        harness.receive("a", make_question("q"))
         await trio.sleep(WORK * 2)
-        carried.take("a", make_question("q"))
+        harness.receive("a", make_question("q"))
         await trio.sleep(WORK * 2)
-        return carried.gathering.begun, carried.answers()
+        return harness.gathering.begun, harness.answers()
 
-    assert play(act) == (["/x"], [("a", "q", b"/x")])
+    assert run_harness(act) == (["/x"], [("a", "q", b"/x")])
 
 
-def test_a_question_that_comes_again_late_is_not_said_to_be_not_run():
-    """Its sender would have it run again elsewhere, beside this one."""
+def test_a_late_copy_of_a_question_is_not_reported_as_not_run():
+    """Otherwise its sender would have it run elsewhere too."""
 
-    async def act(carried):
-        carried.take("a", make_question("q"))
+    async def act(harness):
+        harness.receive("a", make_question("q"))
         await trio.sleep(WORK / 2)
-        carried.take("a", make_question("q"), age=0.3)
-        carried.carrier.stop_taking()
-        carried.take("a", make_question("q"))
+        harness.receive("a", make_question("q"), age=0.3)
+        harness.carrier.stop_taking()
+        harness.receive("a", make_question("q"))
         await trio.sleep(WORK)
-        carried.take("a", make_question("q"), age=0.4)
+        harness.receive("a", make_question("q"), age=0.4)
         await trio.sleep(2)
-        carried.take("a", make_question("q"), age=2.4)
-        return carried.answers(DelegatedFailure), carried.answers()
+        harness.receive("a", make_question("q"), age=2.4)
+        return harness.answers(DelegatedFailure), harness.answers()
 
-    assert play(act) == ([], [("a", "q", b"/x")])
+    assert run_harness(act) == ([], [("a", "q", b"/x")])
 
 
-def test_a_copy_under_the_name_of_another_is_not_begun():
-    async def act(carried):
-        carried.take("a", make_question("q"))
-        carried.take("nobody", make_question("q"))
+def test_a_copy_from_another_sender_is_not_begun():
+    async def act(harness):
+        harness.receive("a", make_question("q"))
+        harness.receive("nobody", make_question("q"))
         await trio.sleep(WORK * 2)
-        return carried.gathering.begun, carried.answers()
+        return harness.gathering.begun, harness.answers()
 
-    assert play(act) == (["/x"], [("a", "q", b"/x")])
+    assert run_harness(act) == (["/x"], [("a", "q", b"/x")])
 
 
 def test_two_senders_may_use_the_same_id():
-    async def act(carried):
-        carried.take("a", make_question("q", "/a", "of a"))
-        carried.take("b", make_question("q", "/b", "of b"))
+    async def act(harness):
+        harness.receive("a", make_question("q", "/a", "of a"))
+        harness.receive("b", make_question("q", "/b", "of b"))
         await trio.sleep(WORK * 2)
-        return sorted(carried.answers())
+        return sorted(harness.answers())
 
-    assert play(act) == [("a", "q", b"/a"), ("b", "q", b"/b")]
+    assert run_harness(act) == [("a", "q", b"/a"), ("b", "q", b"/b")]
 
 
-def test_nobody_cancels_or_renews_a_question_of_another():
-    async def act(carried):
-        carried.take("a", make_question("q"))
-        carried.take("b", make_question("r"))
+def test_a_sender_cannot_cancel_or_renew_a_question_of_another():
+    async def act(harness):
+        harness.receive("a", make_question("q"))
+        harness.receive("b", make_question("r"))
         await trio.sleep(WORK / 2)
-        carried.take("c", DelegatedCancel("q"))
+        harness.receive("c", DelegatedCancel("q"))
         await trio.sleep(WORK)
-        answers = carried.answers()
-        carried.gathering.gather_time = 1
-        carried.take("a", make_question("s"))
+        answers = harness.answers()
+        harness.gathering.gather_time = 1
+        harness.receive("a", make_question("s"))
         for _ in range(4):
             await trio.sleep(HOLD_TIME / 4)
-            carried.take("c", DelegatedRenewal("s"))
-        return answers, carried.carrier.carrying
+            harness.receive("c", DelegatedRenewal("s"))
+        return answers, harness.carrier.carrying
 
-    answers, carrying = play(act)
+    answers, carrying = run_harness(act)
     assert sorted(answers) == [("a", "q", b"/x"), ("b", "r", b"/x")]
     assert carrying == 0
 
 
-def test_a_fault_of_one_question_ends_that_one_and_its_sender_is_told():
-    async def act(carried):
-        carried.gathering.fault = True
-        carried.take("a", make_question("q"))
+def test_an_exception_ends_only_its_question_and_is_reported_to_the_sender():
+    async def act(harness):
+        harness.gathering.fault = True
+        harness.receive("a", make_question("q"))
         await trio.sleep(WORK)
-        carried.gathering.fault = False
-        carried.take("a", make_question("r"))
+        harness.gathering.fault = False
+        harness.receive("a", make_question("r"))
         await trio.sleep(WORK * 2)
         failures = [
             (message.id, message.may_have_run)
-            for _, message in carried.sent
+            for _, message in harness.sent
             if isinstance(message, DelegatedFailure)
         ]
-        return failures, carried.answers(), carried.log.getvalue()
+        return failures, harness.answers(), harness.log.getvalue()
 
-    failures, answers, log = play(act)
+    failures, answers, log = run_harness(act)
     assert failures == [("q", True)]
     assert answers == [("a", "r", b"/x")]
     assert "question of a" in log and "Traceback" in log
@@ -247,8 +247,8 @@
 
 @settings(max_examples=60)
 @given(st.lists(st.tuples(names, messages, st.sampled_from([0.0, 0.05, 0.3]))))
-def test_no_order_of_messages_ends_the_instance_or_answers_another(told):
-    async def act(carried):
+def test_no_order_of_messages_stops_the_server_or_misdirects_an_answer(told):
+    async def act(harness):
         asked = {}
         for sender, message, pause in told:
             if isinstance(message, DelegatedQuestion):
@@ -257,18 +257,18 @@
                     message, target=target, request=sender
                 )
                 asked.setdefault((sender, message.id), target.encode())
-            carried.take(sender, message)
+            harness.receive(sender, message)
             await trio.sleep(pause)
         await trio.sleep(HOLD_TIME + WORK)
-        for sender, id, body in carried.answers():
+        for sender, id, body in harness.answers():
             assert body == asked[sender, id]
-        assert carried.carrier.carrying == 0
-        assert len(carried.quarantine) <= MOST_ENTRIES
+        assert harness.carrier.carrying == 0
+        assert len(harness.quarantine) <= MOST_ENTRIES
 
-    play(act)
+    run_harness(act)
 
 
-def test_bytes_that_are_no_envelope_end_nothing():
+def test_malformed_envelopes_do_not_stop_the_server():
     good = Envelope("a", 0, "", 0, (make_question("q"),), "life", 1.0)
     wrong = [
         b"",
@@ -281,13 +281,13 @@
         msgspec.msgpack.encode(["a", 0, "", 0, [], "life", float("nan"), "", 1e308]),
     ]
 
-    async def act(carried):
-        sender = await carried.transport.dial(carried.address)
+    async def act(harness):
+        sender = await harness.transport.dial(harness.address)
         for data in wrong:
             await sender.send(data)
         await trio.sleep(0.1)
-        carried.take("a", make_question("r"))
+        harness.receive("a", make_question("r"))
         await trio.sleep(WORK * 2)
-        return carried.answers()
+        return harness.answers()
 
-    assert play(act) == [("a", "r", b"/x")]
+    assert run_harness(act) == [("a", "r", b"/x")]
--- a/walkcart/fanout/tests/test_hedging.py
+++ b/walkcart/fanout/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedges go only where a slot is likely free."""
+"""Hedges go only to leaves that likely have a free slot."""
 
 from walkcart.bench.harness import make_caller, open_estate, run_mocked
 from walkcart.fanout.gathering import _has_free_slot
@@ -13,14 +13,14 @@
     return leaf
 
 
-def test_leaf_with_its_slots_taken_gets_no_hedge():
+def test_leaf_without_a_free_slot_gets_no_hedge():
     item = ShardProgress(0, ())
     assert _has_free_slot(make_leaf(outstanding=1), item, 0.0)
     assert not _has_free_slot(make_leaf(outstanding=2), item, 0.0)
     assert not _has_free_slot(make_leaf(outstanding=1, stated=2), item, 0.0)
 
 
-def test_attempt_that_the_hedge_replaces_does_not_count():
+def test_attempt_that_the_hedge_replaces_does_not_occupy_a_slot():
     leaf = make_leaf(outstanding=2)
     item = ShardProgress(0, (leaf,))
     item.under_way["a"] = Sent(leaf, 0.0, False)
@@ -28,7 +28,11 @@
 
 
 def ask_with_a_slow_leaf(intent):
-    """Ask while one leaf hangs; return the slowest answer and leaf requests."""
+    """Ask 30 questions while one leaf hangs.
+
+    Returns:
+        The seconds of the slowest answer, and the number of requests to leaves.
+    """
 
     async def run():
         async with open_estate(intent=intent) as world:
@@ -45,7 +49,7 @@
     return run_mocked(run)
 
 
-def test_hedge_saves_the_answer_from_a_leaf_that_hangs():
+def test_hedge_keeps_answers_fast_while_a_leaf_hangs():
     slowest, sent = ask_with_a_slow_leaf("deadline = 1.0\nhedge_budget = 0.1\n")
     assert slowest < 0.2
     assert sent > 30 * 4
--- a/walkcart/fanout/tests/test_origins.py
+++ b/walkcart/fanout/tests/test_origins.py
@@ -1,4 +1,4 @@
-"""Whose a question is, at the instance that asks and at the one that gathers."""
+"""The team of a question, at the instance that asks and at the one that gathers."""
 
 from dataclasses import replace
 from random import Random
@@ -55,24 +55,24 @@
     )
 
 
-def pass_on(question, origins):
-    """Return a question as the instance that gathers has it."""
+def delegate(question, origins):
+    """Return a question as the instance that gathers it decodes it."""
     return decode_question(encode_question(question, GROUP, 10.0), 10.0, origins)
 
 
 @pytest.mark.parametrize("name", ["riders", "Zürich", "Red Cross"])
-def test_who_gathers_knows_team_rank_and_fingerprint(name):
+def test_the_gathering_instance_finds_team_rank_and_fingerprint(name):
     asker = make_origins((replace(RIDERS, name=name),))
     gatherer = make_origins((replace(RIDERS, name=name, rank=1),))
     question = make_question(asker, make_request((NAME, name.encode())), name)
-    found = pass_on(question, gatherer)
+    found = delegate(question, gatherer)
     assert (question.rank, found.rank) == (2, 1)
     assert found.team == name
     assert found.grant == Grant(name)
     assert found.fingerprint == question.fingerprint
 
 
-def test_the_team_is_the_sender_and_keys_make_no_difference():
+def test_fingerprints_depend_on_the_team_and_not_on_the_key():
     origins = make_origins((RIDERS,))
     of_riders = origins.fingerprint(make_request((NAME, b"riders")))
     of_others = origins.fingerprint(make_request((NAME, b"others")))
@@ -82,29 +82,29 @@
     assert origins.fingerprint(with_key) == of_riders
 
 
-def test_without_teams_senders_are_told_by_their_keys_and_no_team_is_seen():
+def test_without_teams_fingerprints_depend_on_the_key_and_there_is_no_team():
     origins = make_origins(None)
     one = make_request((b"authorization", b"Bearer one"), (NAME, b"riders"))
     two = make_request((b"authorization", b"Bearer two"), (NAME, b"riders"))
     assert origins.fingerprint(one) != origins.fingerprint(two)
-    found = pass_on(make_question(origins, one), origins)
+    found = delegate(make_question(origins, one), origins)
     assert (found.team, found.rank, found.grant) == ("", 7, Grant())
     assert found.fingerprint == origins.fingerprint(one)
 
 
-def test_what_another_configuration_let_in_is_the_askers_to_judge():
+def test_the_asker_decides_on_requests_of_teams_unknown_to_the_gatherer():
     gatherer = make_origins((RIDERS,))
     newer = make_origins((RIDERS, Team("new")))
     question = make_question(newer, make_request((NAME, b"new")), "new")
-    found = pass_on(question, gatherer)
+    found = delegate(question, gatherer)
     assert found.team == "new"
     assert found.grant is None
     older = make_origins(None)
-    found = pass_on(make_question(older, make_request()), gatherer)
+    found = delegate(make_question(older, make_request()), gatherer)
     assert found.grant is None
 
 
-def test_a_message_holds_no_more_than_the_request_as_leafs_get_it():
+def test_a_message_adds_nothing_on_the_team_to_the_request_as_leaves_get_it():
     origins = make_origins((RIDERS,))
     question = make_question(origins, make_request((NAME, b"riders")), "riders")
     plain = replace(question, team="", rank=0, grant=None, fingerprint=b"")
@@ -113,7 +113,7 @@
     assert KEY not in msgspec.msgpack.encode(messages[0])
 
 
-def test_a_request_that_crashes_leafs_is_known_by_its_team_where_it_is_gathered():
+def test_a_quarantined_request_is_recognized_by_its_team_where_it_is_gathered():
     origins = make_origins((RIDERS,))
     question = make_question(origins, make_request((NAME, b"riders")), "riders")
     other = make_question(origins, make_request((NAME, b"others")), "others")
--- a/walkcart/fanout/tests/test_promises.py
+++ b/walkcart/fanout/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""One snapshot, true coverage, each caller's own answer: under failure."""
+"""Guarantees of answers under failure: one snapshot, true coverage, no mix-ups."""
 
 import trio
 
@@ -9,7 +9,17 @@
 
 
 async def ask_while(world, fault, seconds=6.0, gap=0.02):
-    """Ask all instances in turn during a fault; return replies and violations."""
+    """Ask all instances in turn during a fault.
+
+    Args:
+        world: the simulated system.
+        fault: coroutine function that brings the fault about.
+        seconds: for how long questions are asked.
+        gap: seconds between two questions.
+
+    Returns:
+        Pairs of a reply and the violations that it shows.
+    """
     caller = make_caller(world)
     addresses = [item.address for item in world.instances.values()]
     found = []
@@ -27,7 +37,7 @@
     return found
 
 
-def check_whole(found):
+def check_complete(found):
     assert found
     for asked, violations in found:
         assert not violations
@@ -35,7 +45,7 @@
         assert asked.content["coverage"]["complete"]
 
 
-def test_orderly_index_roll_mixes_nothing_and_stays_complete():
+def test_index_roll_mixes_no_versions_and_keeps_answers_complete():
     async def run():
         async with open_estate() as world:
 
@@ -46,7 +56,7 @@
             return await ask_while(world, roll)
 
     found = run_mocked(run)
-    check_whole(found)
+    check_complete(found)
     seen = {asked.content["snapshot"]["version"] for asked, _ in found}
     assert len(seen) >= 3
 
@@ -91,13 +101,13 @@
             return await ask_while(world, repartition)
 
     found = run_mocked(run)
-    check_whole(found)
+    check_complete(found)
     layouts = [asked.content["snapshot"]["layout"] for asked, _ in found]
     assert layouts[0] == 1
     assert layouts[-1] == 2
 
 
-def test_shard_without_leaves_is_missing_and_said_to_be():
+def test_shard_without_leaves_is_listed_as_missing():
     async def run():
         async with open_estate() as world:
             caller = make_caller(world)
@@ -134,7 +144,7 @@
     assert not coverage["complete"]
 
 
-def test_stalled_shard_ends_at_the_deadline_with_what_there_is():
+def test_stalled_shard_gives_a_partial_answer_at_the_deadline():
     async def run():
         async with open_estate() as world:
             for name in ("parts-l1-0-0", "parts-l1-0-1"):
@@ -148,7 +158,7 @@
     assert asked.content["coverage"]["answered"] == [1, 2, 3]
 
 
-def test_thousands_of_marked_questions_each_get_their_own_answer():
+def test_each_of_thousands_of_questions_gets_its_own_answer():
     async def run():
         async with open_estate(instances=3) as world:
             for item in world.leaves.values():
@@ -244,7 +254,7 @@
     assert run_mocked(run).status == 401
 
 
-def test_question_that_every_leaf_refused_is_told_as_not_run():
+def test_question_refused_by_every_leaf_is_reported_as_not_run():
     async def run():
         async with open_estate() as world:
             for item in world.leaves.values():
