--- a/walkcart/fanout/tests/test_repeat_loans.py
+++ b/walkcart/fanout/tests/test_repeat_loans.py
@@ -1,4 +1,4 @@
-"""Repeats that one instance lends another, and how a loan ends."""
+"""Loans of repeats from one instance to another, and their end."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,13 +10,13 @@
 from walkcart.routing.repeats import RepeatBudget, RepeatLimits
 
 NAMES = ("a", "b", "c")
-#: One repeat a service, as in a large fleet.
+#: Limits that give each instance one repeat for each service, as in a large fleet.
 LIMITS = RepeatLimits(ratio=0.2, window=10.0, allowance=12.0)
 INSTANCES = 9
 
 
 class FixedClock:
-    """Stands still."""
+    """A clock that always shows the same time."""
 
     def monotonic(self):
         return 100.0
@@ -37,42 +37,42 @@
     return group
 
 
-def list_left(budget):
+def list_available(budget):
     return [name for name in NAMES if budget.take(name, 100.0, INSTANCES)]
 
 
-def test_what_is_returned_may_be_spent_again_and_the_rest_counts_as_spent():
+def test_returned_repeats_are_available_again_and_the_rest_counts_as_spent():
     budget, loan = make_loan()
     group = make_group(loan, taken=True)
     group.return_unspent(encode_services(NAMES, {"b"}))
     group.end(None)
-    assert list_left(budget) == ["b"]
+    assert list_available(budget) == ["b"]
     assert loan.services == frozenset()
 
 
-def test_a_group_that_was_not_taken_has_spent_nothing():
-    """The other instance sends none before it knows that its word has come."""
+def test_a_group_that_was_not_accepted_has_spent_nothing():
+    """The other instance uses lent repeats only after the asker's confirmation."""
     budget, loan = make_loan()
     make_group(loan, taken=False).end(None)
-    assert list_left(budget) == list(NAMES)
+    assert list_available(budget) == list(NAMES)
 
 
-def test_a_group_with_one_attempt_may_have_spent_all_without_a_word():
+def test_a_group_with_one_attempt_may_have_spent_all_before_its_acceptance():
     budget, loan = make_loan()
     make_group(loan, taken=False, most_attempts=1).end(None)
-    assert list_left(budget) == []
+    assert list_available(budget) == []
 
 
-def test_what_is_returned_twice_counts_once():
+def test_a_repeat_that_is_returned_twice_counts_once():
     budget, loan = make_loan()
     loan.return_unspent({"a"})
     loan.return_unspent({"a"})
     loan.end()
-    assert list_left(budget) == ["a"]
+    assert list_available(budget) == ["a"]
 
 
 @given(st.sets(st.integers(0, 23)))
-def test_services_come_back_as_they_were_sent(places):
+def test_encoded_services_are_decoded_unchanged(places):
     services = tuple(f"shard-{number}" for number in range(24))
     chosen = {services[place] for place in places}
     assert decode_services(services, encode_services(services, chosen)) == chosen
--- a/walkcart/fanout/tests/test_service_try.py
+++ b/walkcart/fanout/tests/test_service_try.py
@@ -1,4 +1,4 @@
-"""How many attempts count as having run, or running, at one service."""
+"""Number of leaves that count as having run a question, or running it, at a service."""
 
 from types import SimpleNamespace
 
@@ -18,7 +18,7 @@
     )
 
 
-def test_what_another_instance_was_asked_for_counts_beside_an_attempt_from_here():
+def test_a_delegated_part_counts_beside_an_attempt_of_this_instance():
     item = ServiceTry("s")
     item.under_way["a"] = Sent(None, 0.0, 1.0)
     assert make_sends().hedge_at(item) == 1.0
@@ -30,7 +30,7 @@
     assert item.may_run == 2
 
 
-def test_a_leaf_that_gets_a_question_once_more_counts_once():
+def test_a_leaf_that_gets_a_question_twice_counts_once():
     item = ServiceTry("s")
     item.record_run("leaf-1")
     item.under_way["a"] = Sent(None, 0.0, 1.0, to_same_leaf=True)
