--- a/walkcart/fanout/carrying.py
+++ b/walkcart/fanout/carrying.py
@@ -49,9 +49,9 @@
 #: Seconds in transit that a question's times allow for: a round trip to another region,
 #: since the age of a message is known to within the time of one direction.
 USUAL_TRANSIT_TIME = 0.03
-#: Seconds without a renewal after which a question is abandoned: three renewal
-#: intervals, and less than the half second for which leaves may go on working for a
-#: caller that has left.
+#: Seconds without a renewal after which a question is abandoned: more than three
+#: renewal intervals, and less than the half second for which leaves may go on working
+#: for a caller that has left.
 HOLD_TIME = 0.4
 #: Seconds for which the arrival, cancellation or end of a question is remembered, to
 #: recognize a copy that arrives later. Past `MOST_AGE` a copy would be rejected as "not
@@ -82,8 +82,8 @@
         links: links to the other instances.
         clock: source of time.
         gather: gathers one question.
-        usual_high: returns a high percentile of the seconds that requests of a kind
-            take at nearby leaves.
+        usual_high: returns a high estimate of the seconds that requests of a kind take
+            at nearby leaves.
         events: log of rejected and abandoned questions.
         quarantines: requests under which leaves crashed.
         origins: finds the team of a question.
--- a/walkcart/fanout/dependence.py
+++ b/walkcart/fanout/dependence.py
@@ -45,9 +45,9 @@
 def may_send_second_attempts(tries: Collection[ServiceTry]) -> bool:
     """Return whether few enough services are late for hedges to be worth sending.
 
-    Only services that are asked from here count. Groups that other instances gather
-    arrive all at once, mostly after hedges are due, and say nothing about the leaves
-    that are asked from here.
+    Only services that this instance asks itself count. Groups that other instances
+    gather arrive all at once, mostly after hedges are due, and say nothing about the
+    leaves that this instance asks.
 
     Args:
         tries: the question's state at each service.
--- a/walkcart/fanout/elsewhere.py
+++ b/walkcart/fanout/elsewhere.py
@@ -213,7 +213,7 @@
     def _reassign_missing(
         self, group: DelegatedGroup, missing: list[ServiceTry], now: float
     ) -> None:
-        """Request the parts that an instance didn't gather elsewhere or from here."""
+        """Request the parts that an instance didn't gather, elsewhere or directly."""
         waiting = [item for item in missing if not (item.deferred or item.awaited)]
         if group.reason is Reason.NO_ROOM:
             # Another instance would ask the same leaves, which have no room.
@@ -241,7 +241,7 @@
     ) -> list[ServiceTry]:
         """Delegate parts that an instance didn't accept to another one.
 
-        Asked from here, 24 parts keep a machine of half a core busy for 30 ms, and
+        Asking for 24 parts directly keeps a machine of half a core busy for 30 ms, and
         where many groups are lost at once, the acceptances of other groups would be
         processed too late. Requests that may have arrived the first time count as
         repeats against this instance's budget.
--- a/walkcart/fanout/groups.py
+++ b/walkcart/fanout/groups.py
@@ -1,8 +1,9 @@
 """Divides the services of a question into groups that other instances gather.
 
-Services with a leaf in this data centre are asked from here, up to the number that one
-processor handles without delay. The rest is gathered in data centres that have the
-leaves, so that one merged reply crosses between data centres instead of many.
+This instance asks the services with a leaf in its own data centre itself, up to the
+number that one processor handles without delay. The rest is gathered in data centres
+that have the leaves, so that one merged reply crosses between data centres instead of
+many.
 
 Examples:
     >>> here, north, south = Place("r", "a"), Place("r", "b"), Place("s", "c")
@@ -47,7 +48,7 @@
     random: Random,
     gathers: bool = True,
 ) -> list[Group]:
-    """Return the groups to delegate; services in no group are asked from here.
+    """Return the groups to delegate; this instance asks all other services itself.
 
     Args:
         services: names of the question's services.
@@ -66,7 +67,7 @@
             del left[name]
         chunks = cut_evenly(chosen, MOST_SERVICES)
         if place == own and gathers:
-            # The first chunk is asked from here.
+            # This instance asks the first chunk itself.
             chunks = chunks[1:]
         groups += [Group(chunk, place) for chunk in chunks if len(chunk) >= LEAST_GROUP]
     return groups
--- a/walkcart/fanout/origins.py
+++ b/walkcart/fanout/origins.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOrigins:
-    """Finds the team of requests, and what follows from it.
+    """Finds the team of requests, with its rank and permissions.
 
     Args:
         keeper: holds the configuration in force.
--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -390,7 +390,7 @@
                 self._sends.postpone_hedge(item, now)
 
     def _must_send_deferred(self, now: float) -> bool:
-        """Return whether parts deferred for a hand-over must be requested from here."""
+        """Return whether this instance must request the deferred parts itself."""
         if self._handover is None or self._handed_over or self._watch.is_sequential:
             return False
         return now >= self._question.settle_at
--- a/walkcart/fanout/servicetry.py
+++ b/walkcart/fanout/servicetry.py
@@ -41,10 +41,10 @@
         gathered: whether the part is in an answer that another instance merged.
         failure: the last failure reply of a leaf.
         under_way: attempts under way, by id.
-        tried: ids of the leaves that were asked from here, in order.
+        tried: ids of the leaves that this instance asked, in order.
         arrived: number of attempts that may have reached a leaf.
-        ran: number of leaves that may have run it, asked from here or elsewhere.
-        ran_leaf_ids: ids of those leaves that were asked from here.
+        ran: number of leaves that may have run it, asked by any instance.
+        ran_leaf_ids: ids of those leaves that this instance asked.
         lost_leaf_ids: ids of those among them that are alive and whose answer was
             lost.
         closed: whether it may no longer go to a leaf that hasn't had it.
@@ -119,7 +119,7 @@
         return self.ran + first + int(self.delegated)
 
     def record_run(self, leaf_id: str) -> None:
-        """Record that a leaf that was asked from here may have run it."""
+        """Record that a leaf that this instance asked may have run it."""
         if leaf_id not in self.ran_leaf_ids:
             self.ran_leaf_ids.add(leaf_id)
             self.ran += 1
