--- a/walkcart/fanout/answers.py
+++ b/walkcart/fanout/answers.py
@@ -57,7 +57,7 @@
         coverage: coverage of the replies.
         replies: shards with their reply bodies, ascending; includes partial replies.
         sent: number of requests that went to leaves for this answer.
-        typical_time: median over the shards of the seconds to the reply; None without
+        median_time: median over the shards of the seconds to the reply; None without
             replies. Stragglers don't change it, queues at all leaves do.
         may_have_run: whether any leaf ran the question or may still run it.
     """
@@ -66,5 +66,5 @@
     coverage: Coverage
     replies: tuple[tuple[int, bytes], ...]
     sent: int
-    typical_time: float | None = None
+    median_time: float | None = None
     may_have_run: bool = True
--- a/walkcart/fanout/carrying.py
+++ b/walkcart/fanout/delegationserver.py
@@ -5,7 +5,7 @@
 whose cancellation arrived first isn't begun, and one that isn't renewed is abandoned.
 
 See Also:
-    `walkcart.fanout.delegates.Delegates`, the asking side.
+    `walkcart.fanout.delegationclient.Delegates`, the asking side.
 """
 
 from __future__ import annotations
@@ -45,16 +45,16 @@
 #: Seconds in transit after which a question isn't begun: the asker has long gone on by
 #: itself (`walkcart.routing.peerchoice.LONGEST_PATIENCE`), and its caller may have
 #: left. Leaves must be idle half a second after a caller has left.
-MOST_AGE = 0.2
+MAX_AGE = 0.2
 #: Seconds in transit that a question's times allow for: a round trip to another region,
 #: since the age of a message is known to within the time of one direction.
 USUAL_TRANSIT_TIME = 0.03
 #: Seconds without a renewal after which a question is abandoned: more than three
 #: renewal intervals, and less than the half second for which leaves may go on working
 #: for a caller that has left.
-HOLD_TIME = 0.4
+RENEWAL_TIMEOUT = 0.4
 #: Seconds for which the arrival, cancellation or end of a question is remembered, to
-#: recognize a copy that arrives later. Past `MOST_AGE` a copy would be rejected as "not
+#: recognize a copy that arrives later. Past `MAX_AGE` a copy would be rejected as "not
 #: run", which its sender may rely on for as long as it waits.
 HISTORY_TTL = 5.0
 
@@ -75,7 +75,7 @@
 Gather = Callable[[RoutedQuestion, int, Handover], Awaitable[Outcome]]
 
 
-class Carrier:
+class DelegationServer:
     """Accepts questions of other instances, gathers them and sends the results.
 
     Args:
@@ -113,11 +113,11 @@
         self._begun_at: dict[tuple[str, str], float] = {}
         self._nursery: trio.Nursery | None = None
         self._stopping = False
-        links.on_work(DelegatedQuestion, self._on_question)
+        links.on_with_age(DelegatedQuestion, self._on_question)
         links.on(DelegatedCancel, self._on_cancel)
         links.on(DelegatedRenewal, self._on_renewal)
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Reject new questions, because this instance stops.
 
         The asker turns to another instance at once. An instance that accepted questions
@@ -127,7 +127,7 @@
         self._stopping = True
 
     @property
-    def carrying(self) -> int:
+    def active_count(self) -> int:
         """Number of questions of other instances in progress here."""
         return len(self._active)
 
@@ -151,16 +151,16 @@
         if self._stopping:
             self._reject(sender, message, Reason.STOPPING, "the instance stops")
             return
-        if age > MOST_AGE:
+        if age > MAX_AGE:
             self._reject_stale(sender, message, age)
             return
-        if self._quarantines.is_kept(message, self._origins):
+        if self._quarantines.is_restricted(message, self._origins):
             detail = "leafs end when they run this request"
             self._reject(sender, message, Reason.QUARANTINED, detail)
             return
         high = self._usual_high(message.kind)
         self._links.send(sender, DelegatedTaken(message.id, high))
-        scope = trio.CancelScope(deadline=trio.current_time() + HOLD_TIME)
+        scope = trio.CancelScope(deadline=trio.current_time() + RENEWAL_TIMEOUT)
         send = partial(self._links.send, sender)
         handover = Handover(message.id, message.services, send)
         self._active[key] = active = _ActiveQuestion(scope, handover)
@@ -204,7 +204,7 @@
         self._remember_closed(key)
         if message.unheard:
             # The connection on which this instance answers may be dead.
-            self._links.renew(sender)
+            self._links.reconnect(sender)
 
     def _remember_closed(self, key: QuestionKey) -> None:
         _record_time(self._closed_at, key, self._clock.monotonic())
@@ -213,7 +213,7 @@
         assert isinstance(message, DelegatedRenewal)
         active = self._active.get((sender, message.id))
         if active is not None:
-            active.scope.deadline = trio.current_time() + HOLD_TIME
+            active.scope.deadline = trio.current_time() + RENEWAL_TIMEOUT
             active.handover.confirm()
 
     async def _gather_question(
--- a/walkcart/fanout/gatherers.py
+++ b/walkcart/fanout/gatheringinstances.py
@@ -2,7 +2,7 @@
 
 See Also:
     `walkcart.routing.gatherers`, which decides on plain data.
-    `walkcart.fanout.delegates.Delegates`, which sends questions to them.
+    `walkcart.fanout.delegationclient.Delegates`, which sends questions to them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from walkcart.leaves.directory import LeafDirectory
 from walkcart.membership.instancerecord import InstanceRecord
 from walkcart.membership.registration import Registration
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.routing.gatherers import (
     PartRate,
     choose_gatherers,
@@ -24,19 +24,19 @@
 from walkcart.routing.shares import rank_rendezvous
 
 #: Returns the places that have leaves of services over which questions are spread.
-FindPlaces = Callable[[], Collection[Place]]
+FindPlaces = Callable[[], Collection[Location]]
 
 
 def find_gathering_places(
     table: RouteTable, directory: LeafDirectory
-) -> frozenset[Place]:
+) -> frozenset[Location]:
     """Return the places that have leaves of any service that is a shard of a route.
 
     Args:
         table: the routes in force.
         directory: the known leaves.
     """
-    places: set[Place] = set()
+    places: set[Location] = set()
     for route in table.document.routes:
         match route.target:
             case ToShards(services):
@@ -49,7 +49,7 @@
     return frozenset(places)
 
 
-class Gatherers:
+class GatheringInstances:
     """Determines which instances gather in each data centre.
 
     Args:
@@ -69,24 +69,26 @@
         self._places: frozenset[str] | None = None
         registration.on_change(self._ranked.clear)
 
-    def note_change(self) -> None:
+    def invalidate_places(self) -> None:
         """Drop the cached places where parts are gathered: routes or leaves changed."""
         self._places = None
 
     def count(self) -> int:
         """Return the number of instances that gather, over all data centres."""
-        return sum(len(self.of(place)) for place in self._gathering_places())
+        return sum(
+            len(self.in_data_centre(place)) for place in self._gathering_places()
+        )
 
-    def note_question(self, parts: int) -> None:
+    def record_question(self, parts: int) -> None:
         """Record that a caller's question over `parts` services was begun."""
-        self._rate.note(self._clock.monotonic(), parts)
+        self._rate.record(self._clock.monotonic(), parts)
 
     def is_own(self) -> bool:
         """Return whether this instance gathers."""
         own = self._registration.own
-        return own.name in self.of(own.data_centre)
+        return own.name in self.in_data_centre(own.data_centre)
 
-    def of(self, data_centre: str) -> list[str]:
+    def in_data_centre(self, data_centre: str) -> list[str]:
         """Return the names of those in a data centre; may include this instance."""
         ranked, capacities = self._rank(data_centre)
         rate = self._rate.estimate(self._clock.monotonic())
@@ -100,7 +102,7 @@
         These are the ones that gather there, or all instances where the data centre has
         none.
         """
-        found = self.of(data_centre)
+        found = self.in_data_centre(data_centre)
         if found:
             return found
         names = [record.name for record in self._list_instances()]
@@ -110,7 +112,12 @@
         """Return the names of the other instances that gather, in all data centres."""
         own = self._registration.own.name
         places = sorted(self._gathering_places())
-        return [name for place in places for name in self.of(place) if name != own]
+        return [
+            name
+            for place in places
+            for name in self.in_data_centre(place)
+            if name != own
+        ]
 
     def _gathering_places(self) -> frozenset[str]:
         if self._places is None:
--- a/walkcart/fanout/groups.py
+++ b/walkcart/fanout/groups.py
@@ -6,7 +6,7 @@
 many.
 
 Examples:
-    >>> here, north, south = Place("r", "a"), Place("r", "b"), Place("s", "c")
+    >>> here, north, south = Location("r", "a"), Location("r", "b"), Location("s", "c")
     >>> places = {"a": {here}, "b": {north, south}, "c": {north}, "d": set()}
     >>> divide_services("abcd", places.__getitem__, here, Random(1))
     [Group(services=('b', 'c'), place=Place(region='r', data_centre='b'))]
@@ -18,14 +18,14 @@
 from dataclasses import dataclass
 from random import Random
 
-from walkcart.routing.distance import Place, measure_distance
+from walkcart.routing.distance import Location, measure_distance
 
 #: Minimum number of services of a group; fewer are asked directly. One more reply costs
 #: little, and a message to another instance costs about as much.
-LEAST_GROUP = 2
+MIN_GROUP = 2
 #: Maximum number of services that one instance asks at once for a question. Each takes
 #: about half a millisecond of a fast processor, and small instances have half of one.
-MOST_SERVICES = 24
+MAX_SERVICES = 24
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,13 +38,13 @@
     """
 
     services: tuple[str, ...]
-    place: Place
+    place: Location
 
 
 def divide_services(
     services: Sequence[str],
-    places_of: Callable[[str], Collection[Place]],
-    own: Place,
+    places_of: Callable[[str], Collection[Location]],
+    own: Location,
     random: Random,
     gathers: bool = True,
 ) -> list[Group]:
@@ -65,17 +65,19 @@
         chosen = [name for name, places in left.items() if place in places]
         for name in chosen:
             del left[name]
-        chunks = cut_evenly(chosen, MOST_SERVICES)
+        chunks = split_evenly(chosen, MAX_SERVICES)
         if place == own and gathers:
             # This instance asks the first chunk itself.
             chunks = chunks[1:]
-        groups += [Group(chunk, place) for chunk in chunks if len(chunk) >= LEAST_GROUP]
+        groups += [Group(chunk, place) for chunk in chunks if len(chunk) >= MIN_GROUP]
     return groups
 
 
-def _choose_place(left: dict[str, set[Place]], own: Place, random: Random) -> Place:
+def _choose_place(
+    left: dict[str, set[Location]], own: Location, random: Random
+) -> Location:
     """Return the nearest place; among equally near ones, one with the most services."""
-    counts: dict[Place, int] = {}
+    counts: dict[Location, int] = {}
     for places in left.values():
         for place in places:
             counts[place] = counts.get(place, 0) + 1
@@ -86,12 +88,12 @@
     return random.choice(sorted(place for place in ranks if ranks[place] == least))
 
 
-def cut_evenly(names: Sequence[str], most: int) -> list[tuple[str, ...]]:
+def split_evenly(names: Sequence[str], max_size: int) -> list[tuple[str, ...]]:
     """Return the names in the fewest chunks of about equal size, at most `most` each.
 
     Examples:
-        >>> cut_evenly("abcde", 3)
+        >>> split_evenly("abcde", 3)
         [('a', 'c', 'e'), ('b', 'd')]
     """
-    count = -(-len(names) // most)
+    count = -(-len(names) // max_size)
     return [tuple(names[start::count]) for start in range(count)]
--- a/walkcart/fanout/leafchoice.py
+++ b/walkcart/fanout/leafchoice.py
@@ -13,12 +13,12 @@
 
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedtools import RoutedTools
-from walkcart.fanout.servicetry import ServiceTry
+from walkcart.fanout.serviceprogress import ServiceProgress
 from walkcart.leaves.leaf import Leaf
 
 #: Maximum number of times that one leaf gets a question whose answers it loses. With
 #: three, a leaf that loses two of five answers delivers nine parts of ten.
-MOST_TIMES = 3
+MAX_SENDS_PER_LEAF = 3
 
 
 class LeafChoice:
@@ -37,20 +37,22 @@
         self._question = question
         self._objective = objective
 
-    def may_use_new_leaf(self, item: ServiceTry) -> bool:
+    def may_use_new_leaf(self, item: ServiceProgress) -> bool:
         """Return whether a leaf that hasn't had the question may get it."""
         return not item.closed and item.may_run < self._question.most_attempts
 
-    def find_repeatable(self, item: ServiceTry) -> set[str]:
+    def find_repeatable(self, item: ServiceProgress) -> set[str]:
         """Return the ids of leaves that may be asked again for a lost answer.
 
         There are none while another instance gathers the part.
         """
         if item.may_repeat or item.delegated or not self._question.idempotent:
             return set()
-        return {id for id in item.lost_leaf_ids if item.tried.count(id) < MOST_TIMES}
+        return {
+            id for id in item.lost_leaf_ids if item.tried.count(id) < MAX_SENDS_PER_LEAF
+        }
 
-    def choose(self, item: ServiceTry, now: float) -> Leaf | None:
+    def choose(self, item: ServiceProgress, now: float) -> Leaf | None:
         """Return the leaf for the next attempt, or None when none may get it.
 
         Args:
@@ -65,17 +67,19 @@
             leaf = self._choose(item, set(), now)
         return leaf
 
-    def choose_untried(self, item: ServiceTry, now: float) -> Leaf | None:
+    def choose_untried(self, item: ServiceProgress, now: float) -> Leaf | None:
         """Return the leaf for a hedge: one that wasn't tried; None without any."""
         return self._choose(item, set(item.tried), now)
 
-    def choose_elsewhere(self, item: ServiceTry, now: float) -> Leaf | None:
+    def choose_elsewhere(self, item: ServiceProgress, now: float) -> Leaf | None:
         """Return a leaf in a place that wasn't asked yet; None without any."""
         leaves = self._tools.pool.leaves_of(item.service)
         asked = {leaf.id for leaf in leaves if leaf.place in item.places}
         return self._choose(item, asked.union(item.tried), now)
 
-    def _choose(self, item: ServiceTry, without: set[str], now: float) -> Leaf | None:
+    def _choose(
+        self, item: ServiceProgress, without: set[str], now: float
+    ) -> Leaf | None:
         return self._tools.pool.choose(
             item.service, self._question.kind, frozenset(without), self._objective, now
         )
--- a/walkcart/fanout/handing.py
+++ b/walkcart/fanout/merginghandover.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handing:
+class MergingHandover:
     """Merges answers and hands them over.
 
     Args:
--- a/walkcart/fanout/peerselection.py
+++ b/walkcart/fanout/peerselection.py
@@ -2,15 +2,15 @@
 
 See Also:
     `walkcart.routing.gatherers`, which decides which instances gather.
-    `walkcart.fanout.delegates.Delegates`, which sends questions to them.
+    `walkcart.fanout.delegationclient.Delegates`, which sends questions to them.
 """
 
 from __future__ import annotations
 
-from walkcart.fanout.delegatetools import DelegateTools
+from walkcart.fanout.delegationtools import DelegationTools
 from walkcart.fanout.groups import Group
 from walkcart.membership.instancerecord import InstanceRecord
-from walkcart.routing.gatherers import PART_TIME
+from walkcart.routing.gatherers import PART_CPU_TIME
 from walkcart.routing.shares import rank_by_weight
 from walkcart.wire.delegations import Greeting
 from walkcart.wire.messagebase import Message
@@ -18,7 +18,7 @@
 #: Maximum number of other instances to which an instance keeps links to all of them. In
 #: a larger fleet it keeps links to those that gather, so that the number of its links
 #: doesn't grow with the fleet.
-MOST_GREETED = 100
+MAX_FULL_MESH = 100
 #: Maximum number of instances of a data centre among which the one for a group is
 #: chosen: more than one, as any may be silent.
 MAX_CANDIDATES = 3
@@ -31,7 +31,7 @@
         tools: shared components of delegation.
     """
 
-    def __init__(self, tools: DelegateTools) -> None:
+    def __init__(self, tools: DelegationTools) -> None:
         self._tools = tools
         tools.registration.on_change(self.open_links)
         tools.links.on(Greeting, self._on_greeting)
@@ -39,7 +39,7 @@
     def open_links(self) -> None:
         """Open missing links, so that no question has to wait for one."""
         names = [record.name for record in self._tools.registration.others()]
-        if len(names) > MOST_GREETED:
+        if len(names) > MAX_FULL_MESH:
             names = self._tools.gatherers.all()
         for name in names:
             if not self._tools.links.has_link(name):
@@ -47,10 +47,10 @@
 
     def _on_greeting(self, sender: str, message: Message) -> None:
         assert isinstance(message, Greeting)
-        self._tools.accounts.note_greeting(sender)
+        self._tools.accounts.record_greeting(sender)
         if message.unheard:
             # The connection by which this instance answers may have gone silent.
-            self._tools.links.renew(sender)
+            self._tools.links.reconnect(sender)
         if not message.answers:
             self._tools.links.send(sender, Greeting(answers=True))
 
@@ -68,7 +68,7 @@
         """
         tools = self._tools
         place = wanted.place.data_centre
-        usable = self._find_connected(tools.gatherers.of(place))
+        usable = self._find_connected(tools.gatherers.in_data_centre(place))
         if not usable:
             # Other instances of the data centre are asked only if none that gathers is
             # connected. Where those are connected but silent, the data centre may be
@@ -90,11 +90,11 @@
         )
         # A group of 24 parts keeps a machine of half a core busy for 28 ms, one of 2.15
         # cores for 7 ms (computed): a quarter of the shortest objective.
-        parts = len(wanted.services) * PART_TIME
+        parts = len(wanted.services) * PART_CPU_TIME
         work = {name: parts / cores[name] for name in names[:MAX_CANDIDATES]}
         now = tools.clock.monotonic()
-        for name in tools.accounts.find_unheard(names[:MAX_CANDIDATES], now):
-            tools.links.renew(name)
+        for name in tools.accounts.find_peers_to_greet(names[:MAX_CANDIDATES], now):
+            tools.links.reconnect(name)
             tools.links.send(name, Greeting(unheard=True))
         name = tools.accounts.choose(names[:MAX_CANDIDATES], now, work)
         return tools.registration.find(name) if name else None
@@ -105,5 +105,7 @@
         return [
             name
             for name in names
-            if name != own and links.has_heard_of(name) and links.is_connected(name)
+            if name != own
+            and links.has_received_from(name)
+            and links.is_connected(name)
         ]
--- a/walkcart/fanout/quarantinepeers.py
+++ b/walkcart/fanout/quarantinepeers.py
@@ -1,15 +1,15 @@
 """Chooses the instances that are told of requests under which leaves crashed.
 
 See Also:
-    `walkcart.membership.quarantinenews.QuarantineSpread`, which sends the messages.
+    `walkcart.membership.quarantinegossip.QuarantineSpread`, which sends the messages.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-from walkcart.fanout.gatherers import Gatherers
-from walkcart.fanout.peerselection import MOST_GREETED
+from walkcart.fanout.gatheringinstances import GatheringInstances
+from walkcart.fanout.peerselection import MAX_FULL_MESH
 from walkcart.membership.registration import Registration
 
 
@@ -21,7 +21,9 @@
         gatherers: the instances that gather.
     """
 
-    def __init__(self, registration: Registration, gatherers: Gatherers) -> None:
+    def __init__(
+        self, registration: Registration, gatherers: GatheringInstances
+    ) -> None:
         self._registration = registration
         self._gatherers = gatherers
 
@@ -47,4 +49,4 @@
         return self._is_large() and self._gatherers.is_own()
 
     def _is_large(self) -> bool:
-        return len(self._registration.others()) > MOST_GREETED
+        return len(self._registration.others()) > MAX_FULL_MESH
--- a/walkcart/fanout/quarantines.py
+++ b/walkcart/fanout/quarantines.py
@@ -20,7 +20,7 @@
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
-from walkcart.routing.quarantine import Quarantine, Standing
+from walkcart.routing.quarantine import Quarantine, QuarantineLevel
 from walkcart.wire.delegations import DelegatedQuestion
 from walkcart.wire.fingerprint import make_fingerprint
 from walkcart.wire.verdicts import NotRun, Reason
@@ -71,21 +71,23 @@
         self._notify: Listener = lambda fingerprint: None
         self._store_refused: Listener = lambda fingerprint: None
 
-    def follow(self, tell: Listener, keep: Listener) -> None:
+    def set_listeners(self, notify: Listener, store_refused: Listener) -> None:
         """Set the listeners for changes that this instance records.
 
         Args:
-            tell: tells the other instances of a changed record.
-            keep: stores a request that is refused from now on.
+            notify: tells the other instances of a changed record.
+            store_refused: stores a request that is refused from now on.
         """
-        self._notify = tell
-        self._store_refused = keep
+        self._notify = notify
+        self._store_refused = store_refused
 
-    def find_standing(self, fingerprint: bytes) -> Standing:
+    def find_standing(self, fingerprint: bytes) -> QuarantineLevel:
         """Return how a request is handled at present."""
-        return self._quarantine.find_standing(fingerprint, self._clock.monotonic())
+        return self._quarantine.find_level(fingerprint, self._clock.monotonic())
 
-    def is_kept(self, question: DelegatedQuestion, origins: RequestOrigins) -> bool:
+    def is_restricted(
+        self, question: DelegatedQuestion, origins: RequestOrigins
+    ) -> bool:
         """Return whether a question of another instance is under any restriction.
 
         It is rejected then: its sender doesn't have the record of this instance yet.
@@ -93,24 +95,24 @@
         if not len(self._quarantine):
             return False
         fingerprint = origins.fingerprint(extract_request(question))
-        return self.find_standing(fingerprint) is not Standing.USUAL
+        return self.find_standing(fingerprint) is not QuarantineLevel.USUAL
 
-    async def admit(self, fingerprint: bytes) -> Standing | NotRun:
+    async def admit(self, fingerprint: bytes) -> QuarantineLevel | NotRun:
         """Return how a request is handled, or the verdict if it isn't run.
 
         Of equal requests that must be tried at one leaf first, one is tried at a time;
         the others wait up to `MAX_TRIAL_WAIT` for its result.
         """
         standing = self.find_standing(fingerprint)
-        if standing is Standing.USUAL:
+        if standing is QuarantineLevel.USUAL:
             return standing
         with trio.move_on_after(MAX_TRIAL_WAIT):
-            while standing is Standing.CAREFUL and fingerprint in self._trials:
+            while standing is QuarantineLevel.CAREFUL and fingerprint in self._trials:
                 await self._trials[fingerprint].wait()
                 standing = self.find_standing(fingerprint)
-        if standing is Standing.REFUSED:
+        if standing is QuarantineLevel.REFUSED:
             return self.refuse(fingerprint)
-        if standing is Standing.CAREFUL:
+        if standing is QuarantineLevel.CAREFUL:
             if fingerprint in self._trials:
                 detail = "the same request, under which leafs ended, is being tried"
                 return NotRun(Reason.QUARANTINED, detail, TRIAL_RETRY_AFTER)
@@ -126,7 +128,7 @@
         retry_after = timedelta(seconds=wait) if wait else TRIAL_RETRY_AFTER
         return NotRun(Reason.QUARANTINED, detail, retry_after)
 
-    def note(self, fingerprint: bytes, watch: CrashWatch, careful: bool) -> None:
+    def record(self, fingerprint: bytes, watch: CrashWatch, careful: bool) -> None:
         """Record whether leaves answered or crashed under one run of a request.
 
         Args:
@@ -141,12 +143,12 @@
         if careful and (trial := self._trials.pop(fingerprint, None)) is not None:
             trial.set()
 
-    def note_news(self, fingerprint: bytes) -> None:
+    def log_news(self, fingerprint: bytes) -> None:
         """Log a record received from another instance, if it restricts the request."""
         self._log_standing(fingerprint, "told")
 
     def _record_answer(self, fingerprint: bytes) -> None:
-        if self._quarantine.note_answer(fingerprint, self._clock.monotonic()):
+        if self._quarantine.record_answer(fingerprint, self._clock.monotonic()):
             self._events.emit(Events.QUARANTINE_LIFTED, question=fingerprint.hex())
             self._notify(fingerprint)
 
@@ -154,16 +156,16 @@
         name = make_fingerprint(self._instance, self._random.randbytes(STRIKE_BYTES))
         strike = int.from_bytes(name[:STRIKE_BYTES], "big")
         now = self._clock.monotonic()
-        self._quarantine.note_strike(fingerprint, strike, now)
+        self._quarantine.record_strike(fingerprint, strike, now)
         self._log_standing(fingerprint, "seen")
         self._notify(fingerprint)
-        if self.find_standing(fingerprint) is Standing.REFUSED:
+        if self.find_standing(fingerprint) is QuarantineLevel.REFUSED:
             self._store_refused(fingerprint)
 
     def _log_standing(self, fingerprint: bytes, source: str) -> None:
         self._metrics.gauge("quarantine.entries", len(self._quarantine))
         standing = self.find_standing(fingerprint)
-        if standing is not Standing.USUAL:
+        if standing is not QuarantineLevel.USUAL:
             self._events.emit(
                 Events.QUARANTINED,
                 question=fingerprint.hex(),
--- a/walkcart/fanout/elsewhere.py
+++ b/walkcart/fanout/remoteparts.py
@@ -14,15 +14,15 @@
 
 from walkcart.fanout.crashwatch import CrashWatch
 from walkcart.fanout.delegatedgroup import DelegatedGroup
-from walkcart.fanout.groups import LEAST_GROUP, Group, divide_services
+from walkcart.fanout.groups import MIN_GROUP, Group, divide_services
 from walkcart.fanout.lateparts import LateParts
 from walkcart.fanout.mergedanswer import MergedAnswer, MissingPart
 from walkcart.fanout.repeatloans import submit_with_loan
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedsends import RoutedSends
 from walkcart.fanout.routedtools import RoutedTools
-from walkcart.fanout.servicetry import ServiceTry
-from walkcart.routing.distance import Place
+from walkcart.fanout.serviceprogress import ServiceProgress
+from walkcart.routing.distance import Location
 from walkcart.wire.verdicts import Reason
 
 #: Maximum number of times that groups of one question are sent to another instance
@@ -31,7 +31,7 @@
 MAX_REROUTES = 12
 
 
-class GatheredElsewhere:
+class RemoteParts:
     """Has other instances gather parts of one question, and processes their results.
 
     Args:
@@ -51,7 +51,7 @@
         question: RoutedQuestion,
         top: int,
         sends: RoutedSends,
-        tries: Mapping[str, ServiceTry],
+        tries: Mapping[str, ServiceProgress],
         watch: CrashWatch,
         wake: Callable[[], None],
     ) -> None:
@@ -157,7 +157,7 @@
         for name in group.services:
             self._retry_awaited(self._tries[name])
 
-    def _retry_awaited(self, item: ServiceTry) -> None:
+    def _retry_awaited(self, item: ServiceProgress) -> None:
         """Defer a part for another request if the instance that awaited it ended."""
         was_awaited, item.awaited = item.awaited, False
         if not was_awaited or item.open or item.covered or self._late is None:
@@ -166,7 +166,7 @@
             return
         item.deferred = self._sends.take_repeat(item, self._tools.clock.monotonic())
 
-    def _process_late_part(self, item: ServiceTry, part: MergedAnswer) -> None:
+    def _process_late_part(self, item: ServiceProgress, part: MergedAnswer) -> None:
         """Accept a part that arrived after the other instance's hand-over."""
         self._watch.record_answer()
         if item.covered:
@@ -211,7 +211,7 @@
             self._watch.record_refused()
 
     def _reassign_missing(
-        self, group: DelegatedGroup, missing: list[ServiceTry], now: float
+        self, group: DelegatedGroup, missing: list[ServiceProgress], now: float
     ) -> None:
         """Request the parts that an instance didn't gather, elsewhere or directly."""
         waiting = [item for item in missing if not (item.deferred or item.awaited)]
@@ -229,16 +229,16 @@
         for item in others:
             self._sends.plan(item, now)
 
-    def _may_reroute(self, waiting: list[ServiceTry], now: float) -> bool:
+    def _may_reroute(self, waiting: list[ServiceProgress], now: float) -> bool:
         """Return whether parts that an instance didn't accept may go to another one."""
-        few = len(waiting) < LEAST_GROUP
+        few = len(waiting) < MIN_GROUP
         if few or self._reroutes >= MAX_REROUTES or now >= self._question.deadline:
             return False
         return all(item.may_run < self._question.most_attempts for item in waiting)
 
     def _reroute(
-        self, group: DelegatedGroup, waiting: list[ServiceTry], now: float
-    ) -> list[ServiceTry]:
+        self, group: DelegatedGroup, waiting: list[ServiceProgress], now: float
+    ) -> list[ServiceProgress]:
         """Delegate parts that an instance didn't accept to another one.
 
         Asking for 24 parts directly keeps a machine of half a core busy for 30 ms, and
@@ -266,7 +266,9 @@
             remaining |= self._delegate_group(question, other, items, group, late, now)
         return list(remaining.values())
 
-    def _regroup(self, group: DelegatedGroup, waiting: list[ServiceTry]) -> list[Group]:
+    def _regroup(
+        self, group: DelegatedGroup, waiting: list[ServiceProgress]
+    ) -> list[Group]:
         """Return the groups, with places, of parts that an instance didn't accept.
 
         A group that was never sent goes to the same place. One that may have arrived
@@ -277,7 +279,7 @@
         if not group.may_have_arrived:
             return [Group(services, group.place)]
 
-        def find_places(service: str) -> frozenset[Place]:
+        def find_places(service: str) -> frozenset[Location]:
             places = self._tools.pool.places_of(service)
             return (places - {group.place, self._tools.place}) or places
 
@@ -288,11 +290,11 @@
         self,
         question: RoutedQuestion,
         other: Group,
-        items: list[ServiceTry],
+        items: list[ServiceProgress],
         group: DelegatedGroup,
         late: bool,
         now: float,
-    ) -> dict[str, ServiceTry]:
+    ) -> dict[str, ServiceProgress]:
         """Delegate some services of a lost group.
 
         Returns:
@@ -321,7 +323,7 @@
         self._add_group(asked)
         return {}
 
-    def _mark_gathered(self, item: ServiceTry) -> None:
+    def _mark_gathered(self, item: ServiceProgress) -> None:
         """Mark a part as gathered by another instance, and drop this instance's own.
 
         The merged records can't be separated by service any more, so the other
--- a/walkcart/fanout/routedquestion.py
+++ b/walkcart/fanout/routedquestion.py
@@ -8,7 +8,7 @@
 from walkcart.fanout.mergedanswer import MergedAnswer, MissingPart
 from walkcart.intent.teams import Grant
 from walkcart.leaves.attempts import Replied
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 from walkcart.wire.http import HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun
 
@@ -28,7 +28,7 @@
         least_coverage: share of the services that an answer must cover.
         idempotent: whether the request may run more than once at a service.
         most_attempts: maximum number of leaves of each service that may run it.
-        whole_parts: whether only success statuses count as a part of the answer, as
+        success_only: whether only success statuses count as a part of the answer, as
             for requests over many shards.
         await_confirmation: whether a service whose first attempt may have run gets no
             other one until the asking instance confirms that it leaves the repeats to
@@ -59,14 +59,14 @@
     least_coverage: float = 1.0
     idempotent: bool = True
     most_attempts: int = 1
-    whole_parts: bool = False
+    success_only: bool = False
     await_confirmation: bool = False
     settle_at: float = float("inf")
     granted: bool = False
     traceparent: str | None = None
     fingerprint: bytes = b""
     careful: bool = False
-    regions: Regions = ANYWHERE
+    regions: Regions = ALL_REGIONS
     team: str = ""
     rank: int = 0
     grant: Grant | None = None
--- a/walkcart/fanout/routedverdict.py
+++ b/walkcart/fanout/routedverdict.py
@@ -8,7 +8,7 @@
 
 from walkcart.fanout.mergedanswer import MergedAnswer, MissingPart
 from walkcart.fanout.routedquestion import RoutedAnswer, RoutedFailure, RoutedQuestion
-from walkcart.fanout.servicetry import ServiceTry
+from walkcart.fanout.serviceprogress import ServiceProgress
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: Retry time after nothing could be run, where no leaf stated one.
@@ -33,7 +33,7 @@
 
 def make_result(
     question: RoutedQuestion,
-    tries: tuple[ServiceTry, ...],
+    tries: tuple[ServiceProgress, ...],
     merged: tuple[MergedAnswer, ...],
     now: float,
     sent: int,
@@ -60,7 +60,7 @@
 
 
 def make_answer(
-    tries: tuple[ServiceTry, ...],
+    tries: tuple[ServiceProgress, ...],
     merged: tuple[MergedAnswer, ...],
     sent: int,
     repeats: int,
@@ -84,7 +84,7 @@
 
 
 def make_failure(
-    tries: tuple[ServiceTry, ...],
+    tries: tuple[ServiceProgress, ...],
     late: bool,
     sent: int = 0,
     ends_leaves: bool = False,
@@ -111,7 +111,7 @@
 
 
 def _find_refusal(
-    tries: tuple[ServiceTry, ...], missing: tuple[MissingPart, ...]
+    tries: tuple[ServiceProgress, ...], missing: tuple[MissingPart, ...]
 ) -> Reason:
     """Return why nothing was run; a refusal for lack of room outranks later reasons."""
     refusals = (item.refusal.reason for item in tries if item.refusal is not None)
@@ -120,7 +120,7 @@
     return missing[0].reason if missing else Reason.COVERAGE
 
 
-def _list_missing(tries: tuple[ServiceTry, ...]) -> tuple[MissingPart, ...]:
+def _list_missing(tries: tuple[ServiceProgress, ...]) -> tuple[MissingPart, ...]:
     return tuple(
         MissingPart(item.service, item.why_missing, item.may_run, item.may_repeat)
         for item in tries
@@ -128,7 +128,7 @@
     )
 
 
-def _find_retry_time(tries: tuple[ServiceTry, ...]) -> timedelta:
+def _find_retry_time(tries: tuple[ServiceProgress, ...]) -> timedelta:
     """Return the retry time: the longest that a refusal stated, else the default."""
     asked = [
         item.refusal.retry_after
--- a/walkcart/fanout/servicetry.py
+++ b/walkcart/fanout/serviceprogress.py
@@ -7,7 +7,7 @@
 from walkcart.fanout.mergedanswer import MergedAnswer
 from walkcart.leaves.attempts import Replied
 from walkcart.leaves.leaf import Leaf
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.wire.verdicts import NotRun, Reason
 
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class ServiceTry:
+class ServiceProgress:
     """The state of one question at one service.
 
     Args:
@@ -82,7 +82,7 @@
     held_back: bool = False
     reason: Reason = Reason.DEADLINE
     refusal: NotRun | None = None
-    places: set[Place] = field(default_factory=set)
+    places: set[Location] = field(default_factory=set)
     deferred: bool = False
     may_repeat: bool = False
     regrouped: bool = False
--- a/walkcart/fanout/tests/test_foreign_messages.py
+++ b/walkcart/fanout/tests/test_foreign_messages.py
@@ -16,7 +16,7 @@
 from returns.result import Success
 
 from walkcart.bench.harness import run_mocked
-from walkcart.fanout.carrying import HOLD_TIME, Carrier
+from walkcart.fanout.delegationserver import RENEWAL_TIMEOUT, DelegationServer
 from walkcart.fanout.mergedanswer import MergedAnswer
 from walkcart.fanout.origins import RequestOrigins
 from walkcart.intent.routekeeper import RouteKeeper
@@ -25,8 +25,8 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.kernel.settings import HostPort
 from walkcart.membership.links import PeerLinks
-from walkcart.membership.quarantinenews import QuarantineSpread
-from walkcart.routing.quarantine import MOST_ENTRIES, Quarantine
+from walkcart.membership.quarantinegossip import QuarantineGossip
+from walkcart.routing.quarantine import MAX_ENTRIES, Quarantine
 from walkcart.standins.memory import MemoryNetwork
 from walkcart.wire.codec import encode_envelope
 from walkcart.wire.delegations import (
@@ -94,13 +94,13 @@
         sent = []
         links.send = lambda name, message: sent.append((name, message)) or True
         quarantine = Quarantine()
-        QuarantineSpread(
+        QuarantineGossip(
             quarantine, links, clock, lambda: [], lambda: False, lambda item: None
         )
         gathering = EchoGathering()
         quarantines = SimpleNamespace(is_kept=lambda message, origins: False)
         origins = RequestOrigins(RouteKeeper(clock, events, metrics), b"team")
-        carrier = Carrier(
+        carrier = DelegationServer(
             links,
             clock,
             gathering.gather,
@@ -189,7 +189,7 @@
         harness.gathering.gather_time = 1
         harness.receive("a", make_question("s"))
         for _ in range(4):
-            await trio.sleep(HOLD_TIME / 4)
+            await trio.sleep(RENEWAL_TIMEOUT / 4)
             harness.receive("c", DelegatedRenewal("s"))
         return answers, harness.carrier.carrying
 
@@ -259,11 +259,11 @@
                 asked.setdefault((sender, message.id), target.encode())
             harness.receive(sender, message)
             await trio.sleep(pause)
-        await trio.sleep(HOLD_TIME + WORK)
+        await trio.sleep(RENEWAL_TIMEOUT + WORK)
         for sender, id, body in harness.answers():
             assert body == asked[sender, id]
         assert harness.carrier.carrying == 0
-        assert len(harness.quarantine) <= MOST_ENTRIES
+        assert len(harness.quarantine) <= MAX_ENTRIES
 
     run_harness(act)
 
