--- a/walkcart/fanout/delegationclient.py
+++ b/walkcart/fanout/delegationclient.py
@@ -5,7 +5,7 @@
 falls silent and the answer is overdue, the asker goes on without it.
 
 See Also:
-    `walkcart.fanout.delegationserver.Carrier`, which gathers on the other side.
+    `walkcart.fanout.delegationserver.DelegationServer`, the side that gathers.
     `walkcart.fanout.groups.divide_services`, which decides what is delegated.
 """
 
@@ -51,7 +51,8 @@
 OVERDUE_GRACE = 0.05
 
 #: Seconds between two renewals of a question in progress: three fit into
-#: `walkcart.fanout.delegationserver.HOLD_TIME`, so that a lost or late one does no harm.
+#: `walkcart.fanout.delegationserver.RENEWAL_TIMEOUT`, so that a lost or late one does
+#: no harm.
 RENEWAL_INTERVAL = 0.12
 
 #: Seconds between two checks that links to other instances are up.
--- a/walkcart/fanout/delegationcodec.py
+++ b/walkcart/fanout/delegationcodec.py
@@ -1,8 +1,8 @@
 """Encodes delegated questions and their outcomes as messages between instances.
 
 See Also:
-    `walkcart.fanout.delegationclient.Delegates`, the side that asks.
-    `walkcart.fanout.delegationserver.Carrier`, the side that gathers.
+    `walkcart.fanout.delegationclient.DelegationClient`, the side that asks.
+    `walkcart.fanout.delegationserver.DelegationServer`, the side that gathers.
 """
 
 from __future__ import annotations
--- a/walkcart/fanout/delegationserver.py
+++ b/walkcart/fanout/delegationserver.py
@@ -5,7 +5,7 @@
 whose cancellation arrived first isn't begun, and one that isn't renewed is abandoned.
 
 See Also:
-    `walkcart.fanout.delegationclient.Delegates`, the asking side.
+    `walkcart.fanout.delegationclient.DelegationClient`, the asking side.
 """
 
 from __future__ import annotations
--- a/walkcart/fanout/gatheringinstances.py
+++ b/walkcart/fanout/gatheringinstances.py
@@ -2,7 +2,7 @@
 
 See Also:
     `walkcart.routing.gatherers`, which decides on plain data.
-    `walkcart.fanout.delegationclient.Delegates`, which sends questions to them.
+    `walkcart.fanout.delegationclient.DelegationClient`, which sends questions to them.
 """
 
 from __future__ import annotations
--- a/walkcart/fanout/groups.py
+++ b/walkcart/fanout/groups.py
@@ -9,7 +9,7 @@
     >>> here, north, south = Location("r", "a"), Location("r", "b"), Location("s", "c")
     >>> places = {"a": {here}, "b": {north, south}, "c": {north}, "d": set()}
     >>> divide_services("abcd", places.__getitem__, here, Random(1))
-    [Group(services=('b', 'c'), place=Place(region='r', data_centre='b'))]
+    [Group(services=('b', 'c'), place=Location(region='r', data_centre='b'))]
 """
 
 from __future__ import annotations
@@ -89,7 +89,7 @@
 
 
 def split_evenly(names: Sequence[str], max_size: int) -> list[tuple[str, ...]]:
-    """Return the names in the fewest chunks of about equal size, at most `most` each.
+    """Return the names in the fewest chunks of about equal size, up to `max_size`.
 
     Examples:
         >>> split_evenly("abcde", 3)
--- a/walkcart/fanout/handover.py
+++ b/walkcart/fanout/handover.py
@@ -1,8 +1,9 @@
 """Sends the result of a delegated question to the asking instance in several messages.
 
 See Also:
-    `walkcart.fanout.delegationserver.Carrier`, which makes a `Handover` for each question.
-    `walkcart.fanout.merginghandover.Handing`, which merges what is handed over.
+    `walkcart.fanout.delegationserver.DelegationServer`, which makes a `Handover` for
+    each question.
+    `walkcart.fanout.merginghandover.MergingHandover`, which merges what is handed over.
 """
 
 from __future__ import annotations
--- a/walkcart/fanout/peerselection.py
+++ b/walkcart/fanout/peerselection.py
@@ -2,7 +2,7 @@
 
 See Also:
     `walkcart.routing.gatherers`, which decides which instances gather.
-    `walkcart.fanout.delegationclient.Delegates`, which sends questions to them.
+    `walkcart.fanout.delegationclient.DelegationClient`, which sends questions to them.
 """
 
 from __future__ import annotations
--- a/walkcart/fanout/quarantinepeers.py
+++ b/walkcart/fanout/quarantinepeers.py
@@ -1,7 +1,7 @@
 """Chooses the instances that are told of requests under which leaves crashed.
 
 See Also:
-    `walkcart.membership.quarantinegossip.QuarantineSpread`, which sends the messages.
+    `walkcart.membership.quarantinegossip.QuarantineGossip`, which sends the messages.
 """
 
 from __future__ import annotations
--- a/walkcart/fanout/repeatloans.py
+++ b/walkcart/fanout/repeatloans.py
@@ -68,7 +68,8 @@
 ) -> DelegatedGroup | None:
     """Have another instance gather some services, and lend it repeats for them.
 
-    See `walkcart.fanout.delegationclient.Delegates.submit` for the arguments and the result.
+    See `walkcart.fanout.delegationclient.DelegationClient.submit` for the arguments and
+    the result.
     """
     assert tools.delegates is not None
     now, instances = tools.clock.monotonic(), tools.instances()
--- a/walkcart/fanout/selection.py
+++ b/walkcart/fanout/selection.py
@@ -47,7 +47,7 @@
     Args:
         leaf: the leaf.
         policy: policy of the service.
-        usual: median latency of the group, in seconds.
+        median_latency: median latency of the group, in seconds.
         now: the current time, in seconds.
     """
     return Candidate(
--- a/walkcart/fanout/tests/test_foreign_messages.py
+++ b/walkcart/fanout/tests/test_foreign_messages.py
@@ -98,7 +98,7 @@
             quarantine, links, clock, lambda: [], lambda: False, lambda item: None
         )
         gathering = EchoGathering()
-        quarantines = SimpleNamespace(is_kept=lambda message, origins: False)
+        quarantines = SimpleNamespace(is_restricted=lambda message, origins: False)
         origins = RequestOrigins(RouteKeeper(clock, events, metrics), b"team")
         carrier = DelegationServer(
             links,
@@ -147,7 +147,7 @@
         harness.receive("a", make_question("q"))
         await trio.sleep(WORK / 2)
         harness.receive("a", make_question("q"), age=0.3)
-        harness.carrier.stop_taking()
+        harness.carrier.stop_accepting()
         harness.receive("a", make_question("q"))
         await trio.sleep(WORK)
         harness.receive("a", make_question("q"), age=0.4)
@@ -191,11 +191,11 @@
         for _ in range(4):
             await trio.sleep(RENEWAL_TIMEOUT / 4)
             harness.receive("c", DelegatedRenewal("s"))
-        return answers, harness.carrier.carrying
+        return answers, harness.carrier.active_count
 
-    answers, carrying = run_harness(act)
+    answers, active = run_harness(act)
     assert sorted(answers) == [("a", "q", b"/x"), ("b", "r", b"/x")]
-    assert carrying == 0
+    assert active == 0
 
 
 def test_an_exception_ends_only_its_question_and_is_reported_to_the_sender():
@@ -262,7 +262,7 @@
         await trio.sleep(RENEWAL_TIMEOUT + WORK)
         for sender, id, body in harness.answers():
             assert body == asked[sender, id]
-        assert harness.carrier.carrying == 0
+        assert harness.carrier.active_count == 0
         assert len(harness.quarantine) <= MAX_ENTRIES
 
     run_harness(act)
--- a/walkcart/fanout/tests/test_repeat_loans.py
+++ b/walkcart/fanout/tests/test_repeat_loans.py
@@ -38,7 +38,7 @@
 
 
 def list_available(budget):
-    return [name for name in NAMES if budget.take(name, 100.0, INSTANCES)]
+    return [name for name in NAMES if budget.try_spend(name, 100.0, INSTANCES)]
 
 
 def test_returned_repeats_are_available_again_and_the_rest_counts_as_spent():
