--- a/walkcart/fanout/delegationclient.py
+++ b/walkcart/fanout/delegationclient.py
@@ -1,12 +1,12 @@
-"""Other instances that gather parts of questions for this one.
+"""Delegates parts of questions to other instances, which gather them for this one.
 
-A question is sent to one instance in a region that has the leafs. That one says at
-once that it has it. Without that word in time, or when the instance falls silent and
-the answer is overdue, the asker goes on without it.
+A question is sent to one instance in a region that has the leaves. That instance
+accepts it at once by a message. Without the acceptance in time, or when the instance
+falls silent and the answer is overdue, the asker goes on without it.
 
 See Also:
-    `walkcart.fanout.delegationserver.DelegationServer`, the other side.
-    `walkcart.fanout.groups.divide_services`, which decides what is asked of others.
+    `walkcart.fanout.delegationserver.DelegationServer`, the side that gathers.
+    `walkcart.fanout.groups.divide_services`, which decides what is delegated.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
     Delegation,
     decode_missing,
     encode_question,
-    read_reason,
+    parse_reason,
 )
-from walkcart.fanout.delegationtools import DelegationTools, take_in_messages
+from walkcart.fanout.delegationtools import DelegationTools, receive_pending_messages
 from walkcart.fanout.gatheringinstances import GatheringInstances
 from walkcart.fanout.groups import Group
 from walkcart.fanout.mergedanswer import MergedAnswer
@@ -45,23 +45,29 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Seconds past the objective for which the answer of an instance that was heard of
-#: since is waited for.
-OVERDUE_TIME = 0.05
+#: Seconds past the objective for which the answer is awaited of an instance that has
+#: been silent since it accepted the question. A message within as many seconds after
+#: the question is taken for the acceptance.
+OVERDUE_GRACE = 0.05
 
-#: Seconds between two renewals of a question that takes long: three go within
-#: `walkcart.fanout.delegationserver.RENEWAL_TIMEOUT`, so that a lost or late one does no harm.
+#: Seconds between two renewals of a question in progress: three fit into
+#: `walkcart.fanout.delegationserver.RENEWAL_TIMEOUT`, so that a lost or late one does
+#: no harm.
 RENEWAL_INTERVAL = 0.12
 
-#: Seconds between two looks at whether those links are up.
-GREETING_INTERVAL = 1.0
+#: Seconds between two checks that links to other instances are up.
+LINK_CHECK_INTERVAL = 1.0
 #: Seconds for which a question waits for a link to come up before it goes elsewhere:
-#: two round trips between the users' farthest regions.
-LINK_PATIENCE = 0.05
+#: two round trips between the users' most distant regions.
+LINK_TIMEOUT = 0.05
 
 
 class DelegationClient:
-    """Sends parts of questions to other instances."""
+    """Delegates groups of services to other instances.
+
+    Args:
+        tools: shared components of delegation.
+    """
 
     def __init__(self, tools: DelegationTools) -> None:
         self._tools = tools
@@ -81,19 +87,19 @@
         return self._tools.gatherers
 
     def open_links(self) -> None:
-        """Have links ready to those that may be asked."""
+        """Open links to the instances that may be asked."""
         self._selection.open_links()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Follow what others were asked and keep links up."""
+        """Follow the delegated groups and keep links up, until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             while True:
-                await trio.sleep(GREETING_INTERVAL)
+                await trio.sleep(LINK_CHECK_INTERVAL)
                 self.open_links()
 
     def can_ask(self, wanted: Group, without: frozenset[str]) -> bool:
-        """Return whether any instance but some may gather a group."""
+        """Return whether an instance that isn't in `without` may gather a group."""
         return self._selection.choose(wanted, without) is not None
 
     def submit(
@@ -101,19 +107,22 @@
         question: RoutedQuestion,
         wanted: Group,
         top: int,
-        on_end: Callable[[], None],
+        on_update: Callable[[], None],
         without: frozenset[str] = frozenset(),
         loan: Loan | None = None,
     ) -> DelegatedGroup | None:
-        """Have another instance gather some services; None when none can.
+        """Have another instance gather some services.
 
         Args:
-            question: what to ask.
+            question: the question.
             wanted: the services to gather, and where.
-            top: records of the merged reply at the most.
-            on_end: told when the group ended.
+            top: maximum number of records of the merged reply.
+            on_update: called when the group has updates or has ended.
             without: names of instances that aren't asked.
-            loan: repeats that it may send of this instance's budget.
+            loan: repeats of this instance's budget that the other one may send.
+
+        Returns:
+            The group in progress; None when no instance can gather it.
         """
         peer = self._selection.choose(wanted, without)
         if peer is None or self._nursery is None:
@@ -128,7 +137,7 @@
             question.most_attempts,
             peer.name,
             now,
-            on_end,
+            on_update,
             loan,
         )
         id = self._tools.ids.next_id()
@@ -149,14 +158,14 @@
         group: DelegatedGroup,
         question: RoutedQuestion,
     ) -> None:
-        """See one group to its end."""
+        """Wait for the outcome of one group, then end it."""
         id = message.id
         outcome: Outcome | None = None
         try:
             with group.scope:
                 outcome = await self._wait(message, group, question)
                 if outcome is None:
-                    self._note_lost(group, question)
+                    self._record_lost(group, question)
         except Exception as error:
             note_task_fault(self._tools.events, f"group at {group.peer}", error)
         finally:
@@ -164,13 +173,15 @@
             self._outcomes.pop(id, None)
             self._tools.accounts.record_ended(group.peer)
             if outcome is None:
-                self._take_back(message, group)
+                self._cancel_question(message, group)
             group.end(outcome)
 
-    def _take_back(self, message: DelegatedQuestion, group: DelegatedGroup) -> None:
-        """Have the other instance stop, and make a new link if it seems silent.
+    def _cancel_question(
+        self, message: DelegatedQuestion, group: DelegatedGroup
+    ) -> None:
+        """Have the other instance stop, and renew the link to it if it seems silent.
 
-        A question that still waits to be sent is not sent at all.
+        A question that still waits to be sent is withdrawn instead.
         """
         links = self._tools.links
         id = message.id
@@ -182,15 +193,15 @@
         if lost:
             links.reconnect(group.peer)
 
-    def _find_taken_due(
+    def _find_acceptance_deadline(
         self,
         message: DelegatedQuestion,
         group: DelegatedGroup,
         question: RoutedQuestion,
     ) -> float:
-        """Return until when the word that a question was taken is waited for."""
+        """Return the time until which the acceptance of a question is awaited."""
         if self._tools.links.is_queued(group.peer, message):
-            return group.at + LINK_PATIENCE
+            return group.at + LINK_TIMEOUT
         until = question.objective_at
         if until <= group.at or until == float("inf"):
             until = question.deadline
@@ -204,7 +215,7 @@
         group: DelegatedGroup,
         question: RoutedQuestion,
     ) -> Outcome | None:
-        """Wait for the outcome while there is hope of one."""
+        """Wait for the outcome; return None when none is expected any longer."""
         id = message.id
         accounts = self._tools.accounts
         renew_at = group.at + RENEWAL_INTERVAL
@@ -213,25 +224,25 @@
             if group.taken and now >= renew_at:
                 self._tools.links.send(group.peer, DelegatedRenewal(id))
                 renew_at = now + RENEWAL_INTERVAL
-            if group.handed is not None:
+            if group.handed_over is not None:
                 due = question.deadline
             elif not group.taken:
-                due = self._find_taken_due(message, group, question)
+                due = self._find_acceptance_deadline(message, group, question)
             else:
                 due = question.deadline
-                if accounts.last_heard_at(group.peer) <= group.at + OVERDUE_TIME:
-                    due = min(due, question.objective_at + OVERDUE_TIME)
+                if accounts.last_heard_at(group.peer) <= group.at + OVERDUE_GRACE:
+                    due = min(due, question.objective_at + OVERDUE_GRACE)
             if now >= due:
                 return None
             changed = group.changed
             with trio.move_on_at(min(due, renew_at) if group.taken else due):
                 await changed.wait()
             if not group.taken:
-                await take_in_messages()
+                await receive_pending_messages()
         return self._outcomes[id]
 
-    def _note_lost(self, group: DelegatedGroup, question: RoutedQuestion) -> None:
-        if group.handed is not None:
+    def _record_lost(self, group: DelegatedGroup, question: RoutedQuestion) -> None:
+        if group.handed_over is not None:
             return
         now = self._tools.clock.monotonic()
         if now < question.deadline:
@@ -256,9 +267,10 @@
             self.times.record_round_trip(now - group.at)
         group.taken = True
         if group.most_attempts > 1:
-            # From now on it may use all of them: it isn't asked for from here any more.
+            # The first renewal confirms that this instance leaves further attempts to
+            # the other one, which may use all of them from now on.
             self._tools.links.send(sender, DelegatedRenewal(message.id))
-        group.note()
+        group.wake()
 
     def _on_answer(self, sender: str, message: Message) -> None:
         assert isinstance(message, DelegatedAnswer)
@@ -270,7 +282,7 @@
         if message.more:
             self._hand_over(sender, message.id, answer)
         else:
-            self._end(sender, message.id, Success(answer))
+            self._finish(sender, message.id, Success(answer))
 
     def _return_unspent(self, sender: str, id: str, bits: int) -> None:
         group = self._asked.get(id)
@@ -284,23 +296,23 @@
         now = self._tools.clock.monotonic()
         self._tools.accounts.record_answer(sender, now, now - group.at)
         group.hand_over(answer)
-        group.note()
+        group.wake()
 
     def _on_part(self, sender: str, message: Message) -> None:
         assert isinstance(message, DelegatedPart)
         group = self._asked.get(message.id)
-        if group is None or group.peer != sender or group.handed is None:
+        if group is None or group.peer != sender or group.handed_over is None:
             return
         if message.service in group.services:
             part = MergedAnswer(message.body, message.proofs, (), 0, 0)
             group.add_part(message.service, part)
         if message.last:
-            self._outcomes[message.id] = Success(group.handed)
-            group.note()
+            self._outcomes[message.id] = Success(group.handed_over)
+            group.wake()
 
     def _on_failure(self, sender: str, message: Message) -> None:
         assert isinstance(message, DelegatedFailure)
-        reason = read_reason(message.reason)
+        reason = parse_reason(message.reason)
         if reason is Reason.STOPPING:
             self._tools.accounts.record_timeout(sender, self._tools.clock.monotonic())
         verdict: NotRun | MayHaveRun = MayHaveRun(reason, message.detail)
@@ -309,13 +321,13 @@
         self._return_unspent(sender, message.id, message.unspent)
         missing = decode_missing(message.missing)
         failure = RoutedFailure(verdict, sent=message.sent, missing=missing)
-        self._end(sender, message.id, Failure(failure))
+        self._finish(sender, message.id, Failure(failure))
 
-    def _end(self, sender: str, id: str, outcome: Outcome) -> None:
+    def _finish(self, sender: str, id: str, outcome: Outcome) -> None:
         group = self._asked.get(id)
         if group is None or group.peer != sender:
             return
         now = self._tools.clock.monotonic()
         self._tools.accounts.record_answer(sender, now, now - group.at)
         self._outcomes[id] = outcome
-        group.note()
+        group.wake()
--- a/walkcart/fanout/groups.py
+++ b/walkcart/fanout/groups.py
@@ -1,14 +1,15 @@
-"""Which services of a question which instances gather.
+"""Divides the services of a question into groups that other instances gather.
 
-Services with a leaf in this data centre are asked from here, up to so many that one
-processor handles without delay. The rest is gathered in data centres that have the
-leafs: what crosses is one merged reply instead of many.
+This instance asks the services with a leaf in its own data centre itself, up to the
+number that one processor handles without delay. The rest is gathered in data centres
+that have the leaves, so that one merged reply crosses between data centres instead of
+many.
 
 Examples:
-    >>> here, north, south = Place("r", "a"), Place("r", "b"), Place("s", "c")
+    >>> here, north, south = Location("r", "a"), Location("r", "b"), Location("s", "c")
     >>> places = {"a": {here}, "b": {north, south}, "c": {north}, "d": set()}
     >>> divide_services("abcd", places.__getitem__, here, Random(1))
-    [Group(services=('b', 'c'), place=Place(region='r', data_centre='b'))]
+    [Group(services=('b', 'c'), place=Location(region='r', data_centre='b'))]
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 
 from walkcart.routing.distance import Location, measure_distance
 
-#: Fewer services than this are asked directly: one reply more costs little, and a
-#: message to another instance costs about as much.
+#: Minimum number of services of a group; fewer are asked directly. One more reply costs
+#: little, and a message to another instance costs about as much.
 MIN_GROUP = 2
-#: Services that one instance asks at once for a question. Each takes about half a
-#: millisecond of a fast processor, and small instances have half of one.
+#: Maximum number of services that one instance asks at once for a question. Each takes
+#: about half a millisecond of a fast processor, and small instances have half of one.
 MAX_SERVICES = 24
 
 
@@ -32,8 +33,8 @@
     """Services to be gathered together.
 
     Args:
-        services: their names.
-        place: which has a leaf of each of them.
+        services: names of the services.
+        place: a place that has a leaf of each of them.
     """
 
     services: tuple[str, ...]
@@ -47,11 +48,11 @@
     random: Random,
     gathers: bool = True,
 ) -> list[Group]:
-    """Return the groups to be gathered elsewhere; what is in none is asked from here.
+    """Return the groups to delegate; this instance asks all other services itself.
 
     Args:
-        services: of the question.
-        places_of: returns the places where a service has leafs.
+        services: names of the question's services.
+        places_of: returns the places where a service has leaves.
         own: this instance's place.
         random: chooses among places that are equally good.
         gathers: whether this instance is one of those that gather; if not, it leaves
@@ -66,7 +67,7 @@
             del left[name]
         chunks = split_evenly(chosen, MAX_SERVICES)
         if place == own and gathers:
-            # The first chunk is asked from here.
+            # This instance asks the first chunk itself.
             chunks = chunks[1:]
         groups += [Group(chunk, place) for chunk in chunks if len(chunk) >= MIN_GROUP]
     return groups
@@ -75,7 +76,7 @@
 def _choose_place(
     left: dict[str, set[Location]], own: Location, random: Random
 ) -> Location:
-    """Return the nearest place, of equally near ones one with the most services."""
+    """Return the nearest place; among equally near ones, one with the most services."""
     counts: dict[Location, int] = {}
     for places in left.values():
         for place in places:
@@ -88,7 +89,7 @@
 
 
 def split_evenly(names: Sequence[str], max_size: int) -> list[tuple[str, ...]]:
-    """Return the names in as few chunks of about equal size as `max_size` allows.
+    """Return the names in the fewest chunks of about equal size, up to `max_size`.
 
     Examples:
         >>> split_evenly("abcde", 3)
--- a/walkcart/fanout/lateparts.py
+++ b/walkcart/fanout/lateparts.py
@@ -1,7 +1,7 @@
-"""The late parts of one question, asked for together in another region.
+"""Requests the late parts of one question together in another region.
 
 See Also:
-    `walkcart.routing.latetimes`, which says when.
+    `walkcart.routing.latetimes`, which decides when.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import replace
 
 from walkcart.fanout.delegatedgroup import DelegatedGroup
-from walkcart.fanout.delegationcodec import find_least_part
+from walkcart.fanout.delegationcodec import find_group_coverage
 from walkcart.fanout.groups import MAX_SERVICES, divide_services
 from walkcart.fanout.repeatloans import submit_with_loan
 from walkcart.fanout.routedquestion import RoutedQuestion
@@ -26,9 +26,9 @@
 def plan_settling(
     tools: RoutedTools, question: RoutedQuestion, top: int
 ) -> RoutedQuestion:
-    """Return the question with the time at which its late parts are asked for.
+    """Return the question with the time at which its late parts are requested.
 
-    Questions of few services have one or two late ones, which are asked for directly.
+    A question of few services has one or two late parts, which are requested directly.
     """
     few = len(question.services) <= MAX_SERVICES
     if not top or few or tools.delegates is None or question.most_attempts < 2:
@@ -43,14 +43,14 @@
 
 
 class LateParts:
-    """Asks for late parts of one question.
+    """Requests late parts of one question.
 
     Args:
-        tools: what routed questions use.
-        question: with the time to settle.
-        top: records of the merged answer.
-        sends: for parts that are asked for one by one.
-        wake: told when a group ended.
+        tools: shared components of routed questions.
+        question: the question, with `settle_at` set.
+        top: maximum number of records of the merged answer.
+        sends: sends single attempts for parts that no other instance gathers.
+        wake: called when a group has updates.
     """
 
     def __init__(
@@ -66,37 +66,37 @@
         self._top = top
         self._sends = sends
         self._wake = wake
-        self._asked: list[DelegatedGroup] = []
+        self._groups: list[DelegatedGroup] = []
 
     def due_at(self, pending: bool, busy: bool) -> float:
-        """Return when late parts are asked for.
+        """Return when late parts are requested; minus infinity for at once.
 
         Args:
-            pending: whether other instances gather parts still.
-            busy: whether attempts from here are under way.
+            pending: whether other instances still gather parts.
+            busy: whether attempts of this instance are under way or planned.
         """
         if pending:
             return self._question.settle_at + LATE_REPLY_GRACE
         return self._question.settle_at if busy else float("-inf")
 
-    def note_asked(self, group: DelegatedGroup) -> None:
-        """Note that another instance was asked for what one of these didn't take."""
-        self._asked.append(group)
+    def add_group(self, group: DelegatedGroup) -> None:
+        """Record that a group of late parts went to another instance instead."""
+        self._groups.append(group)
 
     def is_late(self, group: DelegatedGroup) -> bool:
-        """Return whether a group was asked for here."""
-        return group in self._asked
+        """Return whether a group was requested as late parts."""
+        return group in self._groups
 
     def ask(
         self, tries: Collection[ServiceProgress], now: float
     ) -> list[DelegatedGroup]:
-        """Ask for what is late; return the groups that other instances gather."""
+        """Request the late parts; return the groups that other instances gather."""
         late = self._choose(tries, now)
         if not late:
             return []
         places: dict[str, set[Location]] = {}
         for item in late:
-            item.left, item.regrouped = False, True
+            item.deferred, item.regrouped = False, True
             found = self._tools.pool.places_of(item.service)
             places[item.service] = set(found) - item.places - {self._tools.place}
         groups = self._submit(places, self._find_fair_coverage(tries))
@@ -107,38 +107,40 @@
             else:
                 self._sends.send_elsewhere(item, now)
         self._tools.metrics.count("leaf.regrouped", len(late))
-        self._note(late, groups)
-        self._asked += groups
+        self._log_request(late, groups)
+        self._groups += groups
         return groups
 
     def _choose(
         self, tries: Collection[ServiceProgress], now: float
     ) -> list[ServiceProgress]:
-        """Return the services whose parts are late, or were left to be asked for."""
+        """Return the services whose parts are deferred, or late and repeatable now."""
         waiting = [
             item
             for item in tries
             if not (item.covered or item.regrouped or item.delegated)
         ]
-        left = [item for item in waiting if item.left]
+        chosen = [item for item in waiting if item.deferred]
         late = [
             item
             for item in waiting
-            if not item.left and now >= self._question.settle_at and self._is_one(item)
+            if not item.deferred
+            and now >= self._question.settle_at
+            and self._may_repeat(item)
         ]
         direct = sum(1 for item in tries if item.tried)
         if may_hedge(direct, len(late)):
-            left += [item for item in late if self._sends.take_repeat(item, now)]
-        return left
+            chosen += [item for item in late if self._sends.take_repeat(item, now)]
+        return chosen
 
-    def _is_one(self, item: ServiceProgress) -> bool:
+    def _may_repeat(self, item: ServiceProgress) -> bool:
         """Return whether one attempt is under way and another is allowed."""
         return len(item.under_way) == 1 and item.may_run < self._question.most_attempts
 
     def _find_fair_coverage(self, tries: Collection[ServiceProgress]) -> float:
-        """Return the share of what isn't in that the answer can't do without."""
+        """Return the share of the missing parts without which there is no answer."""
         open_count = sum(1 for item in tries if not item.covered)
-        return find_least_part(self._question, open_count)
+        return find_group_coverage(self._question, open_count)
 
     def _submit(
         self, places: dict[str, set[Location]], fair_coverage: float
@@ -161,7 +163,9 @@
         ]
         return [group for group in asked if group is not None]
 
-    def _note(self, late: list[ServiceProgress], groups: list[DelegatedGroup]) -> None:
+    def _log_request(
+        self, late: list[ServiceProgress], groups: list[DelegatedGroup]
+    ) -> None:
         self._tools.events.emit(
             Events.LATE_PARTS,
             request=self._question.id,
--- a/walkcart/fanout/pinning.py
+++ b/walkcart/fanout/pinning.py
@@ -1,4 +1,4 @@
-"""The layout and version that a question is pinned to, kept until news comes."""
+"""Chooses the layout and version that questions are pinned to, and caches them."""
 
 from __future__ import annotations
 
@@ -9,34 +9,39 @@
 
 
 class SnapshotPins:
-    """Chooses snapshots from what the leaves said they hold.
+    """Chooses snapshots by the versions that the leaves state they hold.
 
     Args:
-        table: tells when what is held changed.
-        gateway: tells which leaves may be used.
+        table: the leaf table; its version changes when the held versions do.
+        gateway: decides which leaves may be used.
     """
 
     def __init__(self, table: LeafTable, gateway: LeafGateway) -> None:
         self._table = table
         self._gateway = gateway
-        self._kept: dict[str, tuple[int, ResolvedLayout, Snapshot]] = {}
+        self._cache: dict[str, tuple[int, ResolvedLayout, Snapshot]] = {}
 
     def choose(self, resolved: ResolvedGroup) -> tuple[ResolvedLayout, Snapshot]:
-        """Return the newest layout that is served whole, and its snapshot."""
+        """Return the newest layout of which all shards are served, and its snapshot.
+
+        Without such a layout, the one with the most shards served is returned.
+        """
         name = resolved.group.name
         version = self._table.version
-        kept = self._kept.get(name)
-        if kept and kept[0] == version and kept[1] in resolved.layouts:
-            return kept[1], kept[2]
-        layout, pin = self._choose_anew(resolved)
-        self._kept[name] = (version, layout, pin)
+        cached = self._cache.get(name)
+        if cached and cached[0] == version and cached[1] in resolved.layouts:
+            return cached[1], cached[2]
+        layout, pin = self._choose_uncached(resolved)
+        self._cache[name] = (version, layout, pin)
         return layout, pin
 
-    def _choose_anew(self, resolved: ResolvedGroup) -> tuple[ResolvedLayout, Snapshot]:
-        """Choose; when no layout is served whole, the one with most shards served."""
+    def _choose_uncached(
+        self, resolved: ResolvedGroup
+    ) -> tuple[ResolvedLayout, Snapshot]:
+        """Choose a layout and its snapshot from the present holdings."""
         best: tuple[float, ResolvedLayout, Snapshot] | None = None
         for layout in resolved.layouts:
-            holdings = self._holdings(layout)
+            holdings = self._list_holdings(layout)
             version = choose_snapshot(holdings)
             if version is not None and covers_all(holdings, version):
                 return layout, Snapshot(layout.epoch, version)
@@ -47,7 +52,9 @@
         assert best is not None
         return best[1], best[2]
 
-    def _holdings(self, layout: ResolvedLayout) -> list[list[frozenset[int] | None]]:
+    def _list_holdings(
+        self, layout: ResolvedLayout
+    ) -> list[list[frozenset[int] | None]]:
         return [
             [leaf.held for leaf in leaves if self._gateway.may_use(leaf)]
             for leaves in layout.shards
--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -1,19 +1,19 @@
-"""One routed request at one leaf of each service: attempts, repeats and replies.
+"""Sends one routed request to a leaf of each service and gathers the replies.
 
-The caller's own task runs it. Links put outcomes into its inbox, and they are taken
-here in turn, so there is no task for each shard.
+The caller's own task runs it. Links put the outcomes of attempts into its inbox, from
+which they are processed in turn, so no task is needed for each shard.
 
 Rules:
 
-* a request that must not be repeated is sent again only after a word that it surely
+* a request that must not be repeated is sent again only after a verdict that it surely
   did not run;
-* repeats keep to the budget of their service over all instances;
-* shards whose leafs are elsewhere are gathered there, by another instance;
-* an answer covers what was accepted, and when its objective nears, one that covers
-  enough isn't held back for the rest.
+* repeats stay within the budget of their service over all instances;
+* shards whose leaves are in other places are gathered there, by another instance;
+* an answer covers what was accepted; once its objective has passed, an answer that
+  covers enough doesn't wait for the rest.
 
 See Also:
-    `walkcart.fanout.gathering.Gathering`, the same at one pinned snapshot.
+    `walkcart.fanout.gathering.Gathering`, which does the same at a pinned snapshot.
 """
 
 from __future__ import annotations
@@ -28,34 +28,35 @@
 from walkcart.fanout.dependence import is_vital, may_send_second_attempts
 from walkcart.fanout.duetimes import DueTimes
 from walkcart.fanout.lateparts import plan_settling
-from walkcart.fanout.lateturns import find_late_turn
+from walkcart.fanout.lateturns import check_queue_delay
 from walkcart.fanout.merginghandover import MergingHandover
 from walkcart.fanout.remoteparts import RemoteParts
 from walkcart.fanout.routedquestion import RoutedAnswer, RoutedFailure, RoutedQuestion
 from walkcart.fanout.routedsends import RoutedSends
 from walkcart.fanout.routedtools import RoutedTools
-from walkcart.fanout.routedverdict import covers, judge, make_answer, make_failure
+from walkcart.fanout.routedverdict import covers, make_answer, make_failure, make_result
 from walkcart.fanout.serviceprogress import ServiceProgress
 from walkcart.leaves.attempts import Attempt, Failed, Outcome, Refused, Replied
 from walkcart.routing.hedging import may_hedge
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: From this status on a leaf's answer is a failure of its own.
-SERVER_FAILURE = 500
-#: Statuses of a leaf that ran a request to its end.
-SUCCESSES = range(200, 300)
+#: Lowest status with which a leaf reports a failure of its own.
+MIN_FAILURE_STATUS = 500
+#: Statuses that show that a leaf ran a request to its end.
+SUCCESS_STATUSES = range(200, 300)
 
 
 class RoutedGathering:
-    """One routed question.
+    """Runs one routed question.
 
     Args:
-        tools: what routed questions use.
-        question: what to ask.
-        top: records of a merged answer at the most; 0 where nothing is merged, and
-            then nothing is delegated.
-        handover: hands over to another instance what is in before the late parts.
-        watch: counts the leafs that end under it; None for one that nobody reads.
+        tools: shared components of routed questions.
+        question: the question.
+        top: maximum number of records of a merged answer; 0 where nothing is merged,
+            and then nothing is delegated.
+        handover: hands the parts that have arrived over to the asking instance, before
+            the late ones; None where a caller asks.
+        watch: counts the leaves that crash under the question; None for a private one.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
             tools, question, self._receive, self._is_vital, self._watch
         )
         self._due = DueTimes(question, self._sends, self._watch, tools.clock)
-        self._elsewhere = RemoteParts(
+        self._remote = RemoteParts(
             tools,
             question,
             top,
@@ -87,51 +88,54 @@
             self._watch,
             wake=lambda: self._wakeup.set(),
         )
-        self._handing = handover
-        self._handed = False
+        self._handover = handover
+        self._handed_over = False
         self._inbox: deque[tuple[Attempt, Outcome]] = deque()
         self._wakeup = trio.Event()
         self._closed = False
-        self._covered = 0
-        self._last_call = self._sends.find_last_call()
+        self._covered_count = 0
+        self._last_repeat_at = self._sends.find_last_repeat_time()
         if handover is not None:
             handover.handover.on_confirmed(self._allow_repeats)
 
     async def run(self) -> Result[RoutedAnswer, RoutedFailure]:
-        """Ask the services until the answer is whole, or must do as it is."""
+        """Ask the services until the answer is whole or waiting longer is no use."""
         if not self._can_cover():
             return Failure(make_failure(tuple(self._tries.values()), late=False))
         self._start(self._tools.clock.monotonic())
         try:
             while True:
-                self._take_in()
-                self._release_held_back()
+                self._process_inbox()
+                self._retry_held_back()
                 if self._is_done():
                     break
-                if self._hands_over():
+                if self._should_hand_over():
                     self._hand_over()
-                self._act()
+                self._send_due()
                 await self._wait()
         finally:
             self._cancel_rest()
-            self._take_in()
+            self._process_inbox()
             self._closed = True
-        return judge(
+        return make_result(
             self._question,
             tuple(self._tries.values()),
-            self._elsewhere.merged(),
+            self._remote.merged(),
             self._tools.clock.monotonic(),
             self._sends.sent,
             self._sends.repeats,
-            self._watch.is_over,
+            self._watch.is_stopped,
         )
 
     def _can_cover(self) -> bool:
-        """Return whether enough services have leafs in time, before any is asked."""
+        """Return whether enough services have leaves that can reply in time.
+
+        Called before anything is sent.
+        """
         served = 0
         waits = self._tools.pool.has_waiting
         for item in self._tries.values():
-            if waits and (late := find_late_turn(self._tools, self._question, item)):
+            if waits and (late := check_queue_delay(self._tools, self._question, item)):
                 item.reason = late.reason
                 item.refusal = late
             elif self._may_be_served(item):
@@ -143,20 +147,20 @@
         return covers(self._question, served)
 
     def _may_be_served(self, item: ServiceProgress) -> bool:
-        """Return whether a service has leafs that may get the question now.
+        """Return whether a service has leaves that may get the question now.
 
-        Cold ones without room here may have some at the instances that gather.
+        Cold leaves without room here may have some at the instances that gather.
         """
         if self._top:
             return bool(self._tools.pool.leaves_of(item.service))
         return bool(self._tools.pool.available_leaves(item.service))
 
     def _start(self, now: float) -> None:
-        """Send the first attempts, and delegate what is far."""
-        if self._watch.holds:
+        """Send the first attempts, and delegate services in other places."""
+        if self._watch.is_sequential:
             self._start_with_one(now)
             return
-        far = self._elsewhere.start()
+        far = self._remote.start()
         for item in self._tries.values():
             if item.service not in far:
                 if not self._question.granted:
@@ -167,111 +171,123 @@
             self._tools.send_time.observe(spent)
 
     def _start_with_one(self, now: float) -> None:
-        """Plan all attempts, of which one is sent until a leaf has answered.
+        """Plan all attempts, but send one at a time until a leaf has answered.
 
-        They are sent from here then: such questions are few.
+        Nothing is delegated: such questions are few.
         """
         for item in self._tries.values():
             self._tools.budget.record_request(item.service, now)
             item.next_at = now
 
     def _is_done(self) -> bool:
-        """Return whether nothing more is worth waiting for."""
+        """Return whether nothing is left that is worth waiting for."""
         now = self._tools.clock.monotonic()
-        if self._covered == len(self._tries) or now >= self._question.deadline:
+        if self._covered_count == len(self._tries) or now >= self._question.deadline:
             return True
-        if self._watch.is_over:
+        if self._watch.is_stopped:
             return True
         still_open = sum(1 for item in self._tries.values() if item.open)
         if not still_open:
             return True
-        if self._handed:
+        if self._handed_over:
             return False
-        if not covers(self._question, self._covered + still_open):
+        if not covers(self._question, self._covered_count + still_open):
             return True
         objective = self._question.objective_at
-        return now >= objective and covers(self._question, self._covered)
+        return now >= objective and covers(self._question, self._covered_count)
 
     def _is_vital(self, item: ServiceProgress) -> bool:
-        """Return whether there is no answer in time without a service's part."""
-        early = self._tools.clock.monotonic() < self._last_call
+        """Return whether no answer is possible in time without a service's part."""
+        early = self._tools.clock.monotonic() < self._last_repeat_at
         return is_vital(self._question, self._tries.values(), item, early)
 
-    def _release_held_back(self) -> None:
-        """Try services again that were held back, once the answer depends on them."""
+    def _retry_held_back(self) -> None:
+        """Retry services that were held back, once the answer depends on them."""
         now = self._tools.clock.monotonic()
         for item in self._tries.values():
             if not item.held_back or item.covered or item.open:
                 continue
-            if self._handed or not self._is_vital(item):
+            if self._handed_over or not self._is_vital(item):
                 return
             item.held_back = item.given_up = False
             self._sends.plan(item, now)
 
-    def _hands_over(self) -> bool:
-        """Return whether to leave what is missing to who asked."""
+    def _should_hand_over(self) -> bool:
+        """Return whether to leave the missing parts to the asking instance."""
         question = self._question
-        if self._handing is None or self._handed or question.settle_at == float("inf"):
+        if (
+            self._handover is None
+            or self._handed_over
+            or question.settle_at == float("inf")
+        ):
             return False
-        if self._watch.holds:
+        if self._watch.is_sequential:
             return False
         waiting = [item for item in self._tries.values() if not item.covered]
-        if not any(item.open and not item.left for item in waiting):
+        if not any(item.open and not item.deferred for item in waiting):
             return True
         if self._tools.clock.monotonic() < question.settle_at:
             return False
-        late = sum(1 for item in waiting if not item.left)
+        late = sum(1 for item in waiting if not item.deferred)
         return may_hedge(len(self._tries), late)
 
     def _hand_over(self) -> None:
-        """Hand over what is in; attempts under way go on, no other is made."""
-        assert self._handing is not None
-        self._handed = True
+        """Hand over the parts that have arrived.
+
+        Attempts under way continue, and no further ones are made.
+        """
+        assert self._handover is not None
+        self._handed_over = True
         now = self._tools.clock.monotonic()
         tries = tuple(self._tries.values())
         for item in tries:
             if item.covered:
                 continue
             if item.may_run < self._question.most_attempts:
-                held = item.left or not item.arrived
-                # It is asked for elsewhere now or not at all.
+                held = item.deferred or not item.arrived
+                # Only the asking instance may request the part from now on.
                 vital = is_vital(self._question, tries, item, early=False)
                 item.may_repeat = held or self._sends.take_repeat(item, now, vital)
-            item.left, item.next_at, item.given_up = False, None, True
+            item.deferred, item.next_at, item.given_up = False, None, True
             item.closed = True
         waiting = [item.service for item in tries if not item.covered]
         lent = self._question.lent
         unspent = lent.release(without=waiting) if lent else ()
         answer = make_answer(tries, (), self._sends.sent, self._sends.repeats)
-        self._handing.settle(answer, unspent)
+        self._handover.settle(answer, unspent)
 
     async def _wait(self) -> None:
-        """Wait for an outcome or for the next time at which something is due."""
-        if self._inbox or self._elsewhere.has_news:
+        """Wait for an outcome or until the next action is due."""
+        if self._inbox or self._remote.has_updates:
             return
         if not any(item.open for item in self._tries.values()):
-            # What was just done left nothing to wait for.
+            # The last actions left nothing to wait for.
             return
         self._wakeup = trio.Event()
         with trio.move_on_at(self._find_next_due()):
             await self._wakeup.wait()
 
     def _find_next_due(self) -> float:
-        """Return when something is due, if no outcome comes before."""
-        answerable = not self._handed and covers(self._question, self._covered)
+        """Return when the next action is due if no outcome arrives before."""
+        answerable = not self._handed_over and covers(
+            self._question, self._covered_count
+        )
         return self._due.find_next(
-            self._tries.values(), answerable, self._last_call, self._find_late_due()
+            self._tries.values(),
+            answerable,
+            self._last_repeat_at,
+            self._find_late_parts_time(),
         )
 
-    def _find_late_due(self) -> float:
-        """Return when late parts are asked for together."""
-        if self._watch.holds:
+    def _find_late_parts_time(self) -> float:
+        """Return when late parts are requested together; infinite when they aren't."""
+        if self._watch.is_sequential:
             return float("inf")
         busy = any(item.under_way or item.next_at for item in self._tries.values())
-        return self._elsewhere.late_due_at(busy)
+        return self._remote.late_parts_at(busy)
 
     def _allow_repeats(self) -> None:
-        """Use all attempts: who asked takes the question back no more."""
+        """Allow all attempts: the asking instance leaves them to this one."""
         self._sends.allow_repeats()
         self._wakeup.set()
 
@@ -283,61 +299,61 @@
         self._inbox.append((attempt, outcome))
         self._wakeup.set()
 
-    def _take_in(self) -> None:
+    def _process_inbox(self) -> None:
         while self._inbox:
             attempt, outcome = self._inbox.popleft()
             item = self._sends.find(attempt)
             item.under_way.pop(attempt.id, None)
-            self._take_outcome(item, attempt.leaf_id, outcome)
-        self._covered += self._elsewhere.take_in()
+            self._process_outcome(item, attempt.leaf_id, outcome)
+        self._covered_count += self._remote.process_updates()
 
-    def _take_outcome(
+    def _process_outcome(
         self, item: ServiceProgress, leaf_id: str, outcome: Outcome
     ) -> None:
         now = self._tools.clock.monotonic()
         match outcome:
             case Replied(status=status) if (
-                status < SERVER_FAILURE or not self._question.idempotent
+                status < MIN_FAILURE_STATUS or not self._question.idempotent
             ):
-                item.note_ran(leaf_id)
-                self._watch_reply(item, status)
+                item.record_run(leaf_id)
+                self._record_reply(item, status)
                 self._accept(item, outcome)
                 return
             case Replied(status=status):
-                item.note_ran(leaf_id)
-                self._watch_reply(item, status)
+                item.record_run(leaf_id)
+                self._record_reply(item, status)
                 item.failure = outcome
                 item.reason = Reason.LEAF_FAILED
             case Refused(reason, retry_after):
-                self._watch.note_failed(item.service)
+                self._watch.record_failed(item.service)
                 item.reason = reason
                 item.refusal = NotRun(reason, "the leaf refused", retry_after)
             case Failed(NotRun() as verdict):
-                self._watch.note_failed(item.service)
+                self._watch.record_failed(item.service)
                 item.reason = verdict.reason
                 item.refusal = verdict
-                # It reached no leaf, so it is no repeat when it is sent again.
+                # The request reached no leaf, so sending it again is no repeat.
                 item.arrived -= 1
             case Failed(MayHaveRun(reason=Reason.LEAF_ENDED)):
-                item.note_ran(leaf_id)
+                item.record_run(leaf_id)
                 item.ended += 1
-                self._watch.note_ended(item.service)
+                self._watch.record_ended(item.service)
             case Failed(MayHaveRun() as verdict):
-                self._watch.note_failed(item.service)
-                item.note_ran(leaf_id)
-                item.lost_at.add(leaf_id)
+                self._watch.record_failed(item.service)
+                item.record_run(leaf_id)
+                item.lost_leaf_ids.add(leaf_id)
                 item.reason = verdict.reason
         self._sends.plan(item, now)
 
-    def _watch_reply(self, item: ServiceProgress, status: int) -> None:
-        """Note that a leaf replied; only a success shows that it ran the question.
+    def _record_reply(self, item: ServiceProgress, status: int) -> None:
+        """Record that a leaf replied; only a success shows that it ran the question.
 
-        One that fails part of what it gets may do so before it begins.
+        A leaf that fails part of its requests may do so before it begins to run them.
         """
-        if status in SUCCESSES:
-            self._watch.note_answer()
+        if status in SUCCESS_STATUSES:
+            self._watch.record_answer()
         else:
-            self._watch.note_failed(item.service)
+            self._watch.record_failed(item.service)
 
     def _accept(self, item: ServiceProgress, reply: Replied) -> None:
         if item.covered:
@@ -345,13 +361,13 @@
             return
         item.reply = reply
         item.next_at = None
-        self._covered += 1
+        self._covered_count += 1
         self._sends.cancel(item)
-        if self._handed and self._handing is not None:
-            self._handing.add(item.service, reply)
+        if self._handed_over and self._handover is not None:
+            self._handover.add(item.service, reply)
 
-    def _act(self) -> None:
-        """Send what is due."""
+    def _send_due(self) -> None:
+        """Send the attempts and hedges that are due."""
         now = self._tools.clock.monotonic()
         for item in self._tries.values():
             if not item.covered and self._due.attempt_at(item) <= now:
@@ -361,21 +377,21 @@
             for item in self._tries.values()
             if not item.covered and self._due.hedge_at(item) <= now
         ]
-        if now >= self._find_late_due():
-            self._elsewhere.ask_late(now)
-        elif self._is_left_too_much(now):
-            # Too much is late for asking together.
-            self._sends.send_left(self._tries.values(), now)
-        may = may_send_second_attempts(self._tries.values())
+        if now >= self._find_late_parts_time():
+            self._remote.request_late_parts(now)
+        elif self._must_send_deferred(now):
+            # Too many parts are late for a request of them all together.
+            self._sends.send_deferred(self._tries.values(), now)
+        few_late = may_send_second_attempts(self._tries.values())
         for item in late:
-            if may or (self._sends.is_long_late(now) and self._is_vital(item)):
+            if few_late or (self._sends.is_likely_lost(now) and self._is_vital(item)):
                 self._sends.hedge(item, now)
             else:
-                self._sends.put_off(item, now)
+                self._sends.postpone_hedge(item, now)
 
-    def _is_left_too_much(self, now: float) -> bool:
-        """Return whether what was left to be handed over is asked for from here."""
-        if self._handing is None or self._handed or self._watch.holds:
+    def _must_send_deferred(self, now: float) -> bool:
+        """Return whether this instance must request the deferred parts itself."""
+        if self._handover is None or self._handed_over or self._watch.is_sequential:
             return False
         return now >= self._question.settle_at
 
@@ -383,10 +399,10 @@
         before = self._sends.sent
         self._sends.try_next(item, now)
         if self._sends.sent > before:
-            self._watch.note_sent(item.service)
+            self._watch.record_sent(item.service)
 
     def _cancel_rest(self) -> None:
         for item in self._tries.values():
             item.given_up = True
             self._sends.cancel(item)
-        self._elsewhere.cancel()
+        self._remote.cancel()
--- a/walkcart/fanout/routedsends.py
+++ b/walkcart/fanout/routedsends.py
@@ -1,4 +1,4 @@
-"""The requests that one routed question sends to leafs."""
+"""Sends the requests of one routed question to leaves."""
 
 from __future__ import annotations
 
@@ -21,26 +21,27 @@
 )
 from walkcart.wire.verdicts import Reason
 
-#: Seconds before a service whose leafs all refused or can't be reached is tried again.
+#: Seconds before a service is retried after all its leaves refused or were unreachable.
 RETRY_DELAY = 0.03
-#: Tries at one service at the most, whatever came of them.
-MOST_TRIES = 6
-#: Seconds after which a request that must not repeat, and of which nothing was sent for
-#: want of a connection, goes to another leaf: some round trips between regions.
-CONNECTION_TIME = 0.12
-#: Least share of its usual time that must be left for another attempt to be sent.
-WORTHWHILE_SHARE = 0.5
+#: Maximum number of attempts at one service, whatever their outcomes.
+MAX_TRIES = 6
+#: Seconds for which a request that must not repeat waits for a connection, with nothing
+#: sent, before it goes to another leaf: several round trips between regions.
+CONNECTION_TIMEOUT = 0.12
+#: Share of the median time of a request that must be left before the deadline for
+#: another attempt to be worth sending.
+MIN_TIME_SHARE = 0.5
 
 
 class RoutedSends:
-    """Sends the attempts of one question, within its rules and its budget.
+    """Sends the attempts of one question, within its limits and its repeat budget.
 
     Args:
-        tools: what routed questions use.
-        question: whose attempts these are.
-        deliver: told how each attempt ended.
-        is_vital: returns whether there is no answer without a service's part.
-        watch: counts the leafs that ended under the question.
+        tools: shared components of routed questions.
+        question: the question.
+        deliver: called with the outcome of each attempt.
+        is_vital: returns whether no answer is possible without a service's part.
+        watch: counts the leaves that crash under the question.
     """
 
     def __init__(
@@ -59,26 +60,26 @@
         self._attempts: dict[str, ServiceProgress] = {}
         time = min(question.objective_at, question.deadline) - tools.clock.monotonic()
         self._choice = LeafChoice(tools, question, max(0.0, time))
-        #: When second attempts that were put off are considered again, in seconds.
-        self._second_look = find_recheck_time(
+        #: Time at which postponed hedges are considered again, in seconds.
+        self._reconsider_at = find_recheck_time(
             tools.clock.monotonic(), question.objective_at, question.deadline
         )
-        #: Whether attempts at leafs in other regions are left to be sent together.
-        self._leaves_far = question.settle_at < float("inf")
-        self._may_repeat = not question.first_only
+        #: Whether repeats at leaves in other regions are deferred, to be sent together.
+        self._defers_far = question.settle_at < float("inf")
+        self._may_repeat = not question.await_confirmation
         self.sent = 0
         self.repeats = 0
 
     def allow_repeats(self) -> None:
-        """Make attempts beside, or after, those that may have run, from now on."""
+        """Allow, from now on, attempts beside or after ones that may have run."""
         self._may_repeat = True
 
     def find(self, attempt: Attempt) -> ServiceProgress:
-        """Return the service that an attempt was sent to."""
+        """Return the state of the service that an attempt was sent to."""
         return self._attempts[attempt.id]
 
     def try_next(self, item: ServiceProgress, now: float) -> None:
-        """Send the next attempt, to a leaf that wasn't tried if there is one."""
+        """Send the next attempt, preferably to a leaf that wasn't tried yet."""
         item.next_at = None
         leaf = self._choice.choose(item, now)
         if leaf is None:
@@ -88,14 +89,21 @@
             return
         if item.arrived and not self.take_repeat(item, now):
             return
-        if item.arrived and leaf.id not in item.ran_at and self._is_left(leaf):
-            item.left = not item.regrouped
+        if (
+            item.arrived
+            and leaf.id not in item.ran_leaf_ids
+            and self._is_deferred(leaf)
+        ):
+            item.deferred = not item.regrouped
             item.given_up = item.regrouped
             return
         self._send(item, leaf, now)
 
     def send_elsewhere(self, item: ServiceProgress, now: float) -> None:
-        """Send an attempt that the budget holds, to a leaf in a place not asked yet."""
+        """Send an attempt to a leaf in a place that wasn't asked yet.
+
+        The repeat budget already accounts for the attempt.
+        """
         leaf = self._choice.choose_elsewhere(item, now)
         if leaf is None:
             item.reason = Reason.NO_LEAF
@@ -103,32 +111,32 @@
             return
         self._send(item, leaf, now)
 
-    def find_last_call(self) -> float:
-        """Return when a repeat must be sent to come within the objective."""
+    def find_last_repeat_time(self) -> float:
+        """Return the latest time to send a repeat that meets the objective."""
         now = self._tools.clock.monotonic()
         times = self._tools.pool.times_of(
             self._question.kind, Distance.SAME_DATA_CENTRE
         )
         return self._question.objective_at - times.high(now) - HEDGE_RESERVE
 
-    def send_left(self, tries: Iterable[ServiceProgress], now: float) -> None:
-        """Send each attempt by itself from now on, also those that were left."""
-        self._leaves_far = False
+    def send_deferred(self, tries: Iterable[ServiceProgress], now: float) -> None:
+        """Send deferred attempts now, and each later one by itself."""
+        self._defers_far = False
         for item in tries:
-            if item.left:
-                item.left = False
+            if item.deferred:
+                item.deferred = False
                 self.send_elsewhere(item, now)
 
     def plan(self, item: ServiceProgress, now: float) -> None:
-        """Decide whether and when a service is tried again after a failure."""
+        """Decide whether and when a service is retried after a failure."""
         if item.covered or item.under_way or item.delegated:
             return
-        if not self._may_try(item, now):
+        if not self._may_retry(item, now):
             item.given_up = True
             return
         leaves = self._tools.pool.leaves_of(item.service)
         ready = any(leaf.id not in item.tried for leaf in leaves)
-        ready = ready or bool(self._choice.find_askable(item))
+        ready = ready or bool(self._choice.find_repeatable(item))
         item.next_at = now if ready else now + RETRY_DELAY
 
     def due_at(self, item: ServiceProgress) -> float:
@@ -138,7 +146,7 @@
         return item.next_at
 
     def hedge_at(self, item: ServiceProgress) -> float:
-        """Return when a second attempt is due beside, or instead of, the first."""
+        """Return when a hedge of the only attempt under way is due; else infinity."""
         if len(item.under_way) != 1 or not self._may_repeat:
             return float("inf")
         if item.given_up or item.may_run >= self._question.most_attempts:
@@ -146,10 +154,11 @@
         return next(iter(item.under_way.values())).hedge_at
 
     def hedge(self, item: ServiceProgress, now: float) -> None:
-        """Send a second attempt beside the one that is late, or instead of it.
+        """Send a hedge beside the attempt that is late, or move that attempt.
 
-        One that still waits for a connection is taken back, which costs nothing, and
-        goes elsewhere. Only what may be repeated is sent beside one that was sent.
+        An attempt that still waits for a connection is withdrawn, which costs nothing,
+        and goes to another leaf. Once it was sent, only an idempotent request gets a
+        second attempt beside it.
         """
         pool = self._tools.pool
         kind = self._question.kind
@@ -159,9 +168,9 @@
             item.given_up = True
             return
         leaf = self._choice.choose_untried(item, now)
-        if leaf is not None and self._postpone(item, leaf, now):
+        if leaf is not None and self._postpone_while_busy(item, leaf, now):
             return
-        if leaf is None or self._is_left(leaf) or not self.take_repeat(item, now):
+        if leaf is None or self._is_deferred(leaf) or not self.take_repeat(item, now):
             item.given_up = True
             return
         for sent in item.under_way.values():
@@ -169,22 +178,23 @@
         self._tools.metrics.count("leaf.hedged")
         self._send(item, leaf, now)
 
-    def is_long_late(self, now: float) -> bool:
-        """Return whether a reply that is missing now is likely lost, not just late."""
-        return now >= self._second_look
+    def is_likely_lost(self, now: float) -> bool:
+        """Return whether a reply that hasn't come by `now` is likely lost."""
+        return now >= self._reconsider_at
 
-    def put_off(self, item: ServiceProgress, now: float) -> None:
-        """Put a second attempt off to the second look: too many are late for it now."""
-        if self.is_long_late(now):
+    def postpone_hedge(self, item: ServiceProgress, now: float) -> None:
+        """Postpone a hedge while too many services are late; later, give it up."""
+        if self.is_likely_lost(now):
             item.given_up = True
             return
         for id, sent in item.under_way.items():
-            item.under_way[id] = replace(sent, hedge_at=self._second_look)
+            item.under_way[id] = replace(sent, hedge_at=self._reconsider_at)
 
     def _withdraw(self, item: ServiceProgress) -> bool:
-        """Take back an attempt that waits inside this instance, for another leaf.
+        """Withdraw an attempt that waits inside this instance; it goes to another leaf.
 
-        Where all leafs had one it keeps its place in the order.
+        Where all leaves have been tried, it keeps its place in the queue instead.
+        Return whether one of the two was done.
         """
         pool = self._tools.pool
         leaves = pool.leaves_of(item.service)
@@ -198,8 +208,10 @@
             return pool.withdraw(sent.leaf, id)
         return False
 
-    def _postpone(self, item: ServiceProgress, leaf: Leaf, now: float) -> bool:
-        """Put a second attempt off while its leaf is busy; return whether it was."""
+    def _postpone_while_busy(
+        self, item: ServiceProgress, leaf: Leaf, now: float
+    ) -> bool:
+        """Postpone a hedge while its leaf is busy; return whether it was postponed."""
         busy = leaf.outstanding + leaf.reported_load(now) >= leaf.slots
         for id, sent in item.under_way.items():
             if busy and now < sent.last_hedge_at:
@@ -208,44 +220,46 @@
         return False
 
     def cancel(self, item: ServiceProgress) -> None:
-        """Cancel what is under way at a service."""
+        """Cancel the attempts under way at a service."""
         now = self._tools.clock.monotonic()
         for id, sent in list(item.under_way.items()):
             self._tools.pool.cancel(sent.leaf, id, self._question.kind, now - sent.at)
 
-    def _may_try(self, item: ServiceProgress, now: float) -> bool:
+    def _may_retry(self, item: ServiceProgress, now: float) -> bool:
         if item.ran and not self._question.idempotent:
             return False
-        if not (self._choice.may_add(item) or self._choice.find_askable(item)):
+        if not (
+            self._choice.may_use_new_leaf(item) or self._choice.find_repeatable(item)
+        ):
             return False
         if not self._tools.pool.may_send:
             return False
-        return len(item.tried) < MOST_TRIES and self._has_time(now)
+        return len(item.tried) < MAX_TRIES and self._has_time(now)
 
     def _has_time(self, now: float) -> bool:
         times = self._tools.pool.times_of(
             self._question.kind, Distance.SAME_DATA_CENTRE
         )
         usual = times.median(now)
-        return now + usual * WORTHWHILE_SHARE < self._question.deadline
+        return now + usual * MIN_TIME_SHARE < self._question.deadline
 
-    def _is_left(self, leaf: Leaf) -> bool:
-        """Return whether attempts at a leaf are left to be sent with others."""
+    def _is_deferred(self, leaf: Leaf) -> bool:
+        """Return whether repeats at a leaf are deferred, to be sent with others."""
         far = self._tools.pool.distance_to(leaf) is Distance.OTHER_REGION
-        return self._leaves_far and far
+        return self._defers_far and far
 
     def take_repeat(
         self, item: ServiceProgress, now: float, vital: bool | None = None
     ) -> bool:
         """Take a repeat from the budget; return False when none is left.
 
-        One without which there may still be an answer leaves a reserve, and is asked
-        for again when the answer comes to depend on it.
+        A repeat that the answer doesn't depend on leaves a reserve in the budget. If it
+        is denied, it is retried when the answer comes to depend on it.
 
         Args:
-            item: the service that gets it.
-            now: the present, in seconds.
-            vital: whether there is no answer without it; found out if None.
+            item: the service that gets the repeat.
+            now: the current time, in seconds.
+            vital: whether no answer is possible without it; computed if None.
         """
         if vital is None:
             vital = self._is_vital(item)
@@ -261,7 +275,7 @@
         return False
 
     def _take_lent(self, item: ServiceProgress) -> bool:
-        """Take a repeat that who asked lends; only once its word has come."""
+        """Take a repeat lent by the asking instance, once that has confirmed."""
         lent = self._question.lent
         if not self._may_repeat or lent is None or not lent.take(item.service):
             return False
@@ -269,20 +283,20 @@
         return True
 
     def _find_hedge_times(self, leaf: Leaf, now: float) -> tuple[float, float]:
-        """Return from when and until when a second attempt is due beside one at `leaf`.
+        """Return when a hedge of an attempt at `leaf` is due, and its latest time.
 
-        The second of them holds where the leaf for it is busy.
+        The latest time applies where the leaf for the hedge is busy.
         """
         pool = self._tools.pool
         kind = self._question.kind
         if not self._question.idempotent:
-            return now + CONNECTION_TIME, now + CONNECTION_TIME
+            return now + CONNECTION_TIMEOUT, now + CONNECTION_TIMEOUT
         service = leaf.labels["service"]
         others = [item for item in pool.leaves_of(service) if item is not leaf]
         nearest = min(
             (pool.distance_to(item) for item in others), default=pool.distance_to(leaf)
         )
-        if self._leaves_far and nearest is Distance.OTHER_REGION:
+        if self._defers_far and nearest is Distance.OTHER_REGION:
             return float("inf"), float("inf")
         late = pool.times_of(kind, pool.distance_to(leaf)).late(now)
         other = pool.times_of(kind, nearest).high(now)
@@ -304,18 +318,18 @@
             success_only=question.success_only,
             traceparent=question.traceparent,
             fingerprint=question.fingerprint,
-            check_alive=self._watch.is_wary,
+            check_alive=self._watch.checks_liveness,
             kind=question.kind,
             regions=question.regions,
             grant=question.grant,
             rank=question.rank,
             objective_at=question.objective_at,
         )
-        again = leaf.id in item.ran_at
+        again = leaf.id in item.ran_leaf_ids
         if again:
             self._tools.metrics.count("leaf.asked_again")
         times = self._find_hedge_times(leaf, now)
-        item.under_way[attempt.id] = Sent(leaf, now, *times, again=again)
+        item.under_way[attempt.id] = Sent(leaf, now, *times, to_same_leaf=again)
         item.tried.append(leaf.id)
         item.places.add(leaf.place)
         item.arrived += 1
