--- a/walkcart/entry/__init__.py
+++ b/walkcart/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' and operators' interface of an instance."""
+"""The HTTP interface of an instance for callers and operators."""
 
 from walkcart.lazyimport import attach_names
 
--- a/walkcart/entry/admissions.py
+++ b/walkcart/entry/admissions.py
@@ -1,4 +1,4 @@
-"""The admission of each service at this instance."""
+"""Admission control of this instance, one limiter for each service."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Admissions:
-    """Makes and keeps one admission for each service.
+    """Creates one admission limiter for each service on first use and keeps it.
 
     Args:
         clock: source of time.
@@ -17,14 +17,14 @@
         self._clock = clock
         self._by_service: dict[str, Admission] = {}
 
-    def of(self, service: str) -> Admission:
-        """Return the admission of a service."""
+    def for_service(self, service: str) -> Admission:
+        """Return the admission limiter of a service."""
         if service not in self._by_service:
             self._by_service[service] = Admission(self._clock)
         return self._by_service[service]
 
     def describe(self) -> dict[str, dict[str, int]]:
-        """Return limit and queries in progress by service."""
+        """Return the limit and the number of queries in progress, by service."""
         return {
             name: {"limit": item.limit, "in_progress": item.in_progress}
             for name, item in sorted(self._by_service.items())
--- a/walkcart/entry/app.py
+++ b/walkcart/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry service: listens for callers and operators and routes to handlers."""
+"""The entry service: accepts HTTP requests of callers and operators and routes them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 _SERVICE_PATH = re.compile(r"/v1/services/([^/?]+)/(query|execute|explain)")
 
-#: The statuses of bytes that are no request, told as problem details too.
+#: Problem details for input that is not a valid HTTP request, by kind of fault.
 FAULT_DETAILS = {
     Fault.MALFORMED: "the bytes are no HTTP/1.1 request",
     Fault.TIMEOUT: "the request wasn't whole in time",
@@ -38,16 +38,16 @@
     """Serves callers and operators at one address.
 
     Args:
-        listener: where they come in.
+        listener: accepts their connections.
         queries: handles queries.
         executions: handles non-repeatable requests.
         operators: answers operators.
-        keeper: tells whether there is a configuration.
-        listing: tells whether the leaves are known.
-        operator_token: the operators' credential.
-        events: where bad requests are logged.
-        metrics: where refusals are counted.
-        limits: what a client may ask of a connection.
+        keeper: holds the configuration; readiness depends on whether there is one.
+        listing: holds the list of leaves; readiness depends on whether it is known.
+        operator_token: bearer token that operators must send.
+        events: log for bad requests and failures.
+        metrics: registry in which refusals are counted.
+        limits: limits on sizes and times of a connection; None for the defaults.
     """
 
     def __init__(
@@ -77,13 +77,13 @@
         self.server = HttpServer(
             self._handle,
             limits or ServerLimits(),
-            self._tell_fault,
-            self._note_gone,
-            on_error=self._note_error,
+            self._answer_fault,
+            self._log_disconnect,
+            on_error=self._log_error,
         )
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Serve until cancelled."""
+        """Accept connections and serve them until cancelled."""
         async with trio.open_nursery() as connections:
             self.ready = True
             self._events.emit(Events.STARTED)
@@ -95,17 +95,17 @@
             await trio.sleep_forever()
 
     async def stop_accepting(self) -> None:
-        """Close the listener; open connections stay."""
+        """Close the listener; open connections are served further."""
         self._accepting.cancel()
         await trio.aclose_forcefully(self._listener)
 
-    def _note_error(self, error: Exception) -> None:
+    def _log_error(self, error: Exception) -> None:
         note_task_fault(self._events, "connection of a caller", error)
 
-    def _note_gone(self) -> None:
+    def _log_disconnect(self) -> None:
         self._events.emit(Events.CALLER_GONE)
 
-    def _tell_fault(self, fault: Fault) -> HttpReply:
+    def _answer_fault(self, fault: Fault) -> HttpReply:
         self._events.emit(Events.REQUEST_BAD, detail=FAULT_DETAILS[fault])
         problem = render_verdict(NotRun(Reason.BAD_REQUEST, FAULT_DETAILS[fault]))
         return HttpReply(fault.value, problem.headers, problem.body)
@@ -115,7 +115,7 @@
             return await self._route(request)
         except BadRequest as error:
             return self._refuse(error.verdict)
-        except Exception as error:  # the caller gets an answer, not a traceback
+        except Exception as error:  # answer every request, whatever fails
             self._events.emit(Events.REQUEST_FAILED, detail=repr(error)[:500])
             if isinstance(error, InvariantBroken):
                 raise
@@ -133,13 +133,13 @@
         if path == "/healthz":
             return render_json({"healthy": True})
         if path == "/readyz":
-            return self._tell_readiness()
+            return self._answer_readiness()
         if path == "/v1/status":
-            self._expect(request, "GET")
+            self._check_method(request, "GET")
             check_operator(request, self._operator_token)
             return render_json(self._operators.describe_status())
         if path == "/v1/revision":
-            self._expect(request, "GET")
+            self._check_method(request, "GET")
             check_operator(request, self._operator_token)
             return render_json({"revision": self._keeper.document.revision})
         found = _SERVICE_PATH.fullmatch(path)
@@ -152,21 +152,21 @@
     ) -> HttpReply:
         match action:
             case "query":
-                self._expect(request, "POST")
+                self._check_method(request, "POST")
                 return await self._queries.handle(request, name)
             case "execute":
-                self._expect(request, "POST")
+                self._check_method(request, "POST")
                 return await self._executions.handle(request, name)
             case _:
-                self._expect(request, "GET")
+                self._check_method(request, "GET")
                 check_operator(request, self._operator_token)
                 return render_json(self._operators.explain_service(name))
 
-    def _expect(self, request: HttpRequest, method: str) -> None:
+    def _check_method(self, request: HttpRequest, method: str) -> None:
         if request.method != method:
             raise BadRequest(NotRun(Reason.BAD_REQUEST, f"expected {method}"))
 
-    def _tell_readiness(self) -> HttpReply:
+    def _answer_readiness(self) -> HttpReply:
         reasons = []
         if not self.ready:
             reasons.append("stopping")
--- a/walkcart/entry/callerports.py
+++ b/walkcart/entry/callerports.py
@@ -1,8 +1,8 @@
-"""What callers speak and what limits them, as the routed entry sees both.
+"""Interfaces that the routed entry depends on: the callers' protocol, rate limits.
 
 See Also:
-    `walkcart.entry.routed.RoutedHandler`, which works with them.
-    ``docs/design/teams.md``, for what is done with a team's requests.
+    `walkcart.entry.routed.RoutedHandler`, which uses them.
+    ``docs/design/teams.md``, on how requests of teams are handled.
 """
 
 from __future__ import annotations
@@ -20,15 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A request as the callers' protocol tells it.
+    """A caller's request, as parsed by the callers' protocol.
 
     Args:
-        id: that the caller gave it.
-        host: that it is meant for.
-        patience: for how long the caller waits; None when it doesn't say.
-        forwarded: what leafs get where requests need no key.
-        traceparent: of the caller's trace.
-        credential: digest of the API key that came along; None without exactly one.
+        id: identifier that the caller gave the request.
+        host: host name that the request is addressed to.
+        patience: time for which the caller waits; None if it states none.
+        forwarded: the request as sent to leaves where no API key is required.
+        traceparent: trace context that the caller sent; None if it sent none.
+        credential: digest of the API key in the request; None unless there is
+            exactly one.
     """
 
     id: str
@@ -40,55 +41,56 @@
 
 
 class TeamLimits(Protocol):
-    """Holds the teams' requests to their limits, over all instances together."""
+    """Enforces the teams' rate limits, which all instances share."""
 
     async def admit(self, team: Team, patience: float) -> NotRun | None:
-        """Take one request of a team from its limit; return why it may not run.
+        """Charge a request to its team's limit; return a refusal if it has no room.
 
         Args:
-            team: that asks.
-            patience: seconds that the request can wait for the others' word at most.
+            team: the team that sent the request.
+            patience: most seconds to wait for answers of other instances.
         """
         ...
 
     def give_back(self, team: Team, admitted_at: float) -> None:
-        """Return what was taken for a request that no leaf got.
+        """Refund the charge for a request that was sent to no leaf.
 
         Args:
-            team: whose request it was.
-            admitted_at: when it came, in seconds of the steady clock.
+            team: the team that sent the request.
+            admitted_at: when the request came, in seconds of the monotonic clock.
         """
         ...
 
 
 class CallerProtocol(Protocol):
-    """What callers speak."""
+    """Parses requests of callers and renders their replies."""
 
     def read_request(self, request: HttpRequest) -> CallerRequest:
-        """Return what a request means."""
+        """Parse a request."""
         ...
 
     def name_team(self, request: HttpRequest, team: str) -> HttpRequest:
-        """Return a request as leafs get it where requests need keys.
+        """Return a request as sent to leaves where API keys are required.
 
         Args:
-            request: that was to be forwarded.
-            team: whose key came along; empty on a public route without one.
+            request: the request to forward, as in `CallerRequest.forwarded`.
+            team: name of the team whose key the request carries; empty on a public
+                route without one.
         """
         ...
 
     def render_merged(self, answer: RoutedAnswer, top: int) -> HttpReply:
-        """Return the answer of many shards."""
+        """Render the merged answer of many shards."""
         ...
 
     def render_single(self, answer: RoutedAnswer) -> HttpReply:
-        """Return the answer of one leaf, unchanged."""
+        """Render the answer of one leaf, unchanged."""
         ...
 
     def render_failure(self, failure: RoutedFailure) -> HttpReply:
-        """Return a leaf's failure unchanged, or why there is no answer."""
+        """Render a leaf's failure unchanged, or the reason why there is no answer."""
         ...
 
     def render_fault(self, fault: Fault) -> HttpReply:
-        """Return the answer to bytes that are no request."""
+        """Render the reply to input that is not a valid request."""
         ...
--- a/walkcart/entry/credentials.py
+++ b/walkcart/entry/credentials.py
@@ -1,7 +1,7 @@
-"""Who asks: partners and operators, by bearer token.
+"""Authentication of partners and operators by bearer token.
 
-The partner's scope comes from the configuration alone; nothing that a caller
-sends can widen it.
+A partner's scope comes from the configuration alone; nothing that a caller sends
+can widen it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def read_token(request: HttpRequest) -> str | None:
-    """Return the bearer token, or None."""
+    """Return the bearer token of a request; None if there is none."""
     value = request.header(AUTHORIZATION) or ""
     if not value.lower().startswith(SCHEME):
         return None
@@ -28,12 +28,12 @@
 
 
 def hash_token(token: str) -> str:
-    """Return what a configuration holds of a token."""
+    """Return the hash by which a configuration stores a token: SHA-256 in hex."""
     return sha256(token.encode()).hexdigest()
 
 
 class Authenticator:
-    """Finds the partner of a request."""
+    """Finds the partner that sent a request."""
 
     def __init__(self) -> None:
         self._revision = -1
@@ -43,7 +43,7 @@
         """Return the partner whose credential the request carries.
 
         Raises:
-            BadRequest: there is none.
+            BadRequest: the request has no token, or no partner has it.
         """
         if document.revision != self._revision:
             partners = document.configuration.partners
@@ -58,10 +58,10 @@
 
 
 def check_operator(request: HttpRequest, token: str) -> None:
-    """Check that an operator asks.
+    """Check that a request carries the operators' token.
 
     Raises:
-        BadRequest: the request lacks the operators' token, or none is set.
+        BadRequest: it doesn't, or no such token is configured.
     """
     given = read_token(request) or ""
     if not token or not hmac.compare_digest(given.encode(), token.encode()):
--- a/walkcart/entry/executions.py
+++ b/walkcart/entry/executions.py
@@ -1,7 +1,7 @@
-"""Non-repeatable requests: claim the key, send once, keep the reply.
+"""Handling of non-repeatable requests: claim the key, send once, keep the reply.
 
-The order is what makes it safe: nothing is sent before the claim is written,
-and the verdict of each way out says whether anything was sent.
+A request is sent only after the claim on its idempotency key is stored, and every
+verdict states whether anything may have been sent. So a request runs at most once.
 """
 
 from __future__ import annotations
@@ -11,7 +11,12 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from walkcart.entry.queries import Caller, CallerTools, identify_caller, make_question
+from walkcart.entry.queries import (
+    CallerContext,
+    CallerTools,
+    identify_caller,
+    make_question,
+)
 from walkcart.entry.replies import render_executed, render_verdict
 from walkcart.entry.requests import BadRequest, ExecuteBody, read_execute
 from walkcart.fanout.single import OnceRequest, SingleSender
@@ -29,17 +34,17 @@
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: When to come back after a claim that the store couldn't take.
-CLAIM_RETRY = timedelta(seconds=2)
+#: Retry-after of a request whose claim could not be stored.
+CLAIM_RETRY_DELAY = timedelta(seconds=2)
 
 
 class ExecuteHandler:
     """Serves non-repeatable requests.
 
     Args:
-        tools: what every request uses.
-        claimant: asks for claims.
-        sender: sends to one leaf.
+        tools: dependencies that all requests of callers share.
+        claimant: claims idempotency keys.
+        sender: sends a request to one leaf.
     """
 
     def __init__(
@@ -52,8 +57,12 @@
     async def handle(self, request: HttpRequest, name: str) -> HttpReply:
         """Return the reply to one non-repeatable request.
 
+        Args:
+            request: the request.
+            name: name of the service in its path.
+
         Raises:
-            BadRequest: it can't be served; it did not run.
+            BadRequest: the request is invalid; it did not run.
         """
         caller = identify_caller(self._tools, request, name)
         if not caller.service.writes:
@@ -67,7 +76,7 @@
             traceparent = tracer.inject(span, caller.options.traceparent)
             return await self._admit(caller, body, key, traceparent, request.body)
 
-    def _read_key(self, caller: Caller) -> IdempotencyKey:
+    def _read_key(self, caller: CallerContext) -> IdempotencyKey:
         try:
             return parse_key(caller.options.idempotency_key, self._tools.clock.now())
         except BadKey as error:
@@ -76,7 +85,7 @@
 
     async def _admit(
         self,
-        caller: Caller,
+        caller: CallerContext,
         body: ExecuteBody,
         key: IdempotencyKey,
         traceparent: str | None,
@@ -101,7 +110,7 @@
 
     async def _claim_and_send(
         self,
-        caller: Caller,
+        caller: CallerContext,
         body: ExecuteBody,
         key: IdempotencyKey,
         traceparent: str | None,
@@ -113,7 +122,7 @@
             digest, key, digest_request(content), timedelta(seconds=remaining)
         )
         if grant.outcome is not ClaimOutcome.GRANTED:
-            return self._explain(grant)
+            return self._answer_unclaimed(grant)
         result = await self._send(caller, body, grant, traceparent)
         match result:
             case Success(reply):
@@ -128,7 +137,11 @@
         raise AssertionError("a result is a success or a failure")
 
     async def _send(
-        self, caller: Caller, body: ExecuteBody, grant: Grant, traceparent: str | None
+        self,
+        caller: CallerContext,
+        body: ExecuteBody,
+        grant: Grant,
+        traceparent: str | None,
     ) -> Result[Replied, NotRun | MayHaveRun]:
         remaining = caller.deadline - self._tools.clock.monotonic()
         expires = self._tools.clock.now() + timedelta(seconds=remaining)
@@ -138,13 +151,14 @@
             once_key=grant.key.hex(),
             expires=expires.timestamp(),
         )
-        # A caller that goes away must not leave a sent request unsettled.
+        # Shielded: if the caller disconnects, the claim of a sent request must still be
+        # settled.
         with trio.CancelScope(shield=True, deadline=caller.deadline + 1):
             return await self._sender.send(once)
         return Failure(MayHaveRun(Reason.DEADLINE, "no reply before the deadline"))
 
-    def _explain(self, grant: Grant) -> HttpReply:
-        """Return the reply to a request whose key wasn't granted."""
+    def _answer_unclaimed(self, grant: Grant) -> HttpReply:
+        """Return the reply to a request whose claim was not granted."""
         match grant.outcome:
             case ClaimOutcome.REPEATED:
                 return render_executed(grant.status, grant.body, repeated=True)
@@ -159,7 +173,7 @@
                 return self._fail(NotRun(Reason.KEY_BAD, detail))
             case _:
                 detail = "the key can't be claimed now"
-                verdict = NotRun(Reason.CLAIMS_UNAVAILABLE, detail, CLAIM_RETRY)
+                verdict = NotRun(Reason.CLAIMS_UNAVAILABLE, detail, CLAIM_RETRY_DELAY)
                 return self._fail(verdict)
 
     def _fail(self, verdict: NotRun | MayHaveRun) -> HttpReply:
--- a/walkcart/entry/operators.py
+++ b/walkcart/entry/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask an instance: its state, and why a service is served so."""
+"""Operators' views of an instance: its state, and how it would serve a service."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 class OperatorInterface:
-    """Answers operators.
+    """Describes the instance to operators.
 
     Args:
-        keeper: the configuration in force.
-        view: the instances.
-        table: the leaves.
-        gateway: the leaves' accounts.
-        gatherer: the snapshot in use.
-        admissions: the services' limits.
+        keeper: holds the configuration in force.
+        view: this instance's view of all instances.
+        table: holds the policies of the services.
+        gateway: connections to the leaves, and what is known of their health.
+        gatherer: chooses the snapshot that queries use.
+        admissions: the services' admission limits.
         clock: source of time.
-        events: counts by event.
-        metrics: their values.
+        events: log that counts each event.
+        metrics: registry of all metrics.
     """
 
     def __init__(
@@ -81,10 +81,10 @@
         }
 
     def explain_service(self, name: str) -> dict[str, Any]:
-        """Return which intents apply to a service and which leaves it would use.
+        """Return the intents that apply to a service and the leaves that it would use.
 
         Raises:
-            BadRequest: there is no such service.
+            BadRequest: the service is unknown.
         """
         document = self._keeper.document
         service = document.configuration.find_service(name)
@@ -97,7 +97,7 @@
         )
         pin, layout = self._gatherer.choose(question)
         now = self._clock.monotonic()
-        usual = self._gateway.delay_of(service.shard_group).median(now)
+        median_latency = self._gateway.delay_of(service.shard_group).median(now)
         return {
             "service": name,
             "revision": document.revision,
@@ -114,7 +114,8 @@
                 {
                     "shard": shard,
                     "leaves": [
-                        self._describe_leaf(leaf, policy, usual, now) for leaf in leaves
+                        self._describe_leaf(leaf, policy, median_latency, now)
+                        for leaf in leaves
                     ],
                 }
                 for shard, leaves in enumerate(layout.shards)
@@ -122,9 +123,9 @@
         }
 
     def _describe_leaf(
-        self, leaf: Leaf, policy: Policy, usual: float, now: float
+        self, leaf: Leaf, policy: Policy, median_latency: float, now: float
     ) -> dict[str, Any]:
-        candidate = describe_leaf(leaf, policy, usual, now)
+        candidate = describe_leaf(leaf, policy, median_latency, now)
         reason = "used"
         if not self._gateway.may_use(leaf):
             reason = "leaving"
--- a/walkcart/entry/queries.py
+++ b/walkcart/entry/queries.py
@@ -1,4 +1,4 @@
-"""Queries: from a caller's request to the answer of all shards."""
+"""Handling of queries: from a caller's request to the merged answer of all shards."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from walkcart.entry.credentials import Authenticator
 from walkcart.entry.replies import (
     BadRows,
-    InForce,
+    ConfigurationState,
     merge_rows,
     render_answer,
     render_verdict,
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerTools:
-    """What every request of callers uses."""
+    """Dependencies that all requests of callers share."""
 
     keeper: ConfigurationKeeper
     table: LeafTable
@@ -49,16 +49,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Caller:
-    """A request whose caller, service and time are known.
+class CallerContext:
+    """Who sent a request, for which service, and under which conditions.
 
     Args:
-        document: the configuration that it is served under, on all its hops.
-        partner: whose request it is.
-        service: that it asks.
-        policy: of the service.
-        options: the caller's headers.
-        deadline: on the kernel's monotonic clock, in seconds.
+        document: configuration that the request is served under, on all its hops.
+        partner: the partner that sent it.
+        service: the service that it is addressed to.
+        policy: policy of the service.
+        options: options from the caller's headers.
+        deadline: when the reply is due, in seconds of the monotonic clock.
     """
 
     document: Document
@@ -69,11 +69,19 @@
     deadline: float
 
 
-def identify_caller(tools: CallerTools, request: HttpRequest, name: str) -> Caller:
-    """Check who asks which service, and until when.
+def identify_caller(
+    tools: CallerTools, request: HttpRequest, name: str
+) -> CallerContext:
+    """Authenticate a request, and find its service and its deadline.
+
+    Args:
+        tools: dependencies that all requests of callers share.
+        request: the request.
+        name: name of the service in its path.
 
     Raises:
-        BadRequest: it can't be served.
+        BadRequest: there is no configuration, the partner or the service is
+            unknown, or a header is invalid.
     """
     document = tools.keeper.document
     if document.revision == 0:
@@ -90,14 +98,16 @@
     if options.deadline is not None:
         time = min(time, options.deadline)
     deadline = tools.clock.monotonic() + time
-    return Caller(document, partner, service, policy, options, deadline)
+    return CallerContext(document, partner, service, policy, options, deadline)
 
 
-def make_question(caller: Caller, body: bytes, traceparent: str | None) -> Question:
-    """Return the question that a caller's request stands for."""
-    least = caller.options.least_coverage
-    if least is None:
-        least = caller.policy.least_coverage
+def make_question(
+    caller: CallerContext, body: bytes, traceparent: str | None
+) -> Question:
+    """Return the question to the shards that a caller's request stands for."""
+    min_coverage = caller.options.least_coverage
+    if min_coverage is None:
+        min_coverage = caller.policy.least_coverage
     return Question(
         service=caller.service.name,
         group=caller.service.shard_group,
@@ -106,7 +116,7 @@
         scope=caller.partner.scope,
         body=body,
         deadline=caller.deadline,
-        least_coverage=least,
+        least_coverage=min_coverage,
         traceparent=traceparent,
     )
 
@@ -115,8 +125,8 @@
     """Serves queries.
 
     Args:
-        tools: what every request uses.
-        gatherer: asks the shards.
+        tools: dependencies that all requests of callers share.
+        gatherer: sends a question to all shards and collects the answers.
     """
 
     def __init__(self, tools: CallerTools, gatherer: Gatherer) -> None:
@@ -126,8 +136,12 @@
     async def handle(self, request: HttpRequest, name: str) -> HttpReply:
         """Return the reply to one query.
 
+        Args:
+            request: the request.
+            name: name of the service in its path.
+
         Raises:
-            BadRequest: it can't be served; it did not run.
+            BadRequest: the request is invalid; it did not run.
         """
         tools = self._tools
         start = tools.clock.monotonic()
@@ -162,8 +176,12 @@
                     return self._fail(verdict)
         raise AssertionError("a result is a success or a failure")
 
-    def _answer(self, body, answer: Answer, caller: Caller, start: float) -> HttpReply:
-        in_force = InForce(caller.document.revision, self._tools.keeper.is_cut())
+    def _answer(
+        self, body, answer: Answer, caller: CallerContext, start: float
+    ) -> HttpReply:
+        configuration = ConfigurationState(
+            caller.document.revision, self._tools.keeper.is_cut()
+        )
         try:
             rows = merge_rows(body, answer)
         except BadRows as error:
@@ -174,7 +192,7 @@
         self._tools.metrics.count("query.answered")
         if not answer.coverage.complete:
             self._tools.metrics.count("query.partial")
-        return render_answer(rows, answer, in_force)
+        return render_answer(rows, answer, configuration)
 
     def _refuse(self, turned_away: TurnedAway) -> HttpReply:
         detail = "the service has more requests than it can serve in time"
--- a/walkcart/entry/replies.py
+++ b/walkcart/entry/replies.py
@@ -1,4 +1,4 @@
-"""What callers get: answers as JSON, failures as problem details with a verdict.
+"""Rendering of replies: answers as JSON, failures as problem details with a verdict.
 
 References:
     RFC 9457, Problem Details for HTTP APIs.
@@ -26,12 +26,13 @@
 NOT_RUN = "not_run"
 MAY_HAVE_RUN = "may_have_run"
 
-#: Statuses of leaves that allow no body; the reply's verdict needs none of them.
-BODYLESS = (204, 205, 304)
+#: Statuses of leaves that allow no body. Replies with a verdict have one, so they
+#: replace such a status by 200.
+BODYLESS_STATUSES = (204, 205, 304)
 
 _ENCODE = msgspec.json.Encoder().encode
 
-#: Status of a request that did not run, by reason; 503 for the others.
+#: Status of the reply to a request that did not run, by reason; 503 for the others.
 NOT_RUN_STATUS = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHENTICATED: 401,
@@ -41,7 +42,7 @@
     Reason.KEY_REUSED: 422,
     Reason.INTERNAL: 500,
 }
-#: Status of a request that may have run, by reason; 502 for the others.
+#: Status of the reply to a request that may have run, by reason; 502 for the others.
 MAY_HAVE_RUN_STATUS = {
     Reason.DEADLINE: 504,
     Reason.KEY_IN_PROGRESS: 409,
@@ -50,12 +51,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
-    """The configuration that a reply was made under.
+class ConfigurationState:
+    """State of the configuration that a reply was made under.
 
     Args:
-        revision: its revision.
-        stale: whether neither store nor peers were reached of late.
+        revision: revision of the configuration.
+        stale: whether neither the store nor any peer was reached lately.
     """
 
     revision: int
@@ -75,14 +76,14 @@
 
 
 class BadRows(ValueError):
-    """A leaf's body isn't of the form ``{"rows": [...]}``."""
+    """The body of a leaf's reply isn't of the form ``{"rows": [...]}``."""
 
 
 def merge_rows(body: QueryBody, answer: Answer) -> list[Any]:
-    """Return the rows of all shards, sorted and cut as the caller asked.
+    """Return the rows of all shards, sorted and limited as the caller asked.
 
     Raises:
-        BadRows: a leaf's body can't be read.
+        BadRows: the body of a leaf's reply isn't of the expected form.
     """
     try:
         if body.order_by is None:
@@ -97,7 +98,7 @@
 
 
 def _sort_rows(body: QueryBody, answer: Answer) -> list[Any]:
-    """Sort by a field; rows without a number or text in it come last."""
+    """Sort by a field: numbers first, then texts, then rows with neither in it."""
     field = body.order_by
     rows = [row for _, part in answer.replies for row in _DECODE_SORTABLE(part).rows]
     numbers = [row for row in rows if isinstance(row.get(field), int | float)]
@@ -108,8 +109,10 @@
     return [*numbers, *texts, *others]
 
 
-def render_answer(rows: list[Any], answer: Answer, in_force: InForce) -> HttpReply:
-    """Return the reply with an answer."""
+def render_answer(
+    rows: list[Any], answer: Answer, configuration: ConfigurationState
+) -> HttpReply:
+    """Return the reply to a query that was answered."""
     coverage = answer.coverage
     content = {
         "verdict": ANSWERED,
@@ -128,7 +131,10 @@
             ],
             "complete": coverage.complete,
         },
-        "configuration": {"revision": in_force.revision, "stale": in_force.stale},
+        "configuration": {
+            "revision": configuration.revision,
+            "stale": configuration.stale,
+        },
     }
     headers = (
         JSON,
@@ -144,8 +150,15 @@
 
 
 def render_executed(status: int, body: bytes, repeated: bool) -> HttpReply:
-    """Return the reply of a non-repeatable request that ran once."""
-    if status in BODYLESS:
+    """Return the reply to a non-repeatable request that ran.
+
+    Args:
+        status: HTTP status of the leaf's reply.
+        body: body of the leaf's reply.
+        repeated: whether the reply is the kept one to an earlier request with the
+            same key.
+    """
+    if status in BODYLESS_STATUSES:
         status = 200
     headers = (
         JSON,
@@ -156,7 +169,7 @@
 
 
 def render_verdict(verdict: NotRun | MayHaveRun) -> HttpReply:
-    """Return the reply of a request without an answer."""
+    """Return the reply to a request that has no answer."""
     match verdict:
         case NotRun(reason, detail, retry_after):
             status = NOT_RUN_STATUS.get(reason, 503)
@@ -191,5 +204,5 @@
 
 
 def render_json(content: Any, status: int = 200) -> HttpReply:
-    """Return a reply with plain JSON."""
+    """Return a reply with a JSON body."""
     return HttpReply(status, (JSON,), _ENCODE(content))
--- a/walkcart/entry/requestlog.py
+++ b/walkcart/entry/requestlog.py
@@ -1,7 +1,7 @@
-"""Lines and counts of how routed requests ended.
+"""Log lines and metrics of how routed requests ended.
 
 See Also:
-    ``docs/OPERATIONS.md``, which leads from such a line to the cause.
+    ``docs/OPERATIONS.md``, on how to find the cause from such a line.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.wire.verdicts import NotRun, Reason
 
-#: Missing services that a line names at the most.
-MOST_NAMED = 5
-#: Counted by themselves: what a team's operators look for first.
-REFUSALS = {
+#: Most missing services that a log line names.
+MAX_LOGGED_MISSING = 5
+#: Refusals with a metric of their own: the ones a team's operators look for first.
+REFUSAL_METRICS = {
     Reason.UNAUTHENTICATED: "query.unauthenticated",
     Reason.CONFIGURATION_OLD: "query.configuration_old",
     Reason.RATE_LIMITED: "query.rate_limited",
@@ -33,15 +33,15 @@
     """Logs and counts how requests ended.
 
     Args:
-        events: where lines go.
-        metrics: where they are counted.
+        events: log to write to.
+        metrics: registry to count in.
     """
 
     def __init__(self, events: EventLog, metrics: Metrics) -> None:
         self._events = events
         self._metrics = metrics
 
-    def note_end(
+    def log_end(
         self,
         question: RoutedQuestion,
         version: int,
@@ -52,11 +52,11 @@
         """Log and count how a request ended.
 
         Args:
-            question: that it asked.
-            version: of the routing document.
-            objective_ms: of its route, in ms; None where it has none.
-            elapsed: seconds since it was read.
-            result: what came of it.
+            question: the question that the request was served by.
+            version: version of the routing document.
+            objective_ms: latency objective of the route, in ms; None if it has none.
+            elapsed: seconds since the request was read.
+            result: the answer or the failure.
         """
         fields = {
             "request": question.id,
@@ -70,12 +70,12 @@
         self._metrics.time("query.time", elapsed * 1000)
         match result:
             case Success(answer):
-                self._note_answer(answer, fields)
+                self._log_answer(answer, fields)
             case Failure(failure):
                 fields["question"] = question.fingerprint.hex()
-                self._note_failure(failure, fields)
+                self._log_failure(failure, fields)
 
-    def note_refusal(
+    def log_refusal(
         self,
         caller: CallerRequest,
         verdict: NotRun,
@@ -87,17 +87,17 @@
         """Log and count a request that was refused before anything was sent for it.
 
         Args:
-            caller: its request.
-            verdict: why it was refused.
-            version: of the routing document.
-            fingerprint: of the request.
-            team: whose it is; empty where that isn't known.
-            age: seconds since the document surely was the newest; None where requests
-                need no key.
+            caller: the request.
+            verdict: the reason of the refusal.
+            version: version of the routing document.
+            fingerprint: fingerprint of the request.
+            team: name of the team that sent it; empty if unknown.
+            age: seconds since the document was last confirmed to be the newest; None
+                where no API key is required.
         """
         self._metrics.count("query.refused")
-        if verdict.reason in REFUSALS:
-            self._metrics.count(REFUSALS[verdict.reason])
+        if verdict.reason in REFUSAL_METRICS:
+            self._metrics.count(REFUSAL_METRICS[verdict.reason])
         fields: dict[str, object] = {
             "request": caller.id,
             "host": caller.host,
@@ -112,7 +112,7 @@
             fields["age_ms"] = round(age * 1000) if isfinite(age) else None
         self._events.emit(Events.REQUEST_UNSERVED, **fields)
 
-    def _note_answer(self, answer: RoutedAnswer, fields: dict[str, object]) -> None:
+    def _log_answer(self, answer: RoutedAnswer, fields: dict[str, object]) -> None:
         self._metrics.count("query.answered")
         if answer.missing:
             self._metrics.count("query.partial")
@@ -126,7 +126,7 @@
             missing=_describe_missing(answer.missing),
         )
 
-    def _note_failure(self, failure: RoutedFailure, fields: dict[str, object]) -> None:
+    def _log_failure(self, failure: RoutedFailure, fields: dict[str, object]) -> None:
         refused = isinstance(failure.verdict, NotRun)
         self._metrics.count("query.refused" if refused else "query.uncertain")
         self._events.emit(
@@ -141,5 +141,5 @@
 
 
 def _describe_missing(missing: tuple[MissingPart, ...]) -> dict[str, str]:
-    """Return the missing services for the log, a few at the most."""
-    return {part.service: part.reason.value for part in missing[:MOST_NAMED]}
+    """Return the first few missing services and the reasons, for the log."""
+    return {part.service: part.reason.value for part in missing[:MAX_LOGGED_MISSING]}
--- a/walkcart/entry/requests.py
+++ b/walkcart/entry/requests.py
@@ -1,7 +1,7 @@
-"""What callers send, checked.
+"""Parsing and validation of what callers send.
 
 See Also:
-    ``docs/API.md``, every field with its unit.
+    ``docs/API.md``, which lists every field with its unit.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 LEAST_COVERAGE = b"walkcart-least-coverage"
 IDEMPOTENCY_KEY = b"idempotency-key"
 TRACEPARENT = b"traceparent"
-LONGEST_DEADLINE_MS = 600_000
+MAX_DEADLINE_MS = 600_000
 
 
 class BadRequest(Exception):
-    """A request that can't be served; it did not run.
+    """The request is invalid and did not run.
 
     Args:
-        verdict: what the caller is told.
+        verdict: the verdict to reply with.
     """
 
     def __init__(self, verdict: NotRun) -> None:
@@ -33,8 +33,8 @@
         self.verdict = verdict
 
 
-def refuse(detail: str) -> BadRequest:
-    """Return the exception for a request that can't be understood."""
+def make_bad_request(detail: str) -> BadRequest:
+    """Return the exception for a malformed request."""
     return BadRequest(NotRun(Reason.BAD_REQUEST, detail))
 
 
@@ -42,11 +42,11 @@
     """The body of a query.
 
     Args:
-        query: passed to each leaf as it is.
-        order_by: field by which the rows of all shards are sorted; none keeps
+        query: passed to each leaf unchanged.
+        order_by: field by which the rows of all shards are sorted; None keeps
             them in the order of the shards.
-        descending: whether the highest comes first.
-        limit: rows of the reply at the most; 0 for all.
+        descending: whether the highest value comes first.
+        limit: most rows in the reply; 0 for all.
     """
 
     query: msgspec.Raw
@@ -59,8 +59,8 @@
     """The body of a non-repeatable request.
 
     Args:
-        command: passed to the leaf as it is.
-        routing_key: chooses the shard.
+        command: passed to the leaf unchanged.
+        routing_key: key that determines the shard.
     """
 
     command: msgspec.Raw
@@ -69,13 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerOptions:
-    """What a caller says in headers.
+    """Options that a caller sets by headers.
 
     Args:
-        deadline: seconds for the reply; None takes the policy's.
-        least_coverage: share of the shards; None takes the policy's.
-        idempotency_key: as sent.
-        traceparent: as sent.
+        deadline: seconds until the reply is due; None for the policy's.
+        least_coverage: least fraction of the shards that must answer; None for the
+            policy's.
+        idempotency_key: the header as sent.
+        traceparent: the header as sent.
     """
 
     deadline: float | None
@@ -92,11 +93,11 @@
     """Read the body of a query.
 
     Raises:
-        BadRequest: wrong content type, no JSON, or not of this form.
+        BadRequest: wrong content type, invalid JSON, or fields that don't fit.
     """
     body = _decode(request, _QUERY)
     if body.limit < 0:
-        raise refuse("limit: expected 0 or more")
+        raise make_bad_request("limit: expected 0 or more")
     return body
 
 
@@ -104,7 +105,7 @@
     """Read the body of a non-repeatable request.
 
     Raises:
-        BadRequest: wrong content type, no JSON, or not of this form.
+        BadRequest: wrong content type, invalid JSON, or fields that don't fit.
     """
     return _decode(request, _EXECUTE)
 
@@ -112,22 +113,23 @@
 def _decode(request: HttpRequest, decoder):
     media = (request.header(CONTENT_TYPE) or "").split(";")[0].strip().lower()
     if media != "application/json":
-        raise refuse("content-type: expected application/json")
+        raise make_bad_request("content-type: expected application/json")
     try:
-        # The parts that leaves get as they are aren't looked into otherwise.
+        # The parts that leaves get unchanged are decoded by nothing else, so invalid
+        # UTF-8 in them would go through.
         request.body.decode("utf-8")
         return decoder.decode(request.body)
     except msgspec.MsgspecError as error:
-        raise refuse(f"body: {error}") from None
+        raise make_bad_request(f"body: {error}") from None
     except UnicodeDecodeError:
-        raise refuse("body: expected UTF-8") from None
+        raise make_bad_request("body: expected UTF-8") from None
 
 
 def read_options(request: HttpRequest) -> CallerOptions:
     """Read the caller's headers.
 
     Raises:
-        BadRequest: a value that can't be taken, or a deadline that has passed.
+        BadRequest: a value is invalid, or the deadline has passed.
     """
     return CallerOptions(
         _read_deadline(request.header(DEADLINE)),
@@ -143,10 +145,12 @@
     try:
         milliseconds = int(text)
     except ValueError:
-        raise refuse("walkcart-deadline-ms: expected whole milliseconds") from None
-    if milliseconds > LONGEST_DEADLINE_MS:
-        limit = f"at most {LONGEST_DEADLINE_MS}"
-        raise refuse(f"walkcart-deadline-ms: expected {limit}")
+        raise make_bad_request(
+            "walkcart-deadline-ms: expected whole milliseconds"
+        ) from None
+    if milliseconds > MAX_DEADLINE_MS:
+        limit = f"at most {MAX_DEADLINE_MS}"
+        raise make_bad_request(f"walkcart-deadline-ms: expected {limit}")
     if milliseconds <= 0:
         detail = "the deadline has passed"
         raise BadRequest(NotRun(Reason.DEADLINE, detail))
@@ -161,5 +165,5 @@
     except ValueError:
         share = -1.0
     if not 0 <= share <= 1:
-        raise refuse("walkcart-least-coverage: expected a number from 0 to 1")
+        raise make_bad_request("walkcart-least-coverage: expected a number from 0 to 1")
     return share
--- a/walkcart/entry/roomgate.py
+++ b/walkcart/entry/roomgate.py
@@ -1,7 +1,7 @@
-"""Where questions wait for an instance that has fallen behind, or are refused.
+"""Holds back or refuses questions while this instance is overloaded.
 
 See Also:
-    `walkcart.routing.instanceroom`, which decides.
+    `walkcart.routing.instanceroom`, which decides when and which.
 """
 
 from __future__ import annotations
@@ -29,30 +29,30 @@
 from walkcart.routing.latency import DecayedLatency
 from walkcart.wire.verdicts import NotRun, Reason
 
-#: Seconds between two looks at the event loop while questions are in progress: several
-#: fall into the time for which a delay must stand.
-LOOK_INTERVAL = 0.05
+#: Seconds between two samples of the event loop's delay while questions are in
+#: progress. Several samples fall into the time for which a delay must persist.
+SAMPLE_INTERVAL = 0.05
 
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
-    """A question that waits; `crowded` is set when it is refused after all."""
+    """A question that waits for its turn; `rejection` is set if it is refused."""
 
     turn: trio.Event = field(default_factory=trio.Event)
     started: bool = False
-    crowded: Crowded | None = None
+    rejection: Crowded | None = None
 
 
 class RoomGate:
-    """Lets questions in as the instance has room.
+    """Admits questions within this instance's limit on concurrent questions.
 
     Args:
         clock: source of time.
-        random: spreads the times to come back.
-        events: where changes of the limit and refusals are logged.
-        metrics: where refusals and waits are counted.
-        find_weight: returns a team's claim, relative to others.
-        is_wanted: returns whether questions are held or refused at all.
+        random: spreads the retry times of refused questions.
+        events: log for refusals, and for the limit's coming and going.
+        metrics: registry for the limit, refusals and waits.
+        find_weight: returns a team's weight in fair queueing, relative to others.
+        is_enabled: returns whether the gate is in use; if not, it admits everything.
     """
 
     def __init__(
@@ -62,26 +62,28 @@
         events: EventLog,
         metrics: Metrics,
         find_weight: Callable[[str], float] = lambda team: 1.0,
-        is_wanted: Callable[[], bool] = lambda: True,
+        is_enabled: Callable[[], bool] = lambda: True,
     ) -> None:
         self._clock = clock
         self._random = random
         self._events = events
         self._metrics = metrics
         self._find_weight = find_weight
-        self._is_wanted = is_wanted
+        self._is_enabled = is_enabled
         self.room: InstanceRoom[_Waiter] = InstanceRoom()
-        self._times: dict[str, DecayedLatency] = {}
+        self._service_times: dict[str, DecayedLatency] = {}
         self._busy = trio.Event()
 
     @asynccontextmanager
-    async def hold(self, question: RoutedQuestion) -> AsyncIterator[NotRun | None]:
-        """Wait until a question may be worked on; yield why it may not be.
+    async def admit(self, question: RoutedQuestion) -> AsyncIterator[NotRun | None]:
+        """Wait until a question may start; yield None, or the reason of its refusal.
+
+        The question counts as in progress until the context ends.
 
         Args:
-            question: that came in; nothing was sent for it yet.
+            question: a question for which nothing has been sent yet.
         """
-        if not self._is_wanted():
+        if not self._is_enabled():
             yield None
             return
         refusal = await self._enter(question)
@@ -93,34 +95,39 @@
             yield None
         finally:
             now = self._clock.monotonic()
-            times = self._times.setdefault(question.kind, DecayedLatency())
+            times = self._service_times.setdefault(question.kind, DecayedLatency())
             times.observe(now, now - start)
             self.room.leave(now, now - start)
-            self._let_in(now)
+            self._start_waiting(now)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Watch how far the event loop is behind, until cancelled."""
+        """Sample the event loop's delay until cancelled."""
         task_status.started()
         while True:
             if not self.room.in_progress:
                 self._busy = trio.Event()
                 await self._busy.wait()
-            due = self._clock.monotonic() + LOOK_INTERVAL
-            await trio.sleep(LOOK_INTERVAL)
+            due = self._clock.monotonic() + SAMPLE_INTERVAL
+            await trio.sleep(SAMPLE_INTERVAL)
             now = self._clock.monotonic()
-            self.look(max(0.0, now - due), now)
+            self.record_loop_delay(max(0.0, now - due), now)
+
+    def record_loop_delay(self, delay: float, now: float) -> None:
+        """Adapt the limit to one sample of the event loop's delay.
 
-    def look(self, delay: float, now: float) -> None:
-        """Take in by how many seconds the event loop was behind at one look."""
+        Args:
+            delay: seconds by which the event loop is behind.
+            now: current time, in seconds of the monotonic clock.
+        """
         before = self.room.limit
         self.room.note_delay(delay, now)
         if self.room.limit != before:
-            self._tell_limit(before)
-        self._let_in(now)
-        self._turn_away(now)
+            self._report_limit(before)
+        self._start_waiting(now)
+        self._reject_hopeless(now)
 
-    def _tell_limit(self, before: float) -> None:
-        """Tell operators of a limit that has changed."""
+    def _report_limit(self, before: float) -> None:
+        """Report a changed limit in metrics and, if it comes or goes, in the log."""
         limited = self.room.limit < float("inf")
         self._metrics.gauge("room.limit", int(self.room.limit) if limited else 0)
         if limited != (before < float("inf")):
@@ -133,21 +140,21 @@
     async def _enter(self, question: RoutedQuestion) -> NotRun | None:
         now = self._clock.monotonic()
         waiter = _Waiter()
-        found = self.room.enter(waiter, self._describe(question, now), now)
+        outcome = self.room.enter(waiter, self._describe(question, now), now)
         self._busy.set()
-        match found:
+        match outcome:
             case Started():
                 return None
             case Crowded():
-                return self._refuse(question, found, 0.0)
-        self._let_in(now)
+                return self._refuse(question, outcome, 0.0)
+        self._start_waiting(now)
         try:
             with trio.move_on_at(question.deadline):
                 await waiter.turn.wait()
         except BaseException:
             if waiter.started:
                 self.room.withdraw()
-                self._let_in(self._clock.monotonic())
+                self._start_waiting(self._clock.monotonic())
             raise
         finally:
             if not waiter.turn.is_set():
@@ -156,11 +163,11 @@
         self._metrics.time("room.wait", waited * 1000)
         if waiter.started:
             return None
-        crowded = waiter.crowded or Crowded(BLIND_RETRY, waited)
-        return self._refuse(question, crowded, waited)
+        rejection = waiter.rejection or Crowded(BLIND_RETRY, waited)
+        return self._refuse(question, rejection, waited)
 
     def _describe(self, question: RoutedQuestion, now: float) -> Entry:
-        times = self._times.get(question.kind)
+        times = self._service_times.get(question.kind)
         return Entry(
             question.rank,
             question.objective_at,
@@ -170,24 +177,24 @@
             self._find_weight(question.team),
         )
 
-    def _let_in(self, now: float) -> None:
-        """Tell those whose turn has come."""
+    def _start_waiting(self, now: float) -> None:
+        """Wake the questions whose turn has come."""
         if not self.room.waiting:
             return
         for waiter in self.room.take_started(now):
             waiter.started = True
             waiter.turn.set()
 
-    def _turn_away(self, now: float) -> None:
-        """Tell those whose turn won't come in time."""
-        for waiter, crowded in self.room.take_hopeless(now):
-            waiter.crowded = crowded
+    def _reject_hopeless(self, now: float) -> None:
+        """Refuse the waiting questions that can no longer be answered in time."""
+        for waiter, rejection in self.room.take_hopeless(now):
+            waiter.rejection = rejection
             waiter.turn.set()
 
     def _refuse(
-        self, question: RoutedQuestion, crowded: Crowded, waited: float
+        self, question: RoutedQuestion, rejection: Crowded, waited: float
     ) -> NotRun:
-        retry = find_return(crowded.retry_after, self._random)
+        retry = find_return(rejection.retry_after, self._random)
         self._metrics.count("room.refused")
         self._events.emit(
             Events.ROOM_REFUSED,
@@ -196,7 +203,7 @@
             rank=question.rank,
             team=question.team,
             waited_ms=round(waited * 1000),
-            expected_ms=round(crowded.wait * 1000),
+            expected_ms=round(rejection.wait * 1000),
             in_progress=self.room.in_progress,
             waiting=self.room.waiting,
             behind_ms=round(self.room.standing_delay() * 1000),
--- a/walkcart/entry/routed.py
+++ b/walkcart/entry/routed.py
@@ -1,10 +1,10 @@
-"""Requests that are passed on by routing intents: from the caller and back.
+"""Handling of requests that are forwarded by routing intents.
 
-The protocol of the callers is a port: what a request means and how its answer looks
-is the adapter's, what is done with it is decided here.
+The callers' protocol is an interface: its implementation parses requests and renders
+replies, and this module decides how a request is served.
 
 See Also:
-    `walkcart.fanout.routed.RoutedGathering`, which asks the leafs.
+    `walkcart.fanout.routed.RoutedGathering`, which sends requests to the leaves.
 """
 
 from __future__ import annotations
@@ -46,33 +46,34 @@
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Time kept back from the caller's for the answer's way home.
-HOME_TIME = timedelta(milliseconds=10)
-#: Time kept back from a route's objective: the request's way here, which may have
-#: begun with a new connection, and the answer's way home. What this instance itself
-#: needs is learned and comes on top.
+#: Subtracted from the time that a caller waits: the answer's way back to it.
+DEADLINE_RESERVE = timedelta(milliseconds=10)
+#: Subtracted from a route's objective: the request's way to this instance, which may
+#: include opening a connection, and the answer's way back. The delay in this instance
+#: is learned and subtracted as well.
 OBJECTIVE_RESERVE = timedelta(milliseconds=20)
-#: When to come back while no routing document is known.
-START_TIME = timedelta(seconds=1)
+#: Retry-after of requests that are refused because no routing document is known yet.
+STARTUP_RETRY_DELAY = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedEntryTools:
-    """What the handler works with.
+    """Dependencies of `RoutedHandler`.
 
     Args:
-        keeper: the routing document in force.
-        protocol: of the callers.
-        gathering: what routed questions use.
-        events: where each request's end is logged.
-        metrics: where requests are counted and timed.
+        keeper: holds the routing document in force.
+        protocol: parses requests of callers and renders replies.
+        gathering: dependencies that routed questions share.
+        events: log for the end of each request.
+        metrics: registry in which requests are counted and timed.
         tracer: makes a span for each request.
-        random: shifts where splits begin.
-        gate: holds requests while the instance starts.
-        origins: tells whose requests are.
-        find_age: returns the seconds since the configuration surely was the newest.
-        room: holds or refuses them while it has more to do than it can.
-        limits: of the teams' requests; None where nobody keeps them.
+        random: chooses where weighted splits begin.
+        startup_gate: delays requests while the instance starts.
+        origins: computes fingerprints of requests.
+        find_age: returns the seconds since the configuration was last confirmed to
+            be the newest.
+        room: delays or refuses requests while the instance is overloaded.
+        limits: rate limits of the teams; None if they aren't enforced.
     """
 
     keeper: RouteKeeper
@@ -82,7 +83,7 @@
     metrics: Metrics
     tracer: Tracer
     random: Random
-    gate: StartGate
+    startup_gate: StartGate
     origins: RequestOrigins
     find_age: Callable[[], float]
     room: RoomGate
@@ -90,7 +91,11 @@
 
 
 class RoutedHandler:
-    """Answers routed requests."""
+    """Answers routed requests.
+
+    Args:
+        tools: its dependencies.
+    """
 
     def __init__(self, tools: RoutedEntryTools) -> None:
         self._tools = tools
@@ -99,21 +104,23 @@
         self._log = RequestLog(tools.events, tools.metrics)
 
     async def handle(self, request: HttpRequest) -> HttpReply:
-        """Answer one request; never raises but for cancellation."""
+        """Answer one request; raise nothing but cancellation."""
         tools = self._tools
         start = tools.gathering.clock.monotonic()
         try:
             caller = tools.protocol.read_request(request)
             return await self._route(caller, start)
-        except Exception as error:  # the caller gets an answer, not a traceback
+        except Exception as error:  # answer every request, whatever fails
             tools.events.emit(Events.REQUEST_FAILED, detail=repr(error)[:500])
             verdict = MayHaveRun(Reason.INTERNAL, "a fault of walkcart")
             return tools.protocol.render_failure(RoutedFailure(verdict))
 
     async def _route(self, caller: CallerRequest, start: float) -> HttpReply:
         tools = self._tools
-        if not await tools.gate.wait():
-            verdict = NotRun(Reason.NO_CONFIGURATION, "no routes are known", START_TIME)
+        if not await tools.startup_gate.wait():
+            verdict = NotRun(
+                Reason.NO_CONFIGURATION, "no routes are known", STARTUP_RETRY_DELAY
+            )
             return self._refuse(caller, verdict)
         table = tools.keeper.table
         route = table.find(caller.host, caller.forwarded.target)
@@ -123,9 +130,9 @@
         if isinstance(access, NotRun):
             return self._refuse(caller, access)
         question = self._make_question(caller, table, route, access, start)
-        async with tools.room.hold(question) as refusal:
+        async with tools.room.admit(question) as refusal:
             if refusal is None:
-                refusal = await self._take_from_limit(access.team, question.deadline)
+                refusal = await self._charge_limit(access.team, question.deadline)
             if refusal is not None:
                 return self._refuse(caller, refusal, question.team)
             return await self._serve(caller, table, route, question, access.team, start)
@@ -139,27 +146,25 @@
         team: Team | None,
         start: float,
     ) -> HttpReply:
-        """Serve a question that was let in, unless leafs end under it."""
+        """Serve an admitted question, unless it is quarantined for crashing leaves."""
         tools = self._tools
         admitted = await tools.gathering.quarantines.admit(question.fingerprint)
         if isinstance(admitted, NotRun):
-            self._give_back(team, start)
+            self._refund_limit(team, start)
             return self._refuse(caller, admitted, question.team)
         question = replace(question, careful=admitted is Standing.CAREFUL)
         return await self._answer(question, table, route, team, start)
 
-    async def _take_from_limit(
-        self, team: Team | None, deadline: float
-    ) -> NotRun | None:
-        """Take a request from its team's limit; return why it may not run."""
+    async def _charge_limit(self, team: Team | None, deadline: float) -> NotRun | None:
+        """Charge a request to its team's limit; return a refusal if it has no room."""
         limits = self._tools.limits
         if limits is None or team is None or team.limit is None:
             return None
         patience = deadline - self._tools.gathering.clock.monotonic()
         return await limits.admit(team, max(0.0, patience))
 
-    def _give_back(self, team: Team | None, start: float) -> None:
-        """Return to a team's limit what was taken for a request that didn't run."""
+    def _refund_limit(self, team: Team | None, start: float) -> None:
+        """Refund to a team's limit the charge for a request that didn't run."""
         limits = self._tools.limits
         if limits is not None and team is not None and team.limit is not None:
             limits.give_back(team, start)
@@ -172,11 +177,11 @@
         team: Team | None,
         start: float,
     ) -> HttpReply:
-        """Ask the leafs and make the caller's answer."""
+        """Send a question to the leaves and render the reply to the caller."""
         tools = self._tools
         top = route.target.top if isinstance(route.target, ToShards) else 0
         result = await self._gather(question, top)
-        self._log.note_end(
+        self._log.log_end(
             question,
             table.document.version,
             _describe_objective(route),
@@ -195,13 +200,13 @@
             case _:
                 failure = result.failure()
                 if isinstance(failure.verdict, NotRun):
-                    self._give_back(team, start)
+                    self._refund_limit(team, start)
                 return tools.protocol.render_failure(failure)
 
     async def _gather(
         self, question: RoutedQuestion, top: int
     ) -> Result[RoutedAnswer, RoutedFailure]:
-        """Ask the leafs, and remember how they fared."""
+        """Send a question to the leaves, and record whether they crashed under it."""
         tools = self._tools.gathering
         watch = CrashWatch(len(question.services), question.careful)
         try:
@@ -228,7 +233,7 @@
     ) -> RoutedQuestion:
         time = route.timeout
         if caller.patience is not None:
-            time = min(time, caller.patience - HOME_TIME)
+            time = min(time, caller.patience - DEADLINE_RESERVE)
         objective = float("inf")
         sharded = isinstance(route.target, ToShards)
         if route.objective is not None:
@@ -278,9 +283,7 @@
         document = self._tools.keeper.table.document
         fingerprint = self._tools.origins.fingerprint(caller.forwarded)
         age = None if document.teams is None else self._tools.find_age()
-        self._log.note_refusal(
-            caller, verdict, document.version, fingerprint, team, age
-        )
+        self._log.log_refusal(caller, verdict, document.version, fingerprint, team, age)
         return self._tools.protocol.render_failure(RoutedFailure(verdict))
 
 
@@ -289,7 +292,7 @@
 
 
 def _describe_objective(route: Route) -> int | None:
-    """Return the route's objective for the log, in ms."""
+    """Return the route's objective in ms, for the log; None if it has none."""
     if route.objective is None:
         return None
     return round(route.objective.total_seconds() * 1000)
--- a/walkcart/entry/routedservice.py
+++ b/walkcart/entry/routedservice.py
@@ -1,4 +1,4 @@
-"""The listener of routed requests and the answer to "are you ready?".
+"""The HTTP server for routed requests, and the readiness check of the load balancer.
 
 See Also:
     `walkcart.entry.routed.RoutedHandler`, which answers the requests.
@@ -20,23 +20,23 @@
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.server import Fault, HttpServer, ServerLimits
 
-#: Added to the operators' idle time: a request that leaves the caller just before
-#: that time must still find the connection open.
-IDLE_SLACK = 1.25
-#: Time for the whole request beyond the time for its head.
+#: Factor on the configured idle time: a request that leaves the caller just before
+#: that time ends must still find the connection open.
+IDLE_TIME_FACTOR = 1.25
+#: Time to read a whole request, as a multiple of the time to read its head.
 BODY_TIME_FACTOR = 2
 
 
 class RoutedService:
-    """Serves callers and the balancer's question.
+    """Serves callers and the load balancer's readiness check.
 
     Args:
-        listener: where callers come in.
+        listener: accepts connections of callers.
         handler: answers their requests.
-        render_fault: makes the answer to bytes that are no request.
-        keeper: tells the callers' limits, and whether routes are known.
-        directory: tells whether the leafs are known.
-        events: where the start and bad requests are logged.
+        render_fault: renders the reply to input that is not a valid request.
+        keeper: holds the routes and the limits on callers' connections.
+        directory: holds the leaves; readiness depends on whether they are known.
+        events: log for the start, bad requests and failures.
     """
 
     def __init__(
@@ -58,20 +58,20 @@
         self.server = HttpServer(
             handler.handle,
             _make_limits(CallerLimits()),
-            self._tell_fault,
-            self._note_gone,
+            self._answer_fault,
+            self._log_disconnect,
             cancel_on_gone=True,
-            on_error=self._note_error,
+            on_error=self._log_error,
         )
-        keeper.on_change(self._take_limits)
+        keeper.on_change(self._update_limits)
 
     @property
     def ready(self) -> bool:
-        """Whether new connections are wanted."""
+        """Whether the load balancer may send new connections."""
         return not self.stopping and self._keeper.known and self._directory.known
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Serve until cancelled."""
+        """Accept connections and serve them until cancelled."""
         async with trio.open_nursery() as connections:
             self._events.emit(Events.STARTED)
             task_status.started()
@@ -82,25 +82,25 @@
             await trio.sleep_forever()
 
     async def stop_accepting(self) -> None:
-        """Close the listener; open connections stay."""
+        """Close the listener; open connections are served further."""
         self._accepting.cancel()
         await trio.aclose_forcefully(self._listener)
 
     async def tell_readiness(self, request: HttpRequest) -> HttpReply:
-        """Answer the balancer: 200 when new connections are wanted, else 503."""
+        """Answer the load balancer: 200 if it may send new connections, else 503."""
         return HttpReply(200 if self.ready else 503)
 
-    def _take_limits(self, table: RouteTable) -> None:
+    def _update_limits(self, table: RouteTable) -> None:
         self.server.limits = _make_limits(table.document.limits)
 
-    def _tell_fault(self, fault: Fault) -> HttpReply:
+    def _answer_fault(self, fault: Fault) -> HttpReply:
         self._events.emit(Events.REQUEST_BAD, detail=fault.name)
         return self._render_fault(fault)
 
-    def _note_error(self, error: Exception) -> None:
+    def _log_error(self, error: Exception) -> None:
         note_task_fault(self._events, "connection of a caller", error)
 
-    def _note_gone(self) -> None:
+    def _log_disconnect(self) -> None:
         self._events.emit(Events.CALLER_GONE)
 
 
@@ -108,6 +108,6 @@
     return ServerLimits(
         body=limits.body_bytes,
         read_time=limits.head_time * BODY_TIME_FACTOR,
-        idle_time=limits.idle_time * IDLE_SLACK,
+        idle_time=limits.idle_time * IDLE_TIME_FACTOR,
         head=limits.header_bytes,
     )
--- a/walkcart/entry/routedstop.py
+++ b/walkcart/entry/routedstop.py
@@ -1,8 +1,8 @@
 """The planned stop of an instance that serves routed requests.
 
-Readiness says no first. The balancer needs two questions to see that, so new
-connections are taken for a while, with answers that ask callers to close. Then idle
-connections close, requests in progress end, and the process leaves.
+Readiness checks fail first. The load balancer needs two of them to notice, so new
+connections are accepted for a while, with replies that ask callers to close theirs.
+Then idle connections are closed, requests in progress end, and the process exits.
 """
 
 from __future__ import annotations
@@ -18,27 +18,29 @@
 from walkcart.membership.quotashares import QuotaShares
 from walkcart.membership.registration import Registration
 
-#: Until the balancer has asked twice, once a second, and a late connection came up.
-BALANCER_TIME = timedelta(seconds=2.6)
-#: Kept back from the platform's grace for leaving.
-LEAVE_TIME = timedelta(seconds=0.4)
-#: Longest wait for the end of the lease.
-LEASE_END_TIME = timedelta(seconds=0.2)
-LOOK_INTERVAL = 0.02
-#: A connection that has been without a request for this long may close.
-IDLE_TIME = timedelta(seconds=0.3)
+#: Time for the load balancer to check readiness twice, once a second, and for a late
+#: connection to be opened.
+BALANCER_NOTICE_TIME = timedelta(seconds=2.6)
+#: Part of the platform's grace period that is kept for the exit of the process.
+EXIT_RESERVE = timedelta(seconds=0.4)
+#: Longest wait for each of the two leases to end.
+LEASE_END_TIMEOUT = timedelta(seconds=0.2)
+#: Seconds between two checks for what is still in progress.
+POLL_INTERVAL = 0.02
+#: A connection is closed once it has been idle for this long.
+MIN_IDLE_TIME = timedelta(seconds=0.3)
 
 
 class RoutedStop:
-    """Stops an instance.
+    """Stops an instance that serves routed requests.
 
     Args:
-        service: takes the callers' requests.
-        carrier: has questions of other instances in progress.
-        registration: tells the other instances.
-        events: where the stop is logged.
+        service: serves the requests of callers.
+        carrier: serves questions of other instances.
+        registration: registers this instance with the others.
+        events: log for the stop.
         grace: time until the platform kills the process.
-        quota_shares: of rate limits that this instance accounts.
+        quota_shares: shares of rate limits that this instance accounts.
     """
 
     def __init__(
@@ -58,28 +60,28 @@
         self._quota_shares = quota_shares
 
     async def stop(self) -> bool:
-        """Stop; return whether all that was in progress ended."""
+        """Stop; return whether all requests in progress ended in time."""
         self._events.emit(Events.STOPPING)
         start = trio.current_time()
         self._service.stopping = True
         self._service.server.announce_stop()
         self._carrier.stop_taking()
-        with trio.move_on_after(LEASE_END_TIME.total_seconds()):
+        with trio.move_on_after(LEASE_END_TIMEOUT.total_seconds()):
             await self._quota_shares.leave()
-        with trio.move_on_after(LEASE_END_TIME.total_seconds()):
+        with trio.move_on_after(LEASE_END_TIMEOUT.total_seconds()):
             await self._registration.leave()
-        await trio.sleep_until(start + BALANCER_TIME.total_seconds())
-        bound = start + (self._grace - LEAVE_TIME).total_seconds()
-        with trio.move_on_at(bound):
-            await self._finish()
+        await trio.sleep_until(start + BALANCER_NOTICE_TIME.total_seconds())
+        drain_deadline = start + (self._grace - EXIT_RESERVE).total_seconds()
+        with trio.move_on_at(drain_deadline):
+            await self._drain()
         ended = not self._service.server.in_progress
         event = Events.STOPPED if ended else Events.STOP_BOUND
         self._events.emit(event, in_progress=self._service.server.in_progress)
         return ended
 
-    async def _finish(self) -> None:
+    async def _drain(self) -> None:
         server = self._service.server
         while server.connections or self._carrier.carrying:
-            server.close_idle(IDLE_TIME)
-            await trio.sleep(LOOK_INTERVAL)
+            server.close_idle(MIN_IDLE_TIME)
+            await trio.sleep(POLL_INTERVAL)
         await self._service.stop_accepting()
--- a/walkcart/entry/stopping.py
+++ b/walkcart/entry/stopping.py
@@ -1,8 +1,8 @@
-"""The planned stop: no request in progress is cut.
+"""The planned stop of an instance: no request in progress is cut off.
 
-Readiness says no and peers are told first; new work is still taken until the
-balancer has had time to see it; then the listener closes, connections close
-when idle, requests and claims in progress end, and the process leaves.
+Readiness checks fail and peers are told first. New requests are still served until the
+load balancer has had time to notice. Then the listener is closed, connections are
+closed once idle, requests and claims in progress end, and the process exits.
 """
 
 from __future__ import annotations
@@ -20,27 +20,28 @@
 from walkcart.membership.view import MembershipView, MemberState
 from walkcart.once.owner import BucketOwners
 
-#: Seconds between two looks at what is still in progress.
-LOOK_INTERVAL = 0.02
-#: Time for the last word to reach the peers.
-LAST_GOSSIP_TIME = 0.1
-#: Longest wait for claims to settle: a reply kept for a repeat is worth that.
-SETTLE_BOUND = 2.0
+#: Seconds between two checks for what is still in progress.
+POLL_INTERVAL = 0.02
+#: Seconds for the last gossip message to reach the peers.
+FINAL_GOSSIP_TIME = 0.1
+#: Longest wait for claims to be settled, in seconds. A settled claim keeps the reply,
+#: so that a repeated request can be answered with it.
+SETTLE_TIMEOUT = 2.0
 
 
 class PlannedStop:
     """Stops an instance.
 
     Args:
-        entry: takes requests.
-        view: tells the peers.
-        detector: tells them soon.
-        forwarder: has requests of other instances in progress.
-        owners: have claims in progress.
+        entry: serves the requests of callers.
+        view: state of this instance as gossiped to the peers.
+        detector: sends gossip to the peers at once.
+        forwarder: serves requests that other instances forward.
+        owners: write claims to the store.
         clock: source of time.
-        events: where the stop is logged.
-        grace: time for which new work is taken still.
-        bound: the stop ends after this at the latest.
+        events: log for the stop.
+        grace: time for which new requests are still served.
+        timeout: longest time after that for requests and claims in progress to end.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         clock: Clock,
         events: EventLog,
         grace: timedelta,
-        bound: timedelta,
+        timeout: timedelta,
     ) -> None:
         self._entry = entry
         self._view = view
@@ -63,30 +64,30 @@
         self._clock = clock
         self._events = events
         self._grace = grace
-        self._bound = bound
+        self._timeout = timeout
 
     async def stop(self) -> bool:
-        """Stop; return whether all that was in progress ended."""
+        """Stop; return whether all requests in progress ended in time."""
         self._events.emit(Events.STOPPING)
         self._entry.ready = False
         self._view.update_own(state=MemberState.LEAVING)
         self._entry.server.announce_stop()
         await self._clock.sleep(self._grace)
         ended = False
-        with trio.move_on_after(self._bound.total_seconds()):
+        with trio.move_on_after(self._timeout.total_seconds()):
             await self._entry.stop_accepting()
-            await self._finish()
+            await self._drain()
             ended = True
         event = Events.STOPPED if ended else Events.STOP_BOUND
         self._events.emit(event, in_progress=self._entry.server.in_progress)
         self._view.update_own(state=MemberState.DEAD)
         self._detector.push_soon()
-        await trio.sleep(LAST_GOSSIP_TIME)
+        await trio.sleep(FINAL_GOSSIP_TIME)
         return ended
 
-    async def _finish(self) -> None:
+    async def _drain(self) -> None:
         while self._entry.server.connections or self._forwarder.carrying:
             self._entry.server.close_idle(self._grace)
-            await trio.sleep(LOOK_INTERVAL)
-        with trio.move_on_after(SETTLE_BOUND):
+            await trio.sleep(POLL_INTERVAL)
+        with trio.move_on_after(SETTLE_TIMEOUT):
             await self._owners.settled()
--- a/walkcart/entry/teamaccess.py
+++ b/walkcart/entry/teamaccess.py
@@ -1,8 +1,9 @@
-"""Which team a request is of, or why it may not run.
+"""Access control by API key: the team that sent a request, or why it is refused.
 
-A configuration that holds teams lets in what brings the key of one, and what goes to a
-public route. It may be older than a key: an instance that knows that it has missed
-changes says so and has the caller ask elsewhere, where the key may be known.
+A configuration with teams admits requests with the key of one of them, and requests
+to public routes. The configuration of this instance may be older than a key. If the
+instance knows that it may have missed changes, its refusal says so, and the caller
+tries another instance, which may know the key.
 
 Examples:
     >>> from walkcart.intent.routes import RoutingDocument, ToService
@@ -26,22 +27,24 @@
 from walkcart.intent.teams import Grant, Team
 from walkcart.wire.verdicts import NotRun, Reason
 
-#: Seconds after which a copy of the configuration is old: one that isn't confirmed for
-#: 1.8 s is read anew, which takes up to 0.3 s on a busy machine, and as much again.
-#: A caller with a new key is turned away wrongly for no longer than that.
+#: Age of the copy of the configuration, in seconds, from which on it counts as old. A
+#: copy that isn't confirmed for 1.8 s is read again, which takes up to 0.3 s on a busy
+#: machine; as much again is reserve. For no longer than this a caller with a new key
+#: is wrongly refused as unauthenticated.
 OLD_AGE = 2.5
-#: When to ask again, and of whom is drawn anew: long enough for a new connection,
-#: short enough for the answer to keep its value.
-OLD_RETURN = timedelta(milliseconds=50)
+#: Retry-after of a refusal because of an old configuration. The retry goes to an
+#: instance chosen anew: the delay is long enough to open a connection, and short enough
+#: for the answer to keep its value.
+STALE_RETRY_DELAY = timedelta(milliseconds=50)
 
 
 @dataclass(frozen=True, slots=True)
 class Access:
-    """A request may run.
+    """The request may run.
 
     Args:
-        team: whose it is; None where none was named, or none needs to be.
-        grant: what must stay in force for more to be sent for it.
+        team: the team that sent it; None if it has no key of a team and needs none.
+        grant: must remain valid for more attempts to be sent for the request.
     """
 
     team: Team | None
@@ -51,13 +54,13 @@
 def find_access(
     table: RouteTable, route: Route, credential: bytes | None, age: float
 ) -> Access | NotRun:
-    """Return whose a request is, or why it may not run.
+    """Return the team that sent a request, or why the request may not run.
 
     Args:
-        table: the configuration in force.
-        route: of the request.
-        credential: digest of its key; None without exactly one.
-        age: seconds since the configuration surely was the newest.
+        table: configuration in force.
+        route: route of the request.
+        credential: digest of its API key; None unless it has exactly one.
+        age: seconds since the configuration was last confirmed to be the newest.
     """
     if table.document.teams is None:
         return Access(None, Grant())
@@ -70,5 +73,5 @@
         return NotRun(Reason.UNAUTHENTICATED, "the request has no usable key")
     if age > OLD_AGE:
         detail = "no team has the key, by a configuration that may be old"
-        return NotRun(Reason.CONFIGURATION_OLD, detail, OLD_RETURN)
+        return NotRun(Reason.CONFIGURATION_OLD, detail, STALE_RETRY_DELAY)
     return NotRun(Reason.UNAUTHENTICATED, "no team has the key")
--- a/walkcart/entry/teamlimits.py
+++ b/walkcart/entry/teamlimits.py
@@ -1,7 +1,7 @@
-"""Admission of teams' requests under the rate limits that all instances share.
+"""Admission of teams' requests under rate limits that all instances share.
 
 See Also:
-    `walkcart.entry.callerports.TeamLimits`, the port that this serves.
+    `walkcart.entry.callerports.TeamLimits`, the interface that this implements.
     ``docs/design/quotas.md``.
 """
 
@@ -21,19 +21,20 @@
 from walkcart.routing.quotas import QuotaBounds, Want, list_shares
 from walkcart.wire.verdicts import NotRun, Reason
 
-#: Turn that an accountant tells, in seconds, from which on a team is far above its
-#: limit. Then the last shares that may have room aren't asked if they are at most this
-#: part of all: the few requests that they grant go to others, and callers hear at once.
-BUSY_TURN = 2.0
-LEFT_PART = 0.4
-#: Longest time for which a request waits for the accountants, in seconds: all have been
-#: asked by then unless most of them are silent.
-MOST_ASKING = 0.5
-#: Seconds after which a caller may try another instance when no accountant is reached
-#: from this one.
-UNKNOWN_WAIT = 0.3
-#: Shortest wait that a refused caller is told: its way back and forth.
-SHORTEST_WAIT = timedelta(seconds=0.02)
+#: A team is far above its limit if an accountant states at least this many seconds
+#: until the turn of a refused request. Then the remaining shares that may have room
+#: aren't asked if they are at most `MAX_UNASKED_FRACTION` of all shares: the few
+#: requests that they grant go to other callers, and this caller is refused at once.
+FAR_ABOVE_LIMIT_WAIT = 2.0
+MAX_UNASKED_FRACTION = 0.4
+#: Longest time for which a request waits for the accountants, in seconds. By then all
+#: of them have been asked, unless most don't answer.
+MAX_ASKING_TIME = 0.5
+#: Seconds after which a caller may try another instance if this one reaches no
+#: accountant.
+UNKNOWN_RETRY_DELAY = 0.3
+#: Shortest retry-after of a refusal: the round trip to the caller.
+MIN_RETRY_DELAY = timedelta(seconds=0.02)
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,9 +42,9 @@
     """The latest denial of one team at this instance.
 
     Args:
-        at: when, in seconds.
-        use: requests a second that the accountant saw.
-        accountant: its name.
+        at: when it came, in seconds of the monotonic clock.
+        use: requests per second of the team that the accountant had granted lately.
+        accountant: name of the instance that denied.
     """
 
     at: float
@@ -53,15 +54,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Search:
-    """One request's search for room.
+    """The search of one request for a share of its team's limit with room.
 
     Args:
-        team: whose request it is.
-        limit: of the team when it came.
-        shares: that the limit is cut into.
-        allowance: of the team here.
-        deadline: to when to ask at the latest, in seconds.
-        turns: that the accountants told it which had no room, in seconds.
+        team: name of the team that sent the request.
+        limit: limit of the team when the request came.
+        shares: shares that the limit is divided into.
+        allowance: unused grants of the team at this instance.
+        deadline: when asking ends, in seconds of the monotonic clock.
+        turns: seconds until the request's turn, as stated by each accountant that
+            had no room.
     """
 
     team: str
@@ -72,23 +74,23 @@
     turns: list[float] = field(default_factory=list)
 
     def is_far_above(self, now: float) -> bool:
-        """Return whether the team is so far above its limit that asking can stop."""
-        if not self.turns or self.turns[-1] < BUSY_TURN:
+        """Return whether the team is so far above its limit that asking ends now."""
+        if not self.turns or self.turns[-1] < FAR_ABOVE_LIMIT_WAIT:
             return False
-        left = self.allowance.full.find_open(self.shares, now)
-        return len(left) <= len(self.shares) * LEFT_PART
+        unasked = self.allowance.full.find_open(self.shares, now)
+        return len(unasked) <= len(self.shares) * MAX_UNASKED_FRACTION
 
 
 class SharedTeamLimits:
-    """Holds teams to their limits by asking the accountants.
+    """Enforces rate limits by requesting grants from the accountants of their shares.
 
     Args:
-        asks: by which they are asked.
-        bounds: by how much limits may be passed.
-        find_limit: tells the limits in force here.
+        asks: sends requests for grants to the accountants.
+        bounds: bounds on how far a limit may be exceeded.
+        find_limit: returns the limit of a team in the configuration in force.
         clock: source of time.
-        random: spreads what refused callers are told.
-        metrics: where the time until a grant is shown.
+        random: spreads the retry times of refused callers.
+        metrics: registry for the time until a grant.
     """
 
     def __init__(
@@ -108,16 +110,16 @@
         self._metrics = metrics
         self._allowances: dict[str, Allowance] = {}
         self._denials: dict[str, LastDenial] = {}
-        asks.follow_late(self._put_late)
+        asks.follow_late(self._add_late_grant)
 
     def keep_only(self, teams: frozenset[str]) -> None:
-        """Forget all teams but these: the others have no limit any more."""
+        """Forget all teams but these: the others no longer have a limit."""
         for name in set(self._allowances) - teams:
             del self._allowances[name]
             self._denials.pop(name, None)
 
     async def admit(self, team: Team, patience: float) -> NotRun | None:
-        """Take one request of a team from its limit; return why it may not run."""
+        """Charge a request to its team's limit; return a refusal if it has no room."""
         if team.limit is None or team.limit.rate <= 0.0:
             return None
         start = self._clock.monotonic()
@@ -126,7 +128,7 @@
             allowance = self._allowances[team.name] = Allowance(self._bounds.hold)
         if not allowance.take(start):
             shares = list_shares(team.limit, self._bounds, team.name)
-            deadline = start + min(patience, MOST_ASKING)
+            deadline = start + min(patience, MAX_ASKING_TIME)
             search = _Search(team.name, team.limit, shares, allowance, deadline)
             refusal = await self._ask(search)
             if refusal is not None:
@@ -136,17 +138,17 @@
         return None
 
     def give_back(self, team: Team, admitted_at: float) -> None:
-        """Return what was taken for a request that no leaf got.
+        """Refund the charge for a request that was sent to no leaf.
 
-        Only at once: a late return would let the team run more in a window than its
-        limit allows.
+        A late refund has no effect: it would let the team run more requests within a
+        window than its limit allows.
         """
         allowance = self._allowances.get(team.name)
         if allowance is not None:
             allowance.give_back(admitted_at, self._clock.monotonic())
 
     async def _ask(self, search: _Search) -> NotRun | None:
-        """Ask the shares in turn until one grants a request."""
+        """Ask the accountants of the shares in turn until one grants a request."""
         full = search.allowance.full
         order = full.find_open(search.shares, self._clock.monotonic())
         for share in self._asks.sort_by_distance(order):
@@ -154,7 +156,7 @@
             if now >= search.deadline or search.is_far_above(now):
                 break
             if not full.find_open([share], now):
-                # Another accountant has just told so.
+                # Another accountant has reported meanwhile that this share has no room.
                 continue
             if await self._ask_share(share, search):
                 return None
@@ -164,12 +166,12 @@
         return self._refuse(search, wait)
 
     async def _ask_share(self, share: int, search: _Search) -> bool:
-        """Ask one share; return whether the request may run."""
+        """Ask the accountant of one share; return whether the request may run."""
         allowance = search.allowance
         want = self._make_want(search)
         answer = await self._asks.ask(share, want, search.deadline)
         now = self._clock.monotonic()
-        # What came for another request, or late, will do as well.
+        # A grant for another request, or a late one, may have arrived meanwhile.
         taken = allowance.take(now)
         if answer is None:
             return taken
@@ -187,8 +189,8 @@
     def _make_want(self, search: _Search) -> Want:
         """Return what to ask for, by the configuration in force now.
 
-        Where it has no limit for the team any more the request keeps its own, behind
-        any that an accountant knows.
+        If that no longer has a limit for the team, the limit at the request's arrival
+        is sent as version 0, so that any limit known to an accountant takes precedence.
         """
         now = self._clock.monotonic()
         version, limit = self._find_limit(search.team)
@@ -198,15 +200,15 @@
         told = search.allowance.full.tell(now)
         return Want(search.team, limit, version, wanted, told)
 
-    def _put_late(self, team: str, amount: int, until: float) -> None:
+    def _add_late_grant(self, team: str, amount: int, until: float) -> None:
         allowance = self._allowances.get(team)
         if allowance is not None:
             allowance.put(amount, until)
 
     def _refuse(self, search: _Search, wait: float) -> NotRun:
-        """Refuse a request above the limit, with when there will be room."""
+        """Refuse a request above the limit, with the time until there is room."""
         limit = search.limit
-        told = max(SHORTEST_WAIT, find_return(wait, self._random))
+        told = max(MIN_RETRY_DELAY, find_return(wait, self._random))
         detail = f"the limit of {limit.rate:g} a second and {limit.burst:g} is used"
         denial = self._denials.get(search.team)
         if denial is not None:
@@ -216,7 +218,7 @@
         return NotRun(Reason.RATE_LIMITED, detail, told)
 
     def _refuse_unknown(self, asked: int) -> NotRun:
-        """Refuse a request since nobody can tell whether it is above the limit."""
-        told = find_return(UNKNOWN_WAIT, self._random)
+        """Refuse a request since no accountant can tell whether it is above the limit."""
+        told = find_return(UNKNOWN_RETRY_DELAY, self._random)
         detail = f"no accountant of {asked} shares was reached"
         return NotRun(Reason.LIMIT_UNKNOWN, detail, told)
--- a/walkcart/entry/tests/test_room_gate.py
+++ b/walkcart/entry/tests/test_room_gate.py
@@ -131,7 +131,7 @@
                 nursery.start_soon(work, gate, question, found, name, 6.0)
             for _ in range(12):
                 await trio.sleep(0.05)
-                gate.look(0.2, trio.current_time())
+                gate.record_loop_delay(0.2, trio.current_time())
                 limits.append(gate.room.limit)
             await nursery.start(gate.run)
             await trio.sleep(5)
