--- a/walkcart/entry/executions.py
+++ b/walkcart/entry/executions.py
@@ -91,7 +91,7 @@
         traceparent: str | None,
         content: bytes,
     ) -> HttpReply:
-        admission = self._tools.admissions.of(caller.service.name)
+        admission = self._tools.admissions.for_service(caller.service.name)
         remaining = caller.deadline - self._tools.clock.monotonic()
         entered = await admission.enter(
             caller.partner.name,
--- a/walkcart/entry/queries.py
+++ b/walkcart/entry/queries.py
@@ -154,7 +154,7 @@
             traceparent = tools.tracer.inject(span, caller.options.traceparent)
             question = make_question(caller, bytes(body.query), traceparent)
             remaining = caller.deadline - start
-            admission = tools.admissions.of(caller.service.name)
+            admission = tools.admissions.for_service(caller.service.name)
             entered = await admission.enter(
                 caller.partner.name,
                 caller.partner.share,
--- a/walkcart/entry/teamlimits.py
+++ b/walkcart/entry/teamlimits.py
@@ -218,7 +218,7 @@
         return NotRun(Reason.RATE_LIMITED, detail, told)
 
     def _refuse_unknown(self, asked: int) -> NotRun:
-        """Refuse a request since no accountant can tell whether it is above the limit."""
+        """Refuse a request since no accountant can tell if it is above the limit."""
         told = find_return(UNKNOWN_RETRY_DELAY, self._random)
         detail = f"no accountant of {asked} shares was reached"
         return NotRun(Reason.LIMIT_UNKNOWN, detail, told)
--- a/walkcart/entry/tests/test_room_gate.py
+++ b/walkcart/entry/tests/test_room_gate.py
@@ -37,7 +37,7 @@
 async def work(gate, question, found, name, time=TIME):
     """Work on a question as soon as it may be; note when that ended, or why not."""
     start = trio.current_time()
-    async with gate.hold(question) as refusal:
+    async with gate.admit(question) as refusal:
         if refusal is None:
             await trio.sleep(time)
     found[name] = (trio.current_time() - start, refusal)
