--- a/walkcart/entry/tests/leasedstore.py
+++ b/walkcart/entry/tests/leasedstore.py
@@ -1,22 +1,27 @@
-"""A store of keys on leases, which can be silent or turn instances away."""
+"""An in-memory store of keys on leases, with outages for all or some instances."""
 
 import trio
 
 from walkcart.store.calls import StoreUnavailable
 from walkcart.store.items import Committed, Item, Lease, LeaseOver, Page, Rejected
 
-#: Seconds after which a silent store is given up.
-CALL_TIME = 1.0
+#: Seconds after which a call to a store that doesn't answer fails.
+CALL_TIMEOUT = 1.0
 
 
 class LeasedStore:
-    """Keys on leases; silent for all, or turning some away."""
+    """Keys on leases.
+
+    Attributes:
+        silent: whether the store answers no instance.
+        refused_instances: names of the instances whose calls are refused.
+    """
 
     def __init__(self):
         self.items, self.leases = {}, {}
         self.revision = self.last_lease = 0
         self.silent = False
-        self.turned_away = set()
+        self.refused_instances = set()
         self.writes = self.reads = self.renewals = 0
 
     def expire(self):
@@ -29,11 +34,11 @@
                 del self.items[key]
 
     def at(self, name):
-        return StoreAt(self, name)
+        return InstanceStore(self, name)
 
 
-class StoreAt:
-    """The store as one instance has it."""
+class InstanceStore:
+    """The store's client at one instance."""
 
     def __init__(self, store, name):
         self.store, self.name = store, name
@@ -41,10 +46,10 @@
     async def _enter(self):
         await trio.sleep(0.004)
         if self.store.silent:
-            await trio.sleep(CALL_TIME)
+            await trio.sleep(CALL_TIMEOUT)
             raise StoreUnavailable(True, "no answer")
-        if self.name in self.store.turned_away:
-            raise StoreUnavailable(False, "turned away")
+        if self.name in self.store.refused_instances:
+            raise StoreUnavailable(False, "refused")
         self.store.expire()
 
     async def list_items(self, prefix, after, fresh):
--- a/walkcart/entry/tests/quotafleet.py
+++ b/walkcart/entry/tests/quotafleet.py
@@ -1,6 +1,6 @@
-"""Instances that share rate limits, with links in memory and a store that fails.
+"""Instances that share rate limits, over in-memory links and a store with outages.
 
-Only what takes part in the limits runs: no caller, no leaf.
+Only the services that enforce rate limits run: there are no callers and no leaves.
 """
 
 from io import StringIO
@@ -29,14 +29,14 @@
 
 BOUNDS = QuotaBounds(window=5.0, tolerance=0.1, slack=20.0)
 REGIONS = ("north", "south", "east")
-#: Seconds between two readings of all keys by one instance.
-READING = 3.0
-#: Seconds that a planned stop takes at the least: requests in progress end.
-STOP_TIME = 0.05
+#: Seconds between two reads of all keys by one instance.
+READ_INTERVAL = 3.0
+#: Seconds that a planned stop takes at least, for requests in progress to end.
+STOP_DURATION = 0.05
 
 
-class SkippingClock:
-    """The clock of a machine that may be suspended: its time then skips ahead."""
+class SuspendableClock:
+    """The clock of a machine that may be suspended: its time then jumps ahead."""
 
     def __init__(self):
         self.skipped = 0.0
@@ -49,18 +49,18 @@
 
 
 class Member:
-    """One instance."""
+    """One instance of the fleet."""
 
     def __init__(self, fleet, number):
         self.fleet = fleet
         self.name = f"instance-{number:03}"
         self.region = REGIONS[number % len(REGIONS)]
         self.address = f"127.0.0.1:{30000 + number}"
-        self.lives = 0
+        self.start_count = 0
         self.scope = None
-        self.clock = SkippingClock()
+        self.clock = SuspendableClock()
 
-    # What the links and the shares ask of a registration.
+    # The interface of a registration, as the links and the shares use it.
     def others(self):
         return tuple(r for r in self.fleet.records.values() if r.name != self.name)
 
@@ -73,22 +73,22 @@
     is_settled = True
 
     async def start(self, nursery):
-        """Begin a new life, and return once it has read the keys."""
-        self.lives += 1
+        """Start the instance anew, and return once it has read the keys."""
+        self.start_count += 1
         self.own = InstanceRecord(
-            self.name, str(self.lives), self.region, self.region, self.address
+            self.name, str(self.start_count), self.region, self.region, self.address
         )
         self.fleet.records[self.name] = self.own
         self.scope = trio.CancelScope()
-        await nursery.start(self._live, self.scope)
+        await nursery.start(self._run, self.scope)
 
-    async def _live(self, scope, *, task_status):
+    async def _run(self, scope, *, task_status):
         with scope:
             async with trio.open_nursery() as nursery:
-                await self._assemble(nursery)
+                await self._start_services(nursery)
                 task_status.started()
 
-    async def _assemble(self, nursery):
+    async def _start_services(self, nursery):
         clock = self.clock
         transport = self.fleet.network.at(self.name).transport()
         host, _, port = self.address.partition(":")
@@ -137,16 +137,16 @@
                 self.links.send(record.name, Greeting())
         self.read_keys()
         await nursery.start(self.shares.run)
-        nursery.start_soon(self._keep_reading)
+        nursery.start_soon(self._read_keys_repeatedly)
 
     def _on_greeting(self, sender, message):
         if not message.answers:
             self.links.send(sender, Greeting(answers=True))
 
-    async def _keep_reading(self):
+    async def _read_keys_repeatedly(self):
         while True:
-            await trio.sleep(READING)
-            unreachable = self.name in self.fleet.store.turned_away
+            await trio.sleep(READ_INTERVAL)
+            unreachable = self.name in self.fleet.store.refused_instances
             if not unreachable and not self.fleet.store.silent:
                 self.read_keys()
 
@@ -159,25 +159,25 @@
 
     async def stop(self):
         await self.shares.leave()
-        await trio.sleep(STOP_TIME)
+        await trio.sleep(STOP_DURATION)
         self.scope.cancel()
 
     def held(self):
-        """Return the shares that this instance accounts now."""
+        """Return the shares that this instance accounts for now."""
         if self.scope.cancel_called:
             return []
         return [n for n in range(SHARES) if self.shares.find_account(n)]
 
 
 class Fleet:
-    """All instances, the store, the teams in force and what was admitted."""
+    """All instances, the store, the current teams, and the outcomes of requests."""
 
     def __init__(self, count, teams, seed=1):
         self.random = Random(seed)
         self.store = LeasedStore()
         self.network = MemoryNetwork(self.find_latency)
         self.members = [Member(self, number) for number in range(count)]
-        self.places = {member.name: member.region for member in self.members}
+        self.regions = {member.name: member.region for member in self.members}
         self.records = {}
         self.teams = {team.name: team for team in teams}
         self.version = 1
@@ -186,7 +186,7 @@
         self.waits = []
 
     def find_latency(self, one, other):
-        return 0.0005 if self.places[one] == self.places[other] else 0.008
+        return 0.0005 if self.regions[one] == self.regions[other] else 0.008
 
     async def start(self, nursery):
         self.nursery = nursery
@@ -208,11 +208,11 @@
 
     def find_accountant(self, share):
         found = [member for member in self.members if share in member.held()]
-        assert len(found) < 2, "two account one share"
+        assert len(found) < 2, "two instances account for one share"
         return found[0] if found else None
 
     def check_shares(self):
-        """Raise AssertionError if two account one share."""
+        """Raise AssertionError if two instances account for one share."""
         for share in range(SHARES):
             self.find_accountant(share)
 
@@ -226,16 +226,23 @@
             self.network.heal(member.name, other.name)
 
     async def send(self, name, rate, seconds, members=None):
-        """Let a team's callers send by chance, to any of some instances."""
+        """Send requests of a team at random times to random instances.
+
+        Args:
+            name: name of the team.
+            rate: mean requests per second.
+            seconds: duration.
+            members: the instances to choose from; all if None.
+        """
         until = trio.current_time() + seconds
         while True:
             pause = self.random.expovariate(rate)
             await trio.sleep_until(min(until, trio.current_time() + pause))
             if trio.current_time() >= until:
                 return
-            living = [m for m in members or self.members if not m.scope.cancel_called]
-            if living:
-                member = self.random.choice(living)
+            running = [m for m in members or self.members if not m.scope.cancel_called]
+            if running:
+                member = self.random.choice(running)
                 self.nursery.start_soon(self.request, member, name)
 
     async def request(self, member, name):
@@ -249,12 +256,12 @@
             self.refused[name].append((now, refusal))
         return refusal
 
-    def find_share_refused(self, name):
+    def find_refused_fraction(self, name):
         refused = len(self.refused[name])
         return refused / max(1, refused + len(self.admitted[name]))
 
     def check_windows(self, name, limit, since=0.0):
-        """Raise AssertionError if a window holds more than the rule allows."""
+        """Raise AssertionError if a window has more requests than the bounds allow."""
         times = sorted(at for at in self.admitted[name] if at >= since)
         last = 0
         for first, start in enumerate(times):
--- a/walkcart/entry/tests/quotaplays.py
+++ b/walkcart/entry/tests/quotascenarios.py
@@ -1,4 +1,4 @@
-"""What the tests of teams' rate limits play, and what must hold in each play."""
+"""Scenarios for tests of teams' rate limits, and checks that hold in each of them."""
 
 import trio
 
@@ -9,14 +9,15 @@
 LARGE = Team("large", limit=RateLimit(12.0, 6.0))
 SMALL = Team("small", limit=RateLimit(1.0, 1.0))
 FREE = Team("free")
-#: What a team sends as a rule, as a share of its limit.
+#: Usual rate of a team, as a fraction of its limit.
 USUAL = 0.6
-#: Share of what is due that may be refused, also beside one failure.
-MOST_REFUSED = 1 / 200
+#: Most requests within the limit that may be refused, as a fraction, also with one
+#: failure.
+MAX_REFUSED_FRACTION = 1 / 200
 
 
-def play(action, count=9, teams=(LARGE, SMALL, FREE), seed=1):
-    """Run `action` with a fleet."""
+def run_scenario(action, count=9, teams=(LARGE, SMALL, FREE), seed=1):
+    """Run `action` with a started fleet, in virtual time; return the fleet."""
 
     async def run():
         async with trio.open_nursery() as nursery:
@@ -29,15 +30,15 @@
     return run_mocked(run)
 
 
-async def send_usual(fleet, seconds):
-    """Send what both teams send as a rule."""
+async def send_usual_load(fleet, seconds):
+    """Send requests of both limited teams at their usual rates; check the shares."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.send, "large", 12.0 * USUAL, seconds)
         nursery.start_soon(fleet.send, "small", 0.1, seconds)
-        nursery.start_soon(watch_shares, fleet, seconds)
+        nursery.start_soon(check_shares_repeatedly, fleet, seconds)
 
 
-async def watch_shares(fleet, seconds):
+async def check_shares_repeatedly(fleet, seconds):
     until = trio.current_time() + seconds
     while trio.current_time() < until:
         fleet.check_shares()
@@ -47,5 +48,5 @@
 def check_served(fleet):
     fleet.check_windows("large", LARGE.limit)
     fleet.check_windows("small", SMALL.limit)
-    assert fleet.find_share_refused("large") < MOST_REFUSED
+    assert fleet.find_refused_fraction("large") < MAX_REFUSED_FRACTION
     assert not fleet.refused["small"]
--- a/walkcart/entry/tests/test_bad_input.py
+++ b/walkcart/entry/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input from callers: a definite answer, never a traceback or a wedge."""
+"""Bad input from callers gets a definite answer and never blocks the instance."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 def send_raw(data, wait=30.0, settings=None):
-    """Send bytes; return what comes back, and whether the instance still serves."""
+    """Send raw bytes and return the reply; check that the instance still serves."""
 
     async def run():
         async with open_estate(changes=settings) as world:
@@ -41,7 +41,7 @@
     return json.loads(received.split(b"\r\n\r\n", 1)[1])
 
 
-def test_bytes_that_are_no_http():
+def test_bytes_that_are_not_http():
     received = send_raw(b"\x16\x03\x01\x02\x00rubbish\r\n\r\n")
     assert status_of(received) == 400
     assert body_of(received)["verdict"] == "not_run"
@@ -57,12 +57,12 @@
     assert status_of(received) == 413
 
 
-def test_client_that_hangs_half_way():
+def test_client_that_stalls_within_the_body():
     received = send_raw(HEAD + b'content-length: 50\r\n\r\n{"que')
     assert status_of(received) == 408
 
 
-def test_client_that_closes_half_way_wedges_nothing():
+def test_clients_that_close_within_the_body_leave_no_request_in_progress():
     async def run():
         async with open_estate() as world:
             address = world.instances["instance-0"].address
@@ -94,16 +94,16 @@
     return run_mocked(run)
 
 
-def check_refused(asked, status, word):
+def check_refused(asked, status, expected):
     assert asked.status == status
     assert asked.verdict == "not_run"
     assert asked.content["verdict"] == "not_run"
     assert asked.content["status"] == status
     assert asked.headers[b"content-type"] == b"application/problem+json"
-    assert word in asked.content["detail"]
+    assert expected in asked.content["detail"]
 
 
-def test_body_that_is_no_json():
+def test_body_that_is_not_json():
     check_refused(request(body=b'{"query": '), 400, "body")
 
 
@@ -111,7 +111,7 @@
     check_refused(request(body=b'{"query": 1, "sort": 2}'), 400, "sort")
 
 
-def test_body_that_is_no_text():
+def test_body_that_is_not_utf8():
     check_refused(request(body=b'{"query": "\xff"}'), 400, "body")
 
 
@@ -135,7 +135,7 @@
     check_refused(request(walkcart_deadline_ms="-5"), 504, "deadline")
 
 
-def test_deadline_that_is_no_number():
+def test_deadline_that_is_not_a_number():
     check_refused(request(walkcart_deadline_ms="soon"), 400, "deadline")
 
 
@@ -143,12 +143,12 @@
     check_refused(request(walkcart_least_coverage="1.5"), 400, "coverage")
 
 
-def test_non_repeatable_request_to_a_service_that_takes_none():
+def test_non_repeatable_request_to_a_service_without_writes():
     asked = request(path="/v1/services/parts/execute", body=b'{"command": 1}')
     check_refused(asked, 400, "non-repeatable")
 
 
-def test_operators_paths_need_their_token():
+def test_operator_paths_need_the_operator_token():
     for path in ("/v1/status", "/v1/services/parts/explain"):
         check_refused(request(method="GET", path=path, body=b""), 401, "operators")
 
@@ -169,7 +169,7 @@
     assert status_of(run_mocked(run)) == 400
 
 
-def test_rows_are_sorted_and_cut_as_asked():
+def test_rows_are_sorted_and_limited_as_requested():
     asked = request(
         body=b'{"query": 1, "order_by": "shard", "descending": true, "limit": 2}'
     )
--- a/walkcart/entry/tests/test_room_gate.py
+++ b/walkcart/entry/tests/test_room_gate.py
@@ -1,4 +1,4 @@
-"""Questions at the gate of an instance that has fallen behind."""
+"""Tests of the gate that delays or refuses questions while an instance is overloaded."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -17,6 +17,7 @@
 from walkcart.wire.http import HttpRequest
 from walkcart.wire.verdicts import NotRun, Reason
 
+#: Seconds for which each question is in progress.
 TIME = 0.1
 
 
@@ -34,8 +35,8 @@
     )
 
 
-async def work(gate, question, found, name, time=TIME):
-    """Work on a question as soon as it may be; note when that ended, or why not."""
+async def serve(gate, question, found, name, time=TIME):
+    """Hold a question in progress for a time; record how long it took, or its refusal."""
     start = trio.current_time()
     async with gate.admit(question) as refusal:
         if refusal is None:
@@ -44,16 +45,16 @@
 
 
 def limit_to(gate, limit):
-    """Have a limit hold, as after a standing delay of the event loop."""
+    """Set a limit, as after a persistent delay of the event loop."""
     gate.room.limit = float(limit)
 
 
-def test_without_a_limit_all_questions_begin_at_once():
+def test_without_a_limit_all_questions_start_at_once():
     async def run():
         gate, found = make_gate(), {}
         async with trio.open_nursery() as nursery:
             for name in range(50):
-                nursery.start_soon(work, gate, make_question(), found, name)
+                nursery.start_soon(serve, gate, make_question(), found, name)
         return found
 
     found = run_mocked(run)
@@ -61,15 +62,15 @@
     assert all(abs(time - TIME) < 0.001 for time, _ in found.values())
 
 
-def test_under_a_limit_the_urgent_begin_first_and_all_are_served():
+def test_under_a_limit_urgent_questions_start_first_and_all_are_served():
     async def run():
         gate, found = make_gate(), {}
         limit_to(gate, 2)
         async with trio.open_nursery() as nursery:
             for name in range(6):
-                nursery.start_soon(work, gate, make_question(rank=1), found, name)
+                nursery.start_soon(serve, gate, make_question(rank=1), found, name)
             await trio.sleep(0.01)
-            nursery.start_soon(work, gate, make_question(rank=0), found, "urgent")
+            nursery.start_soon(serve, gate, make_question(rank=0), found, "urgent")
         return found
 
     found = run_mocked(run)
@@ -78,17 +79,17 @@
     assert max(time for time, _ in found.values()) >= 4 * TIME - 0.02
 
 
-def test_what_would_come_too_late_is_refused_at_once_with_a_time_that_holds():
+def test_question_that_would_be_late_is_refused_at_once_with_a_sound_retry_time():
     async def run():
         log = StringIO()
         gate, found = make_gate(log), {}
         limit_to(gate, 2)
         async with trio.open_nursery() as nursery:
             for name in range(20):
-                nursery.start_soon(work, gate, make_question(), found, name)
+                nursery.start_soon(serve, gate, make_question(), found, name)
             await trio.sleep(0.55)
             question = make_question(patience=0.3)
-            await work(gate, question, found, "hasty")
+            await serve(gate, question, found, "hasty")
             waiting = gate.room.waiting
         return found, waiting, log.getvalue()
 
@@ -97,23 +98,23 @@
     assert time == 0
     assert isinstance(refusal, NotRun)
     assert refusal.reason is Reason.NO_ROOM
-    # Two of 100 ms at a time: what waits is gone after so long.
+    # Two questions at a time, of 100 ms each: the queue is empty after this time.
     drained = timedelta(seconds=waiting * TIME / 2)
     assert 0.8 * drained <= refusal.retry_after <= 2 * SPREAD * drained
     assert "room_refused" in log
     assert all(refusal is None for _, refusal in found.values())
 
 
-def test_a_caller_that_leaves_while_it_waits_takes_no_room():
+def test_caller_that_cancels_while_waiting_frees_its_place():
     async def run():
         gate, found = make_gate(), {}
         limit_to(gate, 1)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(work, gate, make_question(), found, "first")
+            nursery.start_soon(serve, gate, make_question(), found, "first")
             await trio.sleep(0.01)
             with trio.move_on_after(0.02):
-                await work(gate, make_question(), found, "gone")
-            nursery.start_soon(work, gate, make_question(), found, "next")
+                await serve(gate, make_question(), found, "gone")
+            nursery.start_soon(serve, gate, make_question(), found, "next")
         return found, gate.room.in_progress, gate.room.waiting
 
     found, in_progress, waiting = run_mocked(run)
@@ -121,14 +122,14 @@
     assert in_progress == waiting == 0
 
 
-def test_a_busy_loop_brings_a_limit_about_and_a_free_one_ends_it():
+def test_busy_event_loop_sets_a_limit_and_an_idle_one_removes_it():
     async def run():
         log = StringIO()
         gate, found, limits = make_gate(log), {}, []
         async with trio.open_nursery() as nursery:
             for name in range(20):
                 question = replace(make_question(), id=f"q-{name}")
-                nursery.start_soon(work, gate, question, found, name, 6.0)
+                nursery.start_soon(serve, gate, question, found, name, 6.0)
             for _ in range(12):
                 await trio.sleep(0.05)
                 gate.record_loop_delay(0.2, trio.current_time())
--- a/walkcart/entry/tests/test_stopping.py
+++ b/walkcart/entry/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no request in progress."""
+"""A planned stop cuts off no request in progress."""
 
 import trio
 
@@ -8,8 +8,8 @@
 from walkcart.standins.balancer import BalancerStandin
 
 
-async def load(world, balancer, seconds, gap, outcomes, writes=False):
-    """Ask through the balancer, retrying nothing."""
+async def load(world, balancer, seconds, interval, outcomes, writes=False):
+    """Send requests through the load balancer at a fixed rate, without retries."""
     caller = Caller(world.network("client"), TOKENS["red"])
 
     async def ask(number):
@@ -22,9 +22,9 @@
         outcomes.append((asked.status, asked.verdict, asked.content))
 
     async with trio.open_nursery() as nursery:
-        for number in range(int(seconds / gap)):
+        for number in range(int(seconds / interval)):
             nursery.start_soon(ask, number)
-            await trio.sleep(gap)
+            await trio.sleep(interval)
 
 
 def check_all_answered(outcomes):
@@ -34,7 +34,7 @@
     ][:3]
 
 
-def test_rolling_restart_of_seven_under_load_without_an_error():
+def test_rolling_restart_of_seven_instances_under_load_causes_no_error():
     async def run():
         async with open_estate(instances=7) as world:
             addresses = [item.address for item in world.instances.values()]
@@ -61,7 +61,7 @@
     assert ended == [True] * 7
 
 
-def test_stop_of_a_busy_entry_waits_for_its_requests():
+def test_stop_waits_for_requests_in_progress():
     async def run():
         async with open_estate(changes={"stop_grace": seconds(0)}) as world:
             for item in world.leaves.values():
@@ -91,7 +91,7 @@
     return timedelta(seconds=count)
 
 
-def test_stop_of_a_busy_holder_waits_for_forwarded_requests():
+def test_stop_waits_for_requests_that_other_instances_forwarded():
     async def run():
         async with open_estate(instances=12, connections=8) as world:
             from walkcart.bench.world import make_service
@@ -120,7 +120,7 @@
     assert ended == [True] * 6
 
 
-def test_stop_during_an_outage_of_the_store_ends():
+def test_stop_during_a_store_outage_ends():
     async def run():
         async with open_estate() as world:
             world.store.faults.down = True
@@ -129,7 +129,7 @@
     assert run_mocked(run)
 
 
-def test_two_instances_stopped_at_once_under_load_of_both_kinds():
+def test_stopping_two_instances_at_once_under_queries_and_writes_causes_no_error():
     async def run():
         async with open_estate(instances=5) as world:
             addresses = [item.address for item in world.instances.values()]
--- a/walkcart/entry/tests/test_team_access.py
+++ b/walkcart/entry/tests/test_team_access.py
@@ -1,4 +1,4 @@
-"""Whose a request is, over any order of configurations."""
+"""Which team a request belongs to, under any sequence of configurations."""
 
 import pytest
 from hypothesis import given
@@ -14,13 +14,15 @@
 
 KEYS = [digest_key(b"key-%d" % number) for number in range(5)]
 TEAMS = ("fitters", "riders", "clerks")
-NEW = 0.1
+#: Age of a configuration that was confirmed lately, in seconds.
+FRESH_AGE = 0.1
 
-#: Which of the teams has each key, in one configuration; None: the team isn't there.
+#: The team that each key belongs to, in one configuration.
 holdings = st.dictionaries(
     st.sampled_from(KEYS), st.sampled_from(TEAMS), max_size=len(KEYS)
 )
-#: A configuration: nobody needs a key, or some teams are there and some hold keys.
+#: A configuration: None if no key is required, else the keys of all teams and the set
+#: of teams that it has. Keys of teams that it doesn't have are unknown.
 configurations = st.one_of(
     st.none(),
     st.tuples(holdings, st.frozensets(st.sampled_from(TEAMS))),
@@ -41,18 +43,18 @@
 
 
 def find_holder(configuration, key):
-    """Return the team that has a key, by the plainest reading."""
+    """Return the team that has a key; None if there is none. A simple reference."""
     held, present = configuration
     name = held.get(key)
     return name if name in present else None
 
 
 @given(configurations, st.sampled_from([None, *KEYS]), st.booleans())
-def test_a_request_is_of_the_team_that_has_its_key_and_of_no_other(
+def test_request_belongs_to_the_team_that_has_its_key_and_to_no_other(
     configuration, key, public
 ):
     table, route = make_table(configuration, public)
-    found = find_access(table, route, key, NEW)
+    found = find_access(table, route, key, FRESH_AGE)
     if configuration is None:
         assert found == Access(None, Grant())
         return
@@ -67,9 +69,9 @@
 
 
 @given(st.lists(configurations, min_size=1, max_size=6), st.sampled_from(KEYS))
-def test_what_was_let_in_goes_on_while_the_same_team_has_the_key(order, key):
+def test_admitted_request_goes_on_while_the_same_team_has_the_key(order, key):
     table, route = make_table(order[0])
-    found = find_access(table, route, key, NEW)
+    found = find_access(table, route, key, FRESH_AGE)
     if isinstance(found, NotRun):
         return
     for configuration in order:
@@ -78,14 +80,14 @@
         if configuration is None:
             assert upheld
         elif order[0] is None:
-            # It was let in without a key, and one is needed now.
+            # It was admitted without a key, and one is required now.
             assert not upheld
         else:
             assert upheld == (find_holder(configuration, key) == found.grant.team)
 
 
 @given(configurations, st.sampled_from(TEAMS))
-def test_an_instance_that_only_helps_goes_by_the_team_alone(configuration, name):
+def test_instance_that_gathers_for_another_checks_only_the_team(configuration, name):
     table, _ = make_table(configuration)
     gone = configuration is not None and name not in configuration[1]
     assert table.upholds("r", Grant(name)) is not gone
@@ -94,35 +96,37 @@
 @given(
     configurations.filter(lambda item: item is not None), st.sampled_from([None, *KEYS])
 )
-def test_an_instance_that_is_behind_turns_no_key_away_for_good(configuration, key):
+def test_instance_with_an_old_configuration_refuses_no_key_for_good(configuration, key):
     table, route = make_table(configuration)
-    new = find_access(table, route, key, NEW)
+    new = find_access(table, route, key, FRESH_AGE)
     old = find_access(table, route, key, OLD_AGE + 0.1)
     if isinstance(new, Access):
         assert old == new
     elif key is None:
-        # No configuration lets in what has no key.
+        # No configuration admits a request without a key.
         assert old.reason is Reason.UNAUTHENTICATED
     else:
         assert old.reason is Reason.CONFIGURATION_OLD
         assert old.retry_after.total_seconds() < 0.5
 
 
-def test_without_any_team_in_the_list_no_key_is_known():
+def test_no_key_is_known_if_there_are_no_teams():
     table, route = make_table(({}, frozenset()))
     for key in (None, KEYS[0]):
-        assert find_access(table, route, key, NEW).reason is Reason.UNAUTHENTICATED
+        assert (
+            find_access(table, route, key, FRESH_AGE).reason is Reason.UNAUTHENTICATED
+        )
 
 
 @pytest.mark.parametrize("age", [float("inf"), float("-inf"), 0.0])
-def test_a_known_key_is_let_in_however_old_the_configuration_is(age):
+def test_known_key_is_admitted_under_a_configuration_of_any_age(age):
     table, route = make_table(({KEYS[0]: "riders"}, frozenset(TEAMS)))
     assert find_access(table, route, KEYS[0], age).team.name == "riders"
 
 
-def test_a_team_moved_to_public_routes_keeps_its_name():
+def test_team_is_found_by_its_key_on_a_public_route():
     table, route = make_table(({KEYS[0]: "riders"}, frozenset(TEAMS)), public=True)
-    assert find_access(table, route, KEYS[0], NEW).grant.team == "riders"
+    assert find_access(table, route, KEYS[0], FRESH_AGE).grant.team == "riders"
 
 
 @pytest.mark.parametrize(
@@ -135,7 +139,7 @@
         ({"n"}, {"s"}, set()),
     ],
 )
-def test_regions_of_route_and_team_both_bind(of_route, of_team, both):
+def test_regions_of_route_and_team_both_apply(of_route, of_team, both):
     def make(names):
         return ANYWHERE if names is None else Regions(frozenset(names))
 
@@ -148,7 +152,7 @@
 
 
 @pytest.mark.parametrize(("of_team", "rank"), [(None, 7), (0, 0), (3, 3)])
-def test_the_rank_of_a_team_goes_before_that_of_its_route(of_team, rank):
+def test_rank_of_a_team_overrides_that_of_its_route(of_team, rank):
     route = Route("r", "h", "/", ToService("s"), rank=7)
     table = RouteTable(RoutingDocument(1, (route,), teams=(Team("t", rank=of_team),)))
     assert table.rank_of("r", "t") == rank
@@ -156,7 +160,7 @@
     assert table.rank_of("unknown", "unknown") == 0
 
 
-def test_digests_are_shown_nowhere():
+def test_digests_are_left_out_of_every_repr():
     team = Team("riders", frozenset(KEYS))
     grant = Grant("riders", KEYS[0])
     request = CallerRequest("1", "h", None, HttpRequest("GET", "/"), credential=KEYS[0])
--- a/walkcart/entry/tests/test_team_limit_faults.py
+++ b/walkcart/entry/tests/test_team_limit_faults.py
@@ -1,26 +1,26 @@
-"""Teams' rate limits over several instances, with one failure each, and many."""
+"""Teams' rate limits over several instances, with single and combined failures."""
 
 from datetime import timedelta
 
 import pytest
 import trio
 
-from walkcart.entry.tests.quotaplays import (
+from walkcart.entry.tests.quotascenarios import (
     LARGE,
     SMALL,
     check_served,
-    play,
-    send_usual,
-    watch_shares,
+    check_shares_repeatedly,
+    run_scenario,
+    send_usual_load,
 )
 from walkcart.routing.quotas import SHARES
 from walkcart.wire.verdicts import Reason
 
 
-def test_a_killed_accountants_share_is_taken_and_little_is_refused():
+def test_share_of_a_killed_accountant_is_taken_over_and_few_requests_are_refused():
     async def act(fleet):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(send_usual, fleet, 30)
+            nursery.start_soon(send_usual_load, fleet, 30)
             await trio.sleep(5)
             killed = fleet.find_accountant(0)
             killed.kill()
@@ -28,10 +28,10 @@
             assert fleet.find_accountant(0) not in (None, killed)
         check_served(fleet)
 
-    play(act)
+    run_scenario(act)
 
 
-def test_a_restarted_accountant_takes_its_share_back_at_once():
+def test_restarted_accountant_takes_its_share_back_at_once():
     async def act(fleet):
         member = fleet.find_accountant(1)
         member.kill()
@@ -40,10 +40,10 @@
         await trio.sleep(0.1)
         assert fleet.find_accountant(1) is member
 
-    play(act)
+    run_scenario(act)
 
 
-def test_after_all_ended_small_teams_are_served_at_once():
+def test_small_team_is_served_at_once_after_all_instances_restarted():
     async def act(fleet):
         for member in fleet.members:
             member.kill()
@@ -54,10 +54,10 @@
         for number in range(3):
             assert await fleet.request(fleet.members[number], "small") is None
 
-    play(act)
+    run_scenario(act)
 
 
-def test_a_request_whose_time_is_over_between_two_asks_is_refused():
+def test_request_whose_deadline_passes_between_two_asks_is_refused():
     async def act(fleet):
         member = next(m for m in fleet.members if not m.held())
         fleet.cut(member)
@@ -68,18 +68,18 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
-            # A busy processor: the first ask's wait ends long after the deadline.
+            # As on a busy processor: the first ask's wait ends long after the deadline.
             await trio.sleep(0.01)
             member.clock.skipped += 1.0
         assert [refusal.reason for refusal in refusals] == [Reason.LIMIT_UNKNOWN]
 
-    play(act)
+    run_scenario(act)
 
 
-def test_a_planned_stop_hands_the_share_on_at_once():
+def test_planned_stop_hands_over_the_share_at_once():
     async def act(fleet):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(send_usual, fleet, 15)
+            nursery.start_soon(send_usual_load, fleet, 15)
             await trio.sleep(5)
             member = fleet.find_accountant(2)
             await member.stop()
@@ -87,13 +87,13 @@
             assert fleet.find_accountant(2) not in (None, member)
         check_served(fleet)
 
-    play(act)
+    run_scenario(act)
 
 
-def test_a_store_that_is_down_for_some_seconds_changes_nothing():
+def test_store_outage_of_five_seconds_changes_nothing():
     async def act(fleet):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(send_usual, fleet, 20)
+            nursery.start_soon(send_usual_load, fleet, 20)
             await trio.sleep(5)
             before = [fleet.find_accountant(share) for share in range(SHARES)]
             fleet.store.silent = True
@@ -105,46 +105,47 @@
         check_served(fleet)
         assert not fleet.refused["large"]
 
-    play(act)
+    run_scenario(act)
 
 
-def test_an_accountant_that_the_store_turns_away_ends_before_another_begins():
+def test_accountant_that_the_store_refuses_ends_before_another_begins():
     async def act(fleet):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(send_usual, fleet, 25)
+            nursery.start_soon(send_usual_load, fleet, 25)
             await trio.sleep(5)
             member = fleet.find_accountant(0)
-            fleet.store.turned_away.add(member.name)
+            fleet.store.refused_instances.add(member.name)
             await trio.sleep(11)
             assert fleet.find_accountant(0) not in (None, member)
         check_served(fleet)
 
-    play(act)
+    run_scenario(act)
 
 
-def test_accountants_that_the_store_turns_away_hand_their_shares_on():
+def test_accountants_that_the_store_refuses_hand_over_their_shares():
     async def act(fleet):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(send_usual, fleet, 20)
+            nursery.start_soon(send_usual_load, fleet, 20)
             await trio.sleep(5)
             before = [fleet.find_accountant(share) for share in range(4)]
-            fleet.store.turned_away |= {member.name for member in before}
-            # Three seconds and a look until it is offered, a look until it is tried.
+            fleet.store.refused_instances |= {member.name for member in before}
+            # A share is offered after three seconds and one check interval, and another
+            # instance tries to take it at its next check.
             await trio.sleep(4.5)
             after = [fleet.find_accountant(share) for share in range(4)]
             assert None not in after
             assert not set(after) & set(before)
             reads = fleet.store.reads
             await trio.sleep(5)
-            # Those that asked and didn't get one look for it no longer.
+            # Instances that tried to take a share and lost don't read for it any more.
             assert fleet.store.reads == reads
         check_served(fleet)
         assert not fleet.refused["large"]
 
-    play(act, 24)
+    run_scenario(act, 24)
 
 
-def test_a_store_that_is_down_for_long_ends_in_refusals_that_say_so():
+def test_long_store_outage_ends_in_refusals_with_that_reason():
     async def act(fleet):
         fleet.store.silent = True
         await trio.sleep(12)
@@ -156,20 +157,20 @@
         await trio.sleep(4)
         assert all(fleet.find_accountant(share) for share in range(SHARES))
 
-    play(act)
+    run_scenario(act)
 
 
-def test_a_suspended_accountant_grants_nothing_when_it_wakes():
+def test_suspended_accountant_grants_nothing_when_it_resumes():
     async def act(fleet):
         member = fleet.find_accountant(0)
-        # The others have taken the share meanwhile; its tasks haven't run yet.
+        # Meanwhile the others have taken its share, and its own tasks haven't run yet.
         member.clock.skipped += 60.0
         assert member.shares.find_account(0) is None
 
-    play(act)
+    run_scenario(act)
 
 
-def test_an_instance_that_is_cut_off_lets_nothing_run():
+def test_partitioned_instance_admits_nothing():
     async def act(fleet):
         member = next(m for m in fleet.members if not m.held())
         fleet.cut(member)
@@ -182,10 +183,10 @@
         await trio.sleep(3)
         assert await fleet.request(member, "large") is None
 
-    play(act)
+    run_scenario(act)
 
 
-def test_a_silent_link_to_the_near_accountant_costs_a_moment_and_no_refusal():
+def test_broken_link_to_the_nearest_accountant_causes_short_waits_and_no_refusal():
     async def act(fleet):
         near = fleet.find_accountant(0)
         member = next(
@@ -197,13 +198,13 @@
             await trio.sleep(0.2)
         waits = sorted(fleet.waits)
         assert waits[-1] < 0.3
-        # It is left out for a while each time: most requests don't wait for it.
+        # After a timeout it isn't asked for a while: most requests don't wait for it.
         assert waits[len(waits) // 2] < 0.05
 
-    play(act)
+    run_scenario(act)
 
 
-def test_all_instances_at_once_start_anew_within_the_bound():
+def test_restarts_of_all_instances_at_once_keep_the_bound():
     async def act(fleet):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fleet.send, "large", 100.0, 30)
@@ -216,32 +217,34 @@
                     await member.start(fleet.nursery)
         fleet.check_windows("large", LARGE.limit)
 
-    play(act)
+    run_scenario(act)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_any_troubles_together_keep_the_bound(seed):
+def test_combined_failures_keep_the_bound(seed):
     async def act(fleet):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fleet.send, "large", 40.0, 40)
             nursery.start_soon(fleet.send, "small", 6.0, 40)
-            nursery.start_soon(watch_shares, fleet, 40)
+            nursery.start_soon(check_shares_repeatedly, fleet, 40)
             until = trio.current_time() + 38
             while trio.current_time() < until:
                 await trio.sleep(fleet.random.uniform(0.1, 3.0))
-                await trouble(fleet)
+                await inject_failure(fleet)
         fleet.check_windows("large", LARGE.limit)
         fleet.check_windows("small", SMALL.limit)
 
-    play(act, seed=seed)
+    run_scenario(act, seed=seed)
 
 
-async def trouble(fleet):
-    """Bring one trouble about, of the accountants more often than of others."""
+async def inject_failure(fleet):
+    """Inject or end one random failure, more often of an accountant than of others."""
     holders = [member for member in fleet.members if member.held()]
     member = fleet.random.choice([*fleet.members, *holders, *holders])
     gone = member.scope.cancel_called
-    match fleet.random.choice(["kill", "stop", "cut", "heal", "away", "back", "down"]):
+    match fleet.random.choice(
+        ["kill", "stop", "cut", "heal", "refuse", "accept", "outage"]
+    ):
         case "kill" | "stop" if gone:
             await member.start(fleet.nursery)
         case "kill":
@@ -254,9 +257,9 @@
         case "heal":
             for each in fleet.members:
                 fleet.heal(each)
-        case "away":
-            fleet.store.turned_away.add(member.name)
-        case "back":
-            fleet.store.turned_away.clear()
+        case "refuse":
+            fleet.store.refused_instances.add(member.name)
+        case "accept":
+            fleet.store.refused_instances.clear()
         case _:
             fleet.store.silent = not fleet.store.silent
--- a/walkcart/entry/tests/test_team_limits.py
+++ b/walkcart/entry/tests/test_team_limits.py
@@ -1,4 +1,4 @@
-"""Teams' rate limits over several instances: calm times, hot teams, changes."""
+"""Teams' rate limits over several instances: usual load, overload, changed limits."""
 
 from datetime import timedelta
 
@@ -6,13 +6,13 @@
 import trio
 
 from walkcart.entry.tests.quotafleet import BOUNDS, REGIONS
-from walkcart.entry.tests.quotaplays import (
+from walkcart.entry.tests.quotascenarios import (
     FREE,
     LARGE,
     USUAL,
     check_served,
-    play,
-    send_usual,
+    run_scenario,
+    send_usual_load,
 )
 from walkcart.intent.teams import RateLimit
 from walkcart.routing.quotas import DEPTH_PART, MOST_STARTS, SHARES, START_PART
@@ -20,28 +20,28 @@
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
-def test_calm_times_refuse_nothing_and_cost_the_store_little(count):
+def test_usual_load_is_not_refused_and_makes_few_store_calls(count):
     async def act(fleet):
         store = fleet.store
         accountants = [fleet.find_accountant(share) for share in range(SHARES)]
         assert {member.region for member in accountants} == set(REGIONS)
         writes, reads = store.writes, store.reads
         store.renewals = 0
-        await send_usual(fleet, 20)
+        await send_usual_load(fleet, 20)
         check_served(fleet)
         assert not fleet.refused["large"]
-        # One note for each share that it was held for long, and nothing else.
+        # One write for each share, which records that it has been held for long.
         assert store.writes - writes <= SHARES
         assert store.reads == reads
         assert store.renewals <= SHARES * 21
-        # An accountant of one's own region answers within some ms.
+        # An accountant in the instance's own region answers within a few ms.
         waits = sorted(fleet.waits)
         assert waits[len(waits) // 2] < 0.006
 
-    play(act, count)
+    run_scenario(act, count)
 
 
-def test_nothing_is_stored_or_sent_while_no_team_has_a_limit():
+def test_nothing_is_stored_or_sent_if_no_team_has_a_limit():
     async def act(fleet):
         before = [m.metrics.read("peer.sent") for m in fleet.members]
         await fleet.send("free", 50.0, 10)
@@ -50,10 +50,10 @@
         assert [m.metrics.read("peer.sent") for m in fleet.members] == before
         assert not fleet.refused["free"]
 
-    play(act, teams=(FREE,))
+    run_scenario(act, teams=(FREE,))
 
 
-def test_a_limit_that_goes_ends_the_calls():
+def test_removing_all_limits_ends_the_calls_to_the_store():
     async def act(fleet):
         fleet.change_limit("large", None)
         fleet.change_limit("small", None)
@@ -65,15 +65,15 @@
         fleet.store.expire()
         assert not fleet.store.items
 
-    play(act)
+    run_scenario(act)
 
 
-@pytest.mark.parametrize("places", [1, 2, 9])
-def test_a_hot_team_gets_its_limit_wherever_its_callers_land(places):
+@pytest.mark.parametrize("count", [1, 2, 9])
+def test_team_above_its_limit_gets_all_of_it_through_any_number_of_instances(count):
     async def act(fleet):
         start = trio.current_time()
         async with trio.open_nursery() as nursery:
-            some = fleet.members[:places]
+            some = fleet.members[:count]
             rate = 12.0 * USUAL * 8
             nursery.start_soon(fleet.send, "large", rate, 30, some)
             nursery.start_soon(fleet.send, "small", 0.5, 30)
@@ -85,14 +85,14 @@
         for _, refusal in fleet.refused["large"]:
             assert refusal.reason is Reason.RATE_LIMITED
             assert timedelta() < refusal.retry_after < timedelta(seconds=8)
-        # Refusals are made up by what is known here: not each one asks others.
+        # Most refusals are decided from what the instance knows, without a call.
         asked = sum(m.metrics.read("quota.asked") for m in fleet.members)
         assert asked < 4 * (served + len(fleet.refused["large"]))
 
-    play(act)
+    run_scenario(act)
 
 
-def test_a_request_that_came_before_a_change_does_not_bring_the_old_limit_back():
+def test_request_that_came_before_a_change_does_not_restore_the_old_limit():
     low = RateLimit(2.0, 1.0)
 
     async def act(fleet):
@@ -101,16 +101,16 @@
         member = fleet.members[0]
         start = trio.current_time()
         while trio.current_time() < start + 10:
-            # Admitted under the former document, asked under the one in force.
+            # Admitted under the former document, asked for under the new one.
             if await member.limits.admit(former, 1.0) is None:
                 fleet.admitted["large"].append(trio.current_time())
             await trio.sleep(0.02)
         fleet.check_windows("large", low, since=start + 1.0)
 
-    play(act)
+    run_scenario(act)
 
 
-def test_a_lowered_limit_holds_within_a_second_and_a_window():
+def test_lowered_limit_takes_effect_within_a_second_and_a_window():
     low = RateLimit(2.0, 1.0)
 
     async def act(fleet):
@@ -122,11 +122,12 @@
         fleet.check_windows("large", LARGE.limit)
         fleet.check_windows("large", low, since=changed_at + 1.0)
 
-    play(act)
+    run_scenario(act)
 
 
-def test_the_bounds_are_those_of_the_plays():
-    # The plays above measure what is admitted; its way to the leafs has room left.
+def test_bounds_leave_room_for_the_way_to_the_leaves():
+    # The scenarios above check the times of admission. Requests reach the leaves later,
+    # so the bounds need a reserve.
     limit = LARGE.limit
     used = limit.rate * BOUNDS.window + limit.burst
     used += BOUNDS.slack * (DEPTH_PART + MOST_STARTS * START_PART)
