--- a/walkcart/entry/executions.py
+++ b/walkcart/entry/executions.py
@@ -21,7 +21,7 @@
 from walkcart.entry.requests import BadRequest, ExecuteBody, read_execute
 from walkcart.fanout.single import OnceRequest, SingleSender
 from walkcart.leaves.attempts import Replied
-from walkcart.once.claimant import Claimant, Grant
+from walkcart.once.claimant import Claimant, ClaimResult
 from walkcart.once.keys import (
     BadKey,
     IdempotencyKey,
@@ -118,19 +118,19 @@
     ) -> HttpReply:
         digest = digest_key(caller.service.name, caller.partner.name, key.value)
         remaining = caller.deadline - self._tools.clock.monotonic()
-        grant = await self._claimant.claim(
+        claim = await self._claimant.claim(
             digest, key, digest_request(content), timedelta(seconds=remaining)
         )
-        if grant.outcome is not ClaimOutcome.GRANTED:
-            return self._answer_unclaimed(grant)
-        result = await self._send(caller, body, grant, traceparent)
+        if claim.outcome is not ClaimOutcome.GRANTED:
+            return self._answer_unclaimed(claim)
+        result = await self._send(caller, body, claim, traceparent)
         match result:
             case Success(reply):
-                self._claimant.settle(grant, reply.status, reply.body)
+                self._claimant.settle(claim, reply.status, reply.body)
                 self._tools.metrics.count("query.answered")
                 return render_executed(reply.status, reply.body, repeated=False)
             case Failure(NotRun() as verdict):
-                self._claimant.withdraw(grant)
+                self._claimant.withdraw(claim)
                 return self._fail(verdict)
             case Failure(verdict):
                 return self._fail(verdict)
@@ -140,7 +140,7 @@
         self,
         caller: CallerContext,
         body: ExecuteBody,
-        grant: Grant,
+        claim: ClaimResult,
         traceparent: str | None,
     ) -> Result[Replied, NotRun | MayHaveRun]:
         remaining = caller.deadline - self._tools.clock.monotonic()
@@ -148,7 +148,7 @@
         once = OnceRequest(
             question=make_question(caller, bytes(body.command), traceparent),
             routing_key=body.routing_key,
-            once_key=grant.key.hex(),
+            once_key=claim.key.hex(),
             expires=expires.timestamp(),
         )
         # Shielded: if the caller disconnects, the claim of a sent request must still be
@@ -157,11 +157,11 @@
             return await self._sender.send(once)
         return Failure(MayHaveRun(Reason.DEADLINE, "no reply before the deadline"))
 
-    def _answer_unclaimed(self, grant: Grant) -> HttpReply:
+    def _answer_unclaimed(self, claim: ClaimResult) -> HttpReply:
         """Return the reply to a request whose claim was not granted."""
-        match grant.outcome:
+        match claim.outcome:
             case ClaimOutcome.REPEATED:
-                return render_executed(grant.status, grant.body, repeated=True)
+                return render_executed(claim.status, claim.body, repeated=True)
             case ClaimOutcome.IN_PROGRESS:
                 detail = "the key was used before and its outcome isn't known"
                 return self._fail(MayHaveRun(Reason.KEY_IN_PROGRESS, detail))
--- a/walkcart/entry/stopping.py
+++ b/walkcart/entry/stopping.py
@@ -90,4 +90,4 @@
             self._entry.server.close_idle(self._grace)
             await trio.sleep(POLL_INTERVAL)
         with trio.move_on_after(SETTLE_TIMEOUT):
-            await self._owners.settled()
+            await self._owners.wait_until_idle()
--- a/walkcart/once/claimant.py
+++ b/walkcart/once/claimant.py
@@ -1,4 +1,4 @@
-"""Asking for claims, from the instance that a request came to."""
+"""Claims idempotency keys, on the instance that received the request."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from walkcart.membership.view import MembershipView
 from walkcart.once.keys import IdempotencyKey
 from walkcart.once.owner import BucketOwners
-from walkcart.once.records import ClaimOutcome, bucket_of
+from walkcart.once.records import ClaimOutcome, find_bucket
 from walkcart.routing.shares import choose_rendezvous
 from walkcart.wire.messages import (
     ClaimAnswer,
@@ -22,21 +22,21 @@
     Message,
 )
 
-#: Share of a request's time that its claim may take.
-CLAIM_SHARE = 0.6
+#: Fraction of a request's remaining time that its claim may take.
+CLAIM_TIME_FRACTION = 0.6
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
-    """How asking for a claim ended.
+class ClaimResult:
+    """The result of asking for a claim.
 
     Args:
-        outcome: whether it is granted, or why not.
-        token: of this asking.
-        bucket: of the key.
-        key: what is claimed.
-        status: of the kept reply, for a repeat.
-        body: of the kept reply, for a repeat.
+        outcome: whether the claim is granted, or why not.
+        token: unique token of this attempt to claim.
+        bucket: number of the key's bucket.
+        key: digest of service, partner and idempotency key.
+        status: HTTP status of the kept reply, if the request is a repeat.
+        body: body of the kept reply, if the request is a repeat.
     """
 
     outcome: ClaimOutcome
@@ -47,8 +47,8 @@
     body: bytes = b""
 
 
-class _Waiting:
-    """An ask without an answer yet."""
+class _PendingAsk:
+    """A claim that was asked for and isn't answered yet."""
 
     def __init__(self) -> None:
         self.answered = trio.Event()
@@ -56,12 +56,12 @@
 
 
 class Claimant:
-    """Asks the buckets' owners for claims.
+    """Asks the owners of buckets for claims.
 
     Args:
-        view: the instances.
-        links: to them.
-        owners: this instance's own part, for buckets that it owns.
+        view: this instance's view of all instances.
+        links: connections to the other instances.
+        owners: decides claims for the buckets that this instance owns.
         clock: source of time.
     """
 
@@ -76,8 +76,8 @@
         self._links = links
         self._owners = owners
         self._clock = clock
-        self._count = 0
-        self._waiting: dict[str, _Waiting] = {}
+        self._token_count = 0
+        self._pending: dict[str, _PendingAsk] = {}
         links.on(ClaimAsk, self._on_ask)
         links.on(ClaimAnswer, self._on_answer)
         links.on(ClaimSettle, self._on_settle)
@@ -85,85 +85,91 @@
 
     async def claim(
         self, key: bytes, issued: IdempotencyKey, request: bytes, remaining: timedelta
-    ) -> Grant:
-        """Ask for `key`.
+    ) -> ClaimResult:
+        """Claim a key.
 
-        Once this returns anything but granted, or is cancelled, the request must
-        not be sent; the claim, if there is one, is withdrawn.
+        The request may be sent only if the outcome is granted. If there is no answer in
+        time, or this call is cancelled, the claim is withdrawn, in case it was granted.
 
         Args:
             key: digest of service, partner and idempotency key.
-            issued: the key as given.
+            issued: idempotency key, with the time of its issue.
             request: digest of the request.
-            remaining: time left for the request.
+            remaining: time until the request's deadline.
         """
-        bucket = bucket_of(key)
-        limit = remaining.total_seconds() * CLAIM_SHARE
+        bucket = find_bucket(key)
+        limit = remaining.total_seconds() * CLAIM_TIME_FRACTION
         ask = ClaimAsk(
             self._make_token(), bucket, key, issued.issued.timestamp(), request, limit
         )
         answer = await self._ask(ask, limit)
         if answer is None:
-            self.withdraw(Grant(ClaimOutcome.UNAVAILABLE, ask.token, bucket, key))
-            return Grant(ClaimOutcome.UNAVAILABLE, ask.token, bucket, key)
+            self.withdraw(ClaimResult(ClaimOutcome.UNAVAILABLE, ask.token, bucket, key))
+            return ClaimResult(ClaimOutcome.UNAVAILABLE, ask.token, bucket, key)
         outcome = ClaimOutcome(answer.outcome)
-        return Grant(outcome, ask.token, bucket, key, answer.status, answer.body)
+        return ClaimResult(outcome, ask.token, bucket, key, answer.status, answer.body)
 
-    def settle(self, grant: Grant, status: int, body: bytes) -> None:
-        """Keep the reply of a granted claim."""
+    def settle(self, grant: ClaimResult, status: int, body: bytes) -> None:
+        """Store the reply to the request of a granted claim, for repeats.
+
+        Args:
+            grant: the claim.
+            status: HTTP status of the reply.
+            body: body of the reply.
+        """
         message = ClaimSettle(grant.token, grant.bucket, grant.key, status, body)
-        owner = self._owner_of(grant.bucket)
+        owner = self._find_owner(grant.bucket)
         if owner == self._view.own.name or not self._links.send(owner, message):
             self._owners.settle(message)
 
-    def withdraw(self, grant: Grant) -> None:
-        """Give a claim up; its request was surely not sent."""
+    def withdraw(self, grant: ClaimResult) -> None:
+        """Remove a claim; its request must not have been sent."""
         message = ClaimWithdraw(grant.token, grant.bucket, grant.key)
-        owner = self._owner_of(grant.bucket)
+        owner = self._find_owner(grant.bucket)
         if owner == self._view.own.name or not self._links.send(owner, message):
             self._owners.withdraw(message)
 
     async def _ask(self, ask: ClaimAsk, limit: float) -> ClaimAnswer | None:
-        """Return the owner's answer, or None when none came in time."""
-        waiting = _Waiting()
-        self._waiting[ask.token] = waiting
+        """Return the owner's answer; None if none came within `limit` seconds."""
+        waiting = _PendingAsk()
+        self._pending[ask.token] = waiting
         try:
             with trio.move_on_after(limit):
-                self._bring(ask)
+                self._send_ask(ask)
                 await waiting.answered.wait()
         except trio.Cancelled:
             self.withdraw(
-                Grant(ClaimOutcome.UNAVAILABLE, ask.token, ask.bucket, ask.key)
+                ClaimResult(ClaimOutcome.UNAVAILABLE, ask.token, ask.bucket, ask.key)
             )
             raise
         finally:
-            del self._waiting[ask.token]
+            del self._pending[ask.token]
         return waiting.answer
 
-    def _bring(self, ask: ClaimAsk) -> None:
-        owner = self._owner_of(ask.bucket)
+    def _send_ask(self, ask: ClaimAsk) -> None:
+        owner = self._find_owner(ask.bucket)
         if owner == self._view.own.name or not self._links.send(owner, ask):
-            self._owners.ask(ask, self._take_answer)
+            self._owners.ask(ask, self._deliver_answer)
 
-    def _owner_of(self, bucket: int) -> str:
+    def _find_owner(self, bucket: int) -> str:
         names = [item.name for item in self._view.usable_peers()]
         names.append(self._view.own.name)
         return choose_rendezvous(f"claims-{bucket}", names) or self._view.own.name
 
     def _make_token(self) -> str:
-        self._count += 1
+        self._token_count += 1
         own = self._view.own
-        return f"{own.name}.{own.incarnation:x}.{self._count:x}"
+        return f"{own.name}.{own.incarnation:x}.{self._token_count:x}"
 
-    def _take_answer(self, answer: ClaimAnswer) -> None:
-        waiting = self._waiting.get(answer.token)
+    def _deliver_answer(self, answer: ClaimAnswer) -> None:
+        waiting = self._pending.get(answer.token)
         if waiting is not None and waiting.answer is None:
             waiting.answer = answer
             waiting.answered.set()
 
     def _on_answer(self, sender: str, message: Message) -> None:
         assert isinstance(message, ClaimAnswer)
-        self._take_answer(message)
+        self._deliver_answer(message)
 
     def _on_ask(self, sender: str, message: Message) -> None:
         assert isinstance(message, ClaimAsk)
--- a/walkcart/once/keys.py
+++ b/walkcart/once/keys.py
@@ -1,7 +1,7 @@
-"""Idempotency keys: UUIDs of version 7, which hold the time of their issue.
+"""Idempotency keys: UUIDs of version 7, which contain the time of their issue.
 
-The time is what makes "at most once" hold without keeping keys for ever: a key
-is kept for as long as it is taken, and an older one is refused, not run.
+Because of this time, requests run at most once though keys aren't kept for ever: a key
+is kept for as long as it is accepted, and a request with an older key is refused.
 
 References:
     RFC 9562, section 5.7.
@@ -18,25 +18,26 @@
 from random import Random
 from uuid import UUID
 
-#: A key is taken this long after its issue.
-KEY_TIME = timedelta(minutes=10)
-#: Most that two clocks are taken to differ.
-CLOCK_SKEW = timedelta(minutes=1)
+#: A key is accepted for this long after its issue.
+MAX_KEY_AGE = timedelta(minutes=10)
+#: Largest assumed difference between two clocks.
+MAX_CLOCK_SKEW = timedelta(minutes=1)
 #: Claims are kept for this long after the key's issue.
-KEEP_TIME = KEY_TIME + 4 * CLOCK_SKEW
+CLAIM_RETENTION = MAX_KEY_AGE + 4 * MAX_CLOCK_SKEW
+#: Size of digests of keys and requests, in bytes.
 DIGEST_SIZE = 16
 
 
 class BadKey(ValueError):
-    """A key that can't be taken; its text says what was expected."""
+    """An invalid key; the message says what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class IdempotencyKey:
-    """A key that can be taken.
+    """A valid idempotency key.
 
     Args:
-        value: as given.
+        value: the UUID, in lower case.
         issued: when the caller made it.
     """
 
@@ -48,7 +49,8 @@
     """Read the ``Idempotency-Key`` header.
 
     Raises:
-        BadKey: missing, no UUID of version 7, too old or from the future.
+        BadKey: the key is missing, not a UUID of version 7, too old, or issued in the
+            future.
     """
     if not text:
         raise BadKey("an Idempotency-Key header with a UUID of version 7")
@@ -59,10 +61,10 @@
     if uuid.version != 7 or str(uuid) != text.lower():
         raise BadKey("a UUID of version 7, written with hyphens")
     issued = datetime.fromtimestamp((uuid.int >> 80) / 1000, UTC)
-    if issued > now + CLOCK_SKEW:
+    if issued > now + MAX_CLOCK_SKEW:
         raise BadKey("a key that wasn't issued in the future")
-    if issued < now - KEY_TIME:
-        minutes = KEY_TIME.total_seconds() / 60
+    if issued < now - MAX_KEY_AGE:
+        minutes = MAX_KEY_AGE.total_seconds() / 60
         raise BadKey(f"a key issued within the last {minutes:g} minutes")
     return IdempotencyKey(str(uuid), issued)
 
@@ -76,11 +78,11 @@
 
 
 def digest_key(service: str, partner: str, key: str) -> bytes:
-    """Return what a key is claimed under: it is the partner's own at a service."""
+    """Return the digest that a key is claimed under, for one service and partner."""
     text = "\0".join((service, partner, key))
     return blake2b(text.encode(), digest_size=DIGEST_SIZE).digest()
 
 
 def digest_request(body: bytes) -> bytes:
-    """Return what tells one request from another under the same key."""
+    """Return the digest that distinguishes requests with the same key."""
     return blake2b(body, digest_size=DIGEST_SIZE).digest()
--- a/walkcart/once/owner.py
+++ b/walkcart/once/owner.py
@@ -1,8 +1,8 @@
-"""Group commit of claims: one write for all that gathers for a bucket.
+"""Group commit of claims: one write to the store for each batch of a bucket.
 
-Each bucket has an owner among the instances, by rendezvous hash. Ownership is
-only a hint that brings claims together: the compare-and-swap on the bucket
-decides, so two owners, or one that was paused, can't both grant a key.
+Each bucket has an owner among the instances, by rendezvous hashing. Ownership only
+serves to collect claims in batches. The compare-and-swap on the bucket decides, so two
+owners, or an owner that was paused, can't both grant a key.
 """
 
 from __future__ import annotations
@@ -18,22 +18,29 @@
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
-from walkcart.once.keys import KEEP_TIME
-from walkcart.once.planning import Answer, Ask, Operation, Plan, Planner, make_answer
+from walkcart.once.keys import CLAIM_RETENTION
+from walkcart.once.planning import (
+    AnswerCallback,
+    ClaimRequest,
+    Operation,
+    Plan,
+    Planner,
+    make_answer,
+)
 from walkcart.once.records import (
+    BUCKET_COUNT,
     BUCKET_KEY,
-    BUCKETS,
+    MAX_BUCKET_SIZE,
     SEGMENT_KEY,
-    SEGMENT_SIZE,
     Bucket,
     BucketError,
     Claim,
     ClaimOutcome,
     SegmentRef,
-    describe_segment,
     drop_expired,
+    find_segments,
+    make_segment_ref,
     pack_bucket,
-    segments_for,
     unpack_bucket,
 )
 from walkcart.store.backoff import Backoff
@@ -46,21 +53,23 @@
 )
 from walkcart.wire.messages import ClaimAsk, ClaimSettle, ClaimWithdraw
 
-#: Least time between two writes of a bucket, in seconds: what gathers meanwhile
-#: goes together. After a quiet time the first claim is written at once.
-WRITE_INTERVAL = 0.05
-#: A batch of so many operations doesn't wait for the interval.
-FULL_BATCH = 64
-#: Replies to keep are no hurry: without claims they wait this long for a write.
-SETTLE_TIME = 0.25
-FIRST_BACKOFF = timedelta(milliseconds=20)
-LONGEST_BACKOFF = timedelta(seconds=1)
-QUEUE_LIMIT = 5000
+#: Shortest time between two writes of a bucket, in seconds. Operations that arrive
+#: meanwhile are written together; after a longer pause the first is written at once.
+MIN_WRITE_INTERVAL = 0.05
+#: A batch with this many operations doesn't wait for the interval.
+FULL_BATCH_SIZE = 64
+#: Shortest time between two writes if a batch asks for no claim, in seconds: storing
+#: replies and removing claims isn't urgent.
+SETTLE_DELAY = 0.25
+MIN_BACKOFF = timedelta(milliseconds=20)
+MAX_BACKOFF = timedelta(seconds=1)
+#: Operations that may wait for a bucket; further claims are refused.
+MAX_QUEUE_LENGTH = 5000
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerTools:
-    """What every bucket's owner uses."""
+    """Dependencies that the owners of all buckets share."""
 
     store: StoreClient
     clock: Clock
@@ -70,34 +79,34 @@
 
 
 class BucketOwners:
-    """Decides claims for the buckets that are brought to this instance.
+    """Decides the claims that are sent to this instance, for all buckets.
 
     Args:
-        tools: what every bucket's owner uses.
+        tools: dependencies that the owners of all buckets share.
     """
 
     def __init__(self, tools: OwnerTools) -> None:
-        self._owners = [BucketOwner(number, tools) for number in range(BUCKETS)]
+        self._owners = [BucketOwner(number, tools) for number in range(BUCKET_COUNT)]
 
-    def ask(self, message: ClaimAsk, answer: Answer) -> None:
-        """Decide a claim; `answer` is told the outcome."""
-        if 0 <= message.bucket < BUCKETS:
+    def ask(self, message: ClaimAsk, answer: AnswerCallback) -> None:
+        """Decide a claim, and call `answer` with the outcome."""
+        if 0 <= message.bucket < BUCKET_COUNT:
             self._owners[message.bucket].ask(message, answer)
 
     def settle(self, message: ClaimSettle) -> None:
-        """Keep the reply of a granted claim."""
-        if 0 <= message.bucket < BUCKETS:
-            self._owners[message.bucket].note(message)
+        """Store the reply to the request of a granted claim."""
+        if 0 <= message.bucket < BUCKET_COUNT:
+            self._owners[message.bucket].enqueue(message)
 
     def withdraw(self, message: ClaimWithdraw) -> None:
         """Remove a claim whose request was not sent."""
-        if 0 <= message.bucket < BUCKETS:
-            self._owners[message.bucket].note(message)
+        if 0 <= message.bucket < BUCKET_COUNT:
+            self._owners[message.bucket].enqueue(message)
 
-    async def settled(self) -> None:
-        """Wait until nothing is left to write."""
+    async def wait_until_idle(self) -> None:
+        """Wait until no operation is waiting to be written."""
         for owner in self._owners:
-            await owner.settled()
+            await owner.wait_until_idle()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Write batches until cancelled."""
@@ -111,69 +120,70 @@
     """Decides claims of one bucket.
 
     Args:
-        number: of the bucket.
-        tools: what every bucket's owner uses.
+        number: number of the bucket.
+        tools: dependencies that the owners of all buckets share.
     """
 
     def __init__(self, number: int, tools: OwnerTools) -> None:
         self._number = number
         self._key = BUCKET_KEY.format(bucket=number)
         self._tools = tools
-        self._backoff = Backoff(FIRST_BACKOFF, LONGEST_BACKOFF, tools.random)
+        self._backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF, tools.random)
         self._queue: deque[Operation] = deque()
         self._wakeup = trio.Event()
-        self._quiet = trio.Event()
-        self._quiet.set()
+        self._idle = trio.Event()
+        self._idle.set()
         self._bucket: Bucket | None = None
         self._revision = 0
         self._segments: dict[str, dict[bytes, Claim]] = {}
         self._written_at = float("-inf")
-        # Tokens of claims that may be in the store though their askers were told
-        # that they are not granted; removed by the next write.
-        self._given_up: dict[str, bytes] = {}
+        # Keys by token of claims that may be in the store though the answer was that
+        # they aren't granted. The next write removes them.
+        self._abandoned: dict[str, bytes] = {}
+        # Whether an earlier write failed and may still take effect.
         self._uncertain = False
 
-    def ask(self, message: ClaimAsk, answer: Answer) -> None:
-        """Decide a claim."""
-        if len(self._queue) >= QUEUE_LIMIT:
+    def ask(self, message: ClaimAsk, answer: AnswerCallback) -> None:
+        """Decide a claim, and call `answer` with the outcome."""
+        if len(self._queue) >= MAX_QUEUE_LENGTH:
             answer(make_answer(message, ClaimOutcome.UNAVAILABLE))
             return
         until = self._tools.clock.monotonic() + message.remaining
-        self._put(Ask(message, until, answer))
+        self._add_operation(ClaimRequest(message, until, answer))
 
-    def note(self, message: ClaimSettle | ClaimWithdraw) -> None:
-        """Take a reply to keep, or a claim to remove."""
-        self._put(message)
+    def enqueue(self, message: ClaimSettle | ClaimWithdraw) -> None:
+        """Queue a reply to store, or a claim to remove."""
+        self._add_operation(message)
 
-    async def settled(self) -> None:
-        """Wait until nothing is left to write."""
-        await self._quiet.wait()
+    async def wait_until_idle(self) -> None:
+        """Wait until no operation is waiting to be written."""
+        await self._idle.wait()
 
-    def _put(self, operation: Operation) -> None:
+    def _add_operation(self, operation: Operation) -> None:
         self._queue.append(operation)
-        self._quiet = trio.Event() if self._quiet.is_set() else self._quiet
+        self._idle = trio.Event() if self._idle.is_set() else self._idle
         self._wakeup.set()
 
     async def run(self) -> None:
         """Write batches until cancelled."""
         while True:
-            if not self._queue and not self._given_up:
-                self._quiet.set()
+            if not self._queue and not self._abandoned:
+                self._idle.set()
                 self._wakeup = trio.Event()
                 await self._wakeup.wait()
-            await self._gather()
+            await self._wait_for_batch()
             batch = list(self._queue)
             self._queue.clear()
             await self._commit(batch)
 
-    async def _gather(self) -> None:
-        """Wait while more may come, but not past the interval."""
-        due = self._written_at + WRITE_INTERVAL
-        while len(self._queue) < FULL_BATCH:
-            if not any(isinstance(item, Ask) for item in self._queue):
-                due = max(due, self._written_at + SETTLE_TIME)
+    async def _wait_for_batch(self) -> None:
+        """Wait for more operations, until the batch is full or a write is due."""
+        due = self._written_at + MIN_WRITE_INTERVAL
+        while len(self._queue) < FULL_BATCH_SIZE:
+            if not any(isinstance(item, ClaimRequest) for item in self._queue):
+                due = max(due, self._written_at + SETTLE_DELAY)
             else:
-                due = self._written_at + WRITE_INTERVAL
+                due = self._written_at + MIN_WRITE_INTERVAL
             if self._tools.clock.monotonic() >= due:
                 return
             self._wakeup = trio.Event()
@@ -181,74 +191,74 @@
                 await self._wakeup.wait()
 
     async def _commit(self, batch: list[Operation]) -> None:
-        """Bring one batch into the store, however many tries it takes."""
+        """Write one batch to the store, with as many attempts as it takes."""
         while True:
             batch = self._expire(batch)
-            if not batch and not self._given_up:
+            if not batch and not self._abandoned:
                 return
             try:
                 await self._load(batch)
                 plan = self._plan(batch)
                 if not plan.changed:
-                    self._finish(plan)
+                    self._answer_asks(plan)
                     return
                 if await self._write(plan):
-                    self._finish(plan)
+                    self._answer_asks(plan)
                     return
             except StoreUnavailable as error:
-                self._note_failure(error, batch)
+                self._handle_failure(error, batch)
                 await self._tools.clock.sleep(self._backoff.advance())
             except BucketError as error:
                 self._tools.events.emit(
                     Events.BUCKET_BAD, bucket=self._number, detail=str(error)
                 )
                 self._bucket = None
-                self._refuse(batch)
+                self._refuse_asks(batch)
                 await self._tools.clock.sleep(self._backoff.advance())
                 return
 
     def _expire(self, batch: list[Operation]) -> list[Operation]:
-        """Answer the asks whose time has passed; they are given up."""
+        """Abandon the claims whose time has passed; return the other operations."""
         now = self._tools.clock.monotonic()
         kept: list[Operation] = []
         for item in batch:
-            if isinstance(item, Ask) and item.until <= now:
-                self._give_up(item)
+            if isinstance(item, ClaimRequest) and item.until <= now:
+                self._abandon(item)
             else:
                 kept.append(item)
         return kept
 
-    def _give_up(self, ask: Ask) -> None:
+    def _abandon(self, ask: ClaimRequest) -> None:
         if self._uncertain:
-            self._given_up[ask.message.token] = ask.message.key
+            self._abandoned[ask.message.token] = ask.message.key
         self._tools.metrics.count("claim.refused")
         ask.answer(make_answer(ask.message, ClaimOutcome.UNAVAILABLE))
 
-    def _refuse(self, batch: list[Operation]) -> None:
+    def _refuse_asks(self, batch: list[Operation]) -> None:
         for item in batch:
-            if isinstance(item, Ask):
-                self._give_up(item)
+            if isinstance(item, ClaimRequest):
+                self._abandon(item)
 
-    def _note_failure(self, error: StoreUnavailable, batch: list[Operation]) -> None:
+    def _handle_failure(self, error: StoreUnavailable, batch: list[Operation]) -> None:
         if error.uncertain and not self._uncertain:
             self._tools.events.emit(
                 Events.CLAIM_UNSETTLED, bucket=self._number, operations=len(batch)
             )
         self._uncertain = self._uncertain or error.uncertain
-        # What is held may be behind the store now.
+        # The bucket in memory may be older than the one in the store now.
         self._bucket = None
 
     async def _load(self, batch: list[Operation]) -> None:
-        """Read the bucket, and the segments that the batch's keys could be in."""
+        """Read the bucket, and the segments that could contain the batch's keys."""
         if self._bucket is None:
-            self._take_entry(await self._tools.store.get(self._key))
+            self._load_entry(await self._tools.store.get(self._key))
         assert self._bucket is not None
         for item in batch:
-            if isinstance(item, Ask):
-                for reference in segments_for(self._bucket, item.message.issued):
+            if isinstance(item, ClaimRequest):
+                for reference in find_segments(self._bucket, item.message.issued):
                     await self._load_segment(reference)
 
-    def _take_entry(self, entry: Entry | None) -> None:
+    def _load_entry(self, entry: Entry | None) -> None:
         self._bucket = Bucket() if entry is None else unpack_bucket(entry.value)
         self._revision = 0 if entry is None else entry.revision
 
@@ -262,50 +272,50 @@
         self._segments[reference.key] = {claim.key: claim for claim in claims}
 
     def _plan(self, batch: list[Operation]) -> Plan:
-        """Work out what the batch makes of the bucket."""
+        """Return the write that applies the batch to the bucket."""
         assert self._bucket is not None
         planner = Planner(self._bucket, self._segments, self._tools.clock.now())
-        return planner.plan(batch, self._given_up, self._uncertain)
+        return planner.plan(batch, self._abandoned, self._uncertain)
 
     async def _write(self, plan: Plan) -> bool:
-        """Write the plan; False when the bucket was changed by another."""
+        """Write a plan; return False if another instance changed the bucket."""
         assert self._bucket is not None
-        limit = self._tools.clock.now() - KEEP_TIME
+        limit = self._tools.clock.now() - CLAIM_RETENTION
         bucket = Bucket(tuple(plan.claims.values()), self._bucket.segments)
         bucket = drop_expired(bucket, limit.timestamp())
         data = pack_bucket(bucket)
-        if len(data) > SEGMENT_SIZE:
-            bucket = await self._seal(bucket)
+        if len(data) > MAX_BUCKET_SIZE:
+            bucket = await self._move_to_segment(bucket)
             data = pack_bucket(bucket)
         self._written_at = self._tools.clock.monotonic()
         self._tools.metrics.count("claim.writes")
         match await self._tools.store.put(self._key, data, self._revision):
             case Written(revision):
-                self._note_written(bucket, revision)
+                self._handle_written(bucket, revision)
                 return True
             case Conflict(present):
-                self._take_entry(present)
+                self._load_entry(present)
                 return False
 
-    def _note_written(self, bucket: Bucket, revision: int) -> None:
-        if self._given_up:
+    def _handle_written(self, bucket: Bucket, revision: int) -> None:
+        if self._abandoned:
             self._tools.events.emit(
-                Events.CLAIM_WITHDRAWN, bucket=self._number, claims=len(self._given_up)
+                Events.CLAIM_WITHDRAWN, bucket=self._number, claims=len(self._abandoned)
             )
         self._bucket, self._revision = bucket, revision
-        self._given_up.clear()
+        self._abandoned.clear()
         self._uncertain = False
         self._backoff.reset()
         kept = {reference.key for reference in bucket.segments}
         for key in [key for key in self._segments if key not in kept]:
             del self._segments[key]
 
-    async def _seal(self, bucket: Bucket) -> Bucket:
-        """Move the claims into a segment of their own.
+    async def _move_to_segment(self, bucket: Bucket) -> Bucket:
+        """Move the claims of a bucket into a new segment; return the emptied bucket.
 
-        The segment is written under a fresh key before the bucket refers to it;
-        if the bucket's write then fails, the segment is an orphan that nobody
-        refers to, and the claims are still in the bucket.
+        The segment is written under a new key before the bucket refers to it. If the
+        write of the bucket then fails, nothing refers to the segment, and the claims
+        are still in the bucket.
         """
         token = f"{self._tools.random.getrandbits(64):016x}"
         key = SEGMENT_KEY.format(bucket=self._number, token=token)
@@ -313,13 +323,13 @@
         if not isinstance(await self._tools.store.put(key, data, 0), Written):
             raise StoreUnavailable(False, f"segment {key} exists")
         self._segments[key] = {claim.key: claim for claim in bucket.claims}
-        reference = describe_segment(key, bucket.claims)
+        reference = make_segment_ref(key, bucket.claims)
         return Bucket((), (*bucket.segments, reference))
 
-    def _finish(self, plan: Plan) -> None:
-        """Tell the outcomes; called only once what they rest on is written."""
+    def _answer_asks(self, plan: Plan) -> None:
+        """Answer the claims; called only once what the answers rest on is stored."""
         if not plan.changed:
-            self._given_up.clear()
+            self._abandoned.clear()
         for ask, answer in plan.answers:
             granted = answer.outcome == ClaimOutcome.GRANTED.value
             self._tools.metrics.count("claim.granted" if granted else "claim.refused")
--- a/walkcart/once/planning.py
+++ b/walkcart/once/planning.py
@@ -1,7 +1,7 @@
-"""What a batch of operations makes of a bucket: plain data in, plain data out.
+"""Applies a batch of operations to a bucket, as pure functions of plain data.
 
 See Also:
-    `walkcart.once.owner.BucketOwner`, which writes what is planned here.
+    `walkcart.once.owner.BucketOwner`, which writes the plans to the store.
 """
 
 from __future__ import annotations
@@ -10,59 +10,60 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-from walkcart.once.keys import CLOCK_SKEW, KEY_TIME
+from walkcart.once.keys import MAX_CLOCK_SKEW, MAX_KEY_AGE
 from walkcart.once.records import (
     Bucket,
     Claim,
     ClaimOutcome,
-    cut_body,
-    judge_claim,
-    segments_for,
+    decide_claim,
+    find_segments,
+    limit_body,
 )
 from walkcart.wire.messages import ClaimAnswer, ClaimAsk, ClaimSettle, ClaimWithdraw
 
-#: Told the outcome of an ask; must not wait.
-Answer = Callable[[ClaimAnswer], None]
+#: Called with the outcome of a claim; must not block.
+AnswerCallback = Callable[[ClaimAnswer], None]
 
-#: Claims by key, by the segment's key in the store.
+#: For each segment, by its key in the store, the claims by key.
 Segments = Mapping[str, Mapping[bytes, Claim]]
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ClaimRequest:
     """A claim that is asked for.
 
     Args:
-        message: the ask.
-        until: when it is of no more use, on the monotonic clock.
-        answer: told the outcome.
+        message: the message that asks for it.
+        until: when the asker stops waiting, in seconds of the monotonic clock.
+        answer: called with the outcome.
     """
 
     message: ClaimAsk
     until: float
-    answer: Answer
+    answer: AnswerCallback
 
 
-Operation = Ask | ClaimSettle | ClaimWithdraw
+Operation = ClaimRequest | ClaimSettle | ClaimWithdraw
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What one write would do.
+    """The effect of a batch on a bucket.
 
     Args:
-        claims: of the bucket after it, by key.
-        answers: due once it is written; asks in the order of arrival.
+        claims: the bucket's claims afterwards, by key.
+        answers: claims that were asked for, in the order of arrival, with the answers
+            to give once the plan is written.
         changed: whether there is anything to write.
     """
 
     claims: dict[bytes, Claim]
-    answers: tuple[tuple[Ask, ClaimAnswer], ...]
+    answers: tuple[tuple[ClaimRequest, ClaimAnswer], ...]
     changed: bool
 
 
 def make_answer(message: ClaimAsk, outcome: ClaimOutcome) -> ClaimAnswer:
-    """Return the answer to an ask without a kept reply."""
+    """Return an answer without a kept reply."""
     return ClaimAnswer(message.token, outcome.value)
 
 
@@ -70,8 +71,8 @@
     """Plans one write of a bucket.
 
     Args:
-        bucket: as the store holds it.
-        segments: the loaded ones.
+        bucket: the bucket as stored.
+        segments: the segments that are loaded.
         now: time of day.
     """
 
@@ -82,24 +83,24 @@
         self._claims = {claim.key: claim for claim in bucket.claims}
 
     def plan(
-        self, batch: list[Operation], given_up: Mapping[str, bytes], uncertain: bool
+        self, batch: list[Operation], abandoned: Mapping[str, bytes], uncertain: bool
     ) -> Plan:
-        """Return what the batch makes of the bucket.
+        """Return the effect of a batch on the bucket.
 
         Args:
             batch: operations in the order of arrival.
-            given_up: keys by token of claims that may be there but must go.
-            uncertain: whether an earlier write may take effect yet.
+            abandoned: keys by token of claims that may be stored and must be removed.
+            uncertain: whether an earlier write may still take effect.
         """
-        answers: list[tuple[Ask, ClaimAnswer]] = []
-        # After an uncertain write the revision must move on, so that a write
-        # which is still under way can't take effect any more.
-        changed = bool(given_up) and uncertain
-        for token, key in given_up.items():
+        answers: list[tuple[ClaimRequest, ClaimAnswer]] = []
+        # After an uncertain write the revision must advance, so that a write which is
+        # still in progress can no longer take effect.
+        changed = bool(abandoned) and uncertain
+        for token, key in abandoned.items():
             changed |= self._remove(key, token)
         for item in batch:
             match item:
-                case Ask(message=message):
+                case ClaimRequest(message=message):
                     answer, added = self._plan_ask(message)
                     answers.append((item, answer))
                     changed |= added
@@ -110,11 +111,11 @@
         return Plan(self._claims, tuple(answers), changed)
 
     def _plan_ask(self, message: ClaimAsk) -> tuple[ClaimAnswer, bool]:
-        """Return the answer and whether a claim was added."""
-        if message.issued < self._now - (KEY_TIME + CLOCK_SKEW).total_seconds():
+        """Return the answer, and whether a claim was added."""
+        if message.issued < self._now - (MAX_KEY_AGE + MAX_CLOCK_SKEW).total_seconds():
             return make_answer(message, ClaimOutcome.TOO_OLD), False
         existing = self._find(message.key, message.issued)
-        outcome = judge_claim(existing, message.request, message.token)
+        outcome = decide_claim(existing, message.request, message.token)
         if existing is None:
             self._claims[message.key] = Claim(
                 message.key, message.request, message.token, message.issued
@@ -127,7 +128,7 @@
     def _find(self, key: bytes, issued: float) -> Claim | None:
         if key in self._claims:
             return self._claims[key]
-        for reference in segments_for(self._bucket, issued):
+        for reference in find_segments(self._bucket, issued):
             found = self._segments[reference.key].get(key)
             if found is not None:
                 return found
@@ -143,7 +144,7 @@
             existing.token,
             existing.issued,
             message.status,
-            cut_body(message.body),
+            limit_body(message.body),
         )
         return True
 
@@ -154,7 +155,11 @@
         return None
 
     def _remove(self, key: bytes, token: str) -> bool:
-        """Remove the claim of `token`; one with a kept reply stays."""
+        """Remove the claim made with `token`, unless it has a kept reply.
+
+        Returns:
+            Whether a claim was removed.
+        """
         existing = self._claims.get(key)
         if existing is None or existing.token != token or existing.status:
             return False
--- a/walkcart/once/records.py
+++ b/walkcart/once/records.py
@@ -1,9 +1,9 @@
-"""What the store holds of claims, and what becomes of it.
+"""Format of claims in the store, and decisions on them.
 
-A bucket is one value: the claims made of late, and references to segments,
-which hold earlier ones and never change. Every decision is a compare-and-swap
-on the bucket, so it is exact whoever makes it; segments can be kept in memory.
-A key's time of issue tells which segments could hold it.
+A bucket is one value: the recent claims, and references to segments, which hold earlier
+claims and never change, so that they can be cached. Every decision is a
+compare-and-swap on the bucket, so it is exact whichever instance makes it. The time of
+issue in a key determines which segments could hold it.
 """
 
 from __future__ import annotations
@@ -14,24 +14,25 @@
 
 from walkcart.store.packing import BadValue, pack_value, unpack_value
 
-#: Buckets that keys are divided into. All instances must agree on it; it can't
-#: be changed while keys are in use.
-BUCKETS = 2
+#: Number of buckets that keys are divided into. It must be the same at all instances
+#: and can't be changed while keys are in use.
+BUCKET_COUNT = 2
 BUCKET_KEY = "walkcart/claims/{bucket}"
 SEGMENT_KEY = "walkcart/claims/{bucket}/{token}"
-#: Packed size of a bucket's claims past which they move into a segment.
-SEGMENT_SIZE = 64 << 10
-#: Longest reply body that is kept for a repeat, in bytes.
-KEPT_BODY = 1024
-#: Status of a kept reply whose body was too long to be kept.
+#: Largest packed size of a bucket, in bytes; above it, its claims move into a segment.
+MAX_BUCKET_SIZE = 64 << 10
+#: Largest reply body that is kept for repeats, in bytes.
+MAX_KEPT_BODY = 1024
+#: Kept in place of a body that is too large.
 BODY_TOO_LONG = b'{"detail":"the reply was too long to be kept"}'
-UNPACKED_LIMIT = 8 << 20
-#: Buckets are written often: speed goes before size.
-_COMPRESSION = 1
+#: Largest unpacked size of a bucket or segment, in bytes.
+MAX_UNPACKED_SIZE = 8 << 20
+#: Low, since buckets are written often: speed matters more than size.
+_COMPRESSION_LEVEL = 1
 
 
 class ClaimOutcome(Enum):
-    """How asking for a claim ended."""
+    """The outcome of asking for a claim."""
 
     GRANTED = "granted"
     REPEATED = "repeated"
@@ -47,10 +48,10 @@
     Args:
         key: digest of service, partner and idempotency key.
         request: digest of the request.
-        token: of the claimant.
-        issued: time of day in the key, in seconds since 1970.
-        status: HTTP status of the kept reply; 0 while none is known.
-        body: of the kept reply.
+        token: unique token of the attempt to claim that was granted.
+        issued: time of issue in the key, in seconds since 1970.
+        status: HTTP status of the kept reply; 0 while no reply is known.
+        body: body of the kept reply.
     """
 
     key: bytes
@@ -62,7 +63,13 @@
 
 
 class SegmentRef(msgspec.Struct, frozen=True, array_like=True):
-    """A segment: its key in the store and the times of issue of its claims."""
+    """Reference to a segment.
+
+    Args:
+        key: key of the segment in the store.
+        oldest: earliest time of issue of its claims, in seconds since 1970.
+        newest: latest time of issue of its claims, in seconds since 1970.
+    """
 
     key: str
     oldest: float
@@ -70,59 +77,65 @@
 
 
 class Bucket(msgspec.Struct, frozen=True, array_like=True):
-    """A bucket's value: the claims of late and the earlier segments."""
+    """Value of a bucket: recent claims, and segments of earlier ones, oldest first."""
 
     claims: tuple[Claim, ...] = ()
     segments: tuple[SegmentRef, ...] = ()
 
 
 class BucketError(ValueError):
-    """Bytes that are no bucket or segment."""
+    """Stored bytes are not a valid bucket or segment, or a segment is missing."""
 
 
 def pack_bucket(bucket: Bucket) -> bytes:
     """Return the stored bytes of a bucket."""
-    return pack_value(bucket, _COMPRESSION)
+    return pack_value(bucket, _COMPRESSION_LEVEL)
 
 
 def unpack_bucket(data: bytes) -> Bucket:
     """Return the bucket in stored bytes.
 
     Raises:
-        BucketError: they are not one.
+        BucketError: they are not valid.
     """
     try:
-        return unpack_value(data, Bucket, UNPACKED_LIMIT)
+        return unpack_value(data, Bucket, MAX_UNPACKED_SIZE)
     except BadValue as error:
         raise BucketError(str(error)) from None
 
 
-def bucket_of(key: bytes) -> int:
+def find_bucket(key: bytes) -> int:
     """Return the number of a key's bucket."""
-    return key[0] % BUCKETS
+    return key[0] % BUCKET_COUNT
 
 
 def drop_expired(bucket: Bucket, limit: float) -> Bucket:
-    """Return `bucket` without what was issued before `limit`."""
+    """Return `bucket` without claims and segments from before `limit`."""
     claims = tuple(claim for claim in bucket.claims if claim.issued >= limit)
     segments = tuple(item for item in bucket.segments if item.newest >= limit)
     return Bucket(claims, segments)
 
 
-def segments_for(bucket: Bucket, issued: float) -> tuple[SegmentRef, ...]:
+def find_segments(bucket: Bucket, issued: float) -> tuple[SegmentRef, ...]:
     """Return the segments that could hold a key issued at `issued`, newest first."""
     found = [item for item in bucket.segments if item.oldest <= issued <= item.newest]
     return tuple(reversed(found))
 
 
-def describe_segment(key: str, claims: tuple[Claim, ...]) -> SegmentRef:
-    """Return the reference of a segment that holds `claims`."""
+def make_segment_ref(key: str, claims: tuple[Claim, ...]) -> SegmentRef:
+    """Return a reference to a segment that holds `claims`."""
     times = [claim.issued for claim in claims]
     return SegmentRef(key, min(times), max(times))
 
 
-def judge_claim(existing: Claim | None, request: bytes, token: str) -> ClaimOutcome:
-    """Return what becomes of asking for a key that `existing` has claimed."""
+def decide_claim(existing: Claim | None, request: bytes, token: str) -> ClaimOutcome:
+    """Return the outcome of claiming a key.
+
+    Args:
+        existing: the claim on the key so far; None if there is none.
+        request: digest of the request.
+        token: unique token of the attempt to claim.
+    """
     if existing is None or existing.token == token:
         return ClaimOutcome.GRANTED
     if existing.request != request:
@@ -130,6 +143,6 @@
     return ClaimOutcome.REPEATED if existing.status else ClaimOutcome.IN_PROGRESS
 
 
-def cut_body(body: bytes) -> bytes:
-    """Return the body that is kept for a repeat."""
-    return body if len(body) <= KEPT_BODY else BODY_TOO_LONG
+def limit_body(body: bytes) -> bytes:
+    """Return the body to keep for repeats: `body`, or a notice if it is too large."""
+    return body if len(body) <= MAX_KEPT_BODY else BODY_TOO_LONG
--- a/walkcart/once/tests/test_at_most_once.py
+++ b/walkcart/once/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that must not be repeated run at most once, whatever fails."""
+"""Non-repeatable requests run at most once, whatever fails."""
 
 from random import Random
 
@@ -84,7 +84,7 @@
     assert runs == 0
 
 
-def test_store_down_refuses_at_once_and_says_when_to_come_back():
+def test_store_outage_refuses_at_once_with_retry_after():
     async def run():
         async with open_estate() as world:
             caller, key = make_caller(world), new_key(world)
@@ -101,7 +101,7 @@
     assert (again.status, runs) == (200, 1)
 
 
-def test_lost_store_replies_are_settled_by_reading_back():
+def test_lost_store_replies_are_resolved_by_reading_back():
     async def run():
         async with open_estate() as world:
             caller = make_caller(world)
@@ -115,7 +115,7 @@
     assert (first.status, runs) == (200, 1)
 
 
-def test_delayed_write_after_giving_up_runs_nothing():
+def test_delayed_write_of_an_abandoned_claim_runs_nothing():
     async def run():
         async with open_estate() as world:
             caller, key = make_caller(world), new_key(world)
@@ -132,7 +132,7 @@
     assert (again.status, runs) == (200, 1)
 
 
-def test_reply_lost_after_the_run_is_never_told_as_not_run():
+def test_lost_reply_of_a_leaf_is_never_reported_as_not_run():
     async def run():
         async with open_estate() as world:
             caller, key = make_caller(world), new_key(world)
@@ -148,7 +148,7 @@
     assert runs == 1
 
 
-def test_leaf_that_refuses_is_followed_by_its_sibling():
+def test_request_that_a_leaf_refuses_goes_to_another_replica():
     async def run():
         async with open_estate() as world:
             caller = make_caller(world)
@@ -161,7 +161,7 @@
     assert (asked.status, runs) == (200, 1)
 
 
-def test_body_that_is_no_json_may_have_run():
+def test_reply_that_is_not_json_may_have_run():
     async def run():
         async with open_estate() as world:
             caller = make_caller(world)
@@ -172,7 +172,7 @@
     assert run_mocked(run).verdict == "may_have_run"
 
 
-def test_instance_killed_between_claim_and_reply_leaves_one_run_at_most():
+def test_instance_killed_between_claim_and_reply_allows_at_most_one_run():
     async def run():
         async with open_estate() as world:
             caller, key = make_caller(world), new_key(world)
@@ -190,7 +190,7 @@
     assert runs == 1
 
 
-def test_group_commit_saves_writes():
+def test_group_commit_batches_writes():
     async def run():
         async with open_estate(instances=7) as world:
             caller = make_caller(world)
@@ -210,7 +210,7 @@
     assert runs / writes >= 5
 
 
-def test_body_is_kept_for_a_repeat_only_up_to_its_limit():
+def test_reply_body_above_the_size_limit_is_not_kept():
     async def run():
         async with open_estate() as world:
             caller, key = make_caller(world), new_key(world)
@@ -228,7 +228,7 @@
     assert "too long" in second.content["detail"]
 
 
-def test_claims_move_into_segments_and_are_still_found():
+def test_claims_in_segments_are_still_found():
     async def run():
         async with open_estate() as world:
             caller, random = make_caller(world), Random(9)
@@ -249,19 +249,19 @@
 
     import walkcart.once.owner as owner
 
-    size, owner.SEGMENT_SIZE = owner.SEGMENT_SIZE, 4000
+    size, owner.MAX_BUCKET_SIZE = owner.MAX_BUCKET_SIZE, 4000
     try:
         segments, again, runs = run_mocked(run)
     finally:
-        owner.SEGMENT_SIZE = size
+        owner.MAX_BUCKET_SIZE = size
     assert segments >= 2
     assert runs == 400
-    # Another request under the same keys: found in the segments, refused.
+    # These are other requests with the same keys, which are found in the segments.
     assert {item.status for item in again} == {422}
 
 
-def test_request_that_never_left_the_instance_is_told_as_not_run():
-    """One connection to each leaf, all taken by requests that hang."""
+def test_request_that_never_left_the_instance_is_reported_as_not_run():
+    """Each leaf has one connection, and requests that hang occupy all of them."""
 
     async def run():
         async with open_estate(instances=1) as world:
@@ -290,8 +290,11 @@
     assert verdicts.count("not_run") == 5
 
 
-def test_holder_that_dies_at_any_moment_makes_no_false_not_run():
-    """A request by way of a holder, which is killed before, while and after."""
+def test_connection_holder_killed_at_any_moment_causes_no_false_not_run():
+    """The instance that holds the connections to the leaves is killed.
+
+    This happens before, while and after it forwards a request of another instance.
+    """
 
     def kill_after(delay):
         async def run():
@@ -299,7 +302,7 @@
                 from walkcart.bench.world import make_service
                 from walkcart.leaves.gateway import LeafGateway
 
-                # One connection to each leaf, so each has a single holder.
+                # With one connection to each leaf, each leaf has a single holder.
                 await world.apply(make_service("cards", 1, True, connections=1))
                 await trio.sleep(6)
                 for item in world.leaves.values():
