--- a/walkcart/entry/callerports.py
+++ b/walkcart/entry/callerports.py
@@ -25,7 +25,7 @@
     Args:
         id: identifier that the caller gave the request.
         host: host name that the request is addressed to.
-        patience: time for which the caller waits; None if it states none.
+        max_wait: time for which the caller waits; None if it states none.
         forwarded: the request as sent to leaves where no API key is required.
         traceparent: trace context that the caller sent; None if it sent none.
         credential: digest of the API key in the request; None unless there is
@@ -34,25 +34,25 @@
 
     id: str
     host: str
-    patience: timedelta | None
+    timeout: timedelta | None
     forwarded: HttpRequest
     traceparent: str | None = None
     credential: bytes | None = field(default=None, repr=False)
 
 
-class TeamLimits(Protocol):
+class TeamRateLimiter(Protocol):
     """Enforces the teams' rate limits, which all instances share."""
 
-    async def admit(self, team: Team, patience: float) -> NotRun | None:
+    async def admit(self, team: Team, max_wait: float) -> NotRun | None:
         """Charge a request to its team's limit; return a refusal if it has no room.
 
         Args:
             team: the team that sent the request.
-            patience: most seconds to wait for answers of other instances.
+            max_wait: most seconds to wait for answers of other instances.
         """
         ...
 
-    def give_back(self, team: Team, admitted_at: float) -> None:
+    def refund(self, team: Team, admitted_at: float) -> None:
         """Refund the charge for a request that was sent to no leaf.
 
         Args:
@@ -69,7 +69,7 @@
         """Parse a request."""
         ...
 
-    def name_team(self, request: HttpRequest, team: str) -> HttpRequest:
+    def attach_team(self, request: HttpRequest, team: str) -> HttpRequest:
         """Return a request as sent to leaves where API keys are required.
 
         Args:
--- a/walkcart/entry/roomgate.py
+++ b/walkcart/entry/overloadgate.py
@@ -1,7 +1,7 @@
 """Holds back or refuses questions while this instance is overloaded.
 
 See Also:
-    `walkcart.routing.instanceroom`, which decides when and which.
+    `walkcart.routing.instancelimiter`, which decides when and which.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
-from walkcart.routing.comeback import find_return
-from walkcart.routing.instanceroom import (
+from walkcart.routing.instancelimiter import (
     BLIND_RETRY,
-    Crowded,
-    Entry,
-    InstanceRoom,
+    InstanceLimiter,
+    Overloaded,
+    PendingQuestion,
     Started,
 )
 from walkcart.routing.latency import DecayedLatency
+from walkcart.routing.retryafter import draw_retry_after
 from walkcart.wire.verdicts import NotRun, Reason
 
 #: Seconds between two samples of the event loop's delay while questions are in
@@ -40,10 +40,10 @@
 
     turn: trio.Event = field(default_factory=trio.Event)
     started: bool = False
-    rejection: Crowded | None = None
+    rejection: Overloaded | None = None
 
 
-class RoomGate:
+class OverloadGate:
     """Admits questions within this instance's limit on concurrent questions.
 
     Args:
@@ -70,7 +70,7 @@
         self._metrics = metrics
         self._find_weight = find_weight
         self._is_enabled = is_enabled
-        self.room: InstanceRoom[_Waiter] = InstanceRoom()
+        self.room: InstanceLimiter[_Waiter] = InstanceLimiter()
         self._service_times: dict[str, DecayedLatency] = {}
         self._busy = trio.Event()
 
@@ -97,7 +97,7 @@
             now = self._clock.monotonic()
             times = self._service_times.setdefault(question.kind, DecayedLatency())
             times.observe(now, now - start)
-            self.room.leave(now, now - start)
+            self.room.finish(now, now - start)
             self._start_waiting(now)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
@@ -120,7 +120,7 @@
             now: current time, in seconds of the monotonic clock.
         """
         before = self.room.limit
-        self.room.note_delay(delay, now)
+        self.room.record_delay(delay, now)
         if self.room.limit != before:
             self._report_limit(before)
         self._start_waiting(now)
@@ -140,12 +140,12 @@
     async def _enter(self, question: RoutedQuestion) -> NotRun | None:
         now = self._clock.monotonic()
         waiter = _Waiter()
-        outcome = self.room.enter(waiter, self._describe(question, now), now)
+        outcome = self.room.submit(waiter, self._describe(question, now), now)
         self._busy.set()
         match outcome:
             case Started():
                 return None
-            case Crowded():
+            case Overloaded():
                 return self._refuse(question, outcome, 0.0)
         self._start_waiting(now)
         try:
@@ -153,22 +153,22 @@
                 await waiter.turn.wait()
         except BaseException:
             if waiter.started:
-                self.room.withdraw()
+                self.room.cancel_started()
                 self._start_waiting(self._clock.monotonic())
             raise
         finally:
             if not waiter.turn.is_set():
-                self.room.give_up(waiter)
+                self.room.cancel_waiting(waiter)
         waited = self._clock.monotonic() - now
         self._metrics.time("room.wait", waited * 1000)
         if waiter.started:
             return None
-        rejection = waiter.rejection or Crowded(BLIND_RETRY, waited)
+        rejection = waiter.rejection or Overloaded(BLIND_RETRY, waited)
         return self._refuse(question, rejection, waited)
 
-    def _describe(self, question: RoutedQuestion, now: float) -> Entry:
+    def _describe(self, question: RoutedQuestion, now: float) -> PendingQuestion:
         times = self._service_times.get(question.kind)
-        return Entry(
+        return PendingQuestion(
             question.rank,
             question.objective_at,
             question.deadline,
@@ -181,20 +181,20 @@
         """Wake the questions whose turn has come."""
         if not self.room.waiting:
             return
-        for waiter in self.room.take_started(now):
+        for waiter in self.room.start_waiting(now):
             waiter.started = True
             waiter.turn.set()
 
     def _reject_hopeless(self, now: float) -> None:
         """Refuse the waiting questions that can no longer be answered in time."""
-        for waiter, rejection in self.room.take_hopeless(now):
+        for waiter, rejection in self.room.remove_late(now):
             waiter.rejection = rejection
             waiter.turn.set()
 
     def _refuse(
-        self, question: RoutedQuestion, rejection: Crowded, waited: float
+        self, question: RoutedQuestion, rejection: Overloaded, waited: float
     ) -> NotRun:
-        retry = find_return(rejection.retry_after, self._random)
+        retry = draw_retry_after(rejection.retry_after, self._random)
         self._metrics.count("room.refused")
         self._events.emit(
             Events.ROOM_REFUSED,
--- a/walkcart/entry/routedservice.py
+++ b/walkcart/entry/routedservice.py
@@ -60,7 +60,7 @@
             _make_limits(CallerLimits()),
             self._answer_fault,
             self._log_disconnect,
-            cancel_on_gone=True,
+            cancel_on_disconnect=True,
             on_error=self._log_error,
         )
         keeper.on_change(self._update_limits)
@@ -86,7 +86,7 @@
         self._accepting.cancel()
         await trio.aclose_forcefully(self._listener)
 
-    async def tell_readiness(self, request: HttpRequest) -> HttpReply:
+    async def handle_readiness(self, request: HttpRequest) -> HttpReply:
         """Answer the load balancer: 200 if it may send new connections, else 503."""
         return HttpReply(200 if self.ready else 503)
 
--- a/walkcart/entry/starting.py
+++ b/walkcart/entry/startup.py
@@ -23,7 +23,7 @@
 STARTUP_TIMEOUT = timedelta(milliseconds=200)
 
 
-class StartGate:
+class StartupGate:
     """Delays requests until the data that they are served by is known.
 
     Args:
@@ -34,7 +34,7 @@
         self._is_known = is_known
         self._ready = trio.Event()
 
-    def note_change(self) -> None:
+    def recheck(self) -> None:
         """Check whether all data is known now, and if so, wake the waiting requests."""
         if self._is_known():
             self._ready.set()
--- a/walkcart/entry/stopping.py
+++ b/walkcart/entry/stopping.py
@@ -86,7 +86,7 @@
         return ended
 
     async def _drain(self) -> None:
-        while self._entry.server.connections or self._forwarder.carrying:
+        while self._entry.server.connections or self._forwarder.active_count:
             self._entry.server.close_idle(self._grace)
             await trio.sleep(POLL_INTERVAL)
         with trio.move_on_after(SETTLE_TIMEOUT):
--- a/walkcart/entry/teamaccess.py
+++ b/walkcart/entry/teamaccess.py
@@ -31,7 +31,7 @@
 #: copy that isn't confirmed for 1.8 s is read again, which takes up to 0.3 s on a busy
 #: machine; as much again is reserve. For no longer than this a caller with a new key
 #: is wrongly refused as unauthenticated.
-OLD_AGE = 2.5
+MAX_CONFIGURATION_AGE = 2.5
 #: Retry-after of a refusal because of an old configuration. The retry goes to an
 #: instance chosen anew: the delay is long enough to open a connection, and short enough
 #: for the answer to keep its value.
@@ -71,7 +71,7 @@
         return Access(None, Grant())
     if credential is None:
         return NotRun(Reason.UNAUTHENTICATED, "the request has no usable key")
-    if age > OLD_AGE:
+    if age > MAX_CONFIGURATION_AGE:
         detail = "no team has the key, by a configuration that may be old"
         return NotRun(Reason.CONFIGURATION_OLD, detail, STALE_RETRY_DELAY)
     return NotRun(Reason.UNAUTHENTICATED, "no team has the key")
--- a/walkcart/entry/teamlimits.py
+++ b/walkcart/entry/teamlimits.py
@@ -14,11 +14,11 @@
 from walkcart.intent.teams import RateLimit, Team
 from walkcart.kernel.clock import Clock
 from walkcart.kernel.metrics import Metrics
-from walkcart.membership.quotaanswers import FindLimit
-from walkcart.membership.quotaasks import QuotaAsks
+from walkcart.membership.quotaclient import QuotaClient
+from walkcart.membership.quotaserver import FindLimit
 from walkcart.routing.allowances import Allowance
-from walkcart.routing.comeback import find_return
-from walkcart.routing.quotas import QuotaBounds, Want, list_shares
+from walkcart.routing.quotas import QuotaBounds, QuotaRequest, list_shares
+from walkcart.routing.retryafter import draw_retry_after
 from walkcart.wire.verdicts import NotRun, Reason
 
 #: A team is far above its limit if an accountant states at least this many seconds
@@ -81,7 +81,7 @@
         return len(unasked) <= len(self.shares) * MAX_UNASKED_FRACTION
 
 
-class SharedTeamLimits:
+class DistributedRateLimiter:
     """Enforces rate limits by requesting grants from the accountants of their shares.
 
     Args:
@@ -95,7 +95,7 @@
 
     def __init__(
         self,
-        asks: QuotaAsks,
+        asks: QuotaClient,
         bounds: QuotaBounds,
         find_limit: FindLimit,
         clock: Clock,
@@ -110,15 +110,15 @@
         self._metrics = metrics
         self._allowances: dict[str, Allowance] = {}
         self._denials: dict[str, LastDenial] = {}
-        asks.follow_late(self._add_late_grant)
+        asks.on_late_grant(self._add_late_grant)
 
-    def keep_only(self, teams: frozenset[str]) -> None:
+    def retain_teams(self, teams: frozenset[str]) -> None:
         """Forget all teams but these: the others no longer have a limit."""
         for name in set(self._allowances) - teams:
             del self._allowances[name]
             self._denials.pop(name, None)
 
-    async def admit(self, team: Team, patience: float) -> NotRun | None:
+    async def admit(self, team: Team, max_wait: float) -> NotRun | None:
         """Charge a request to its team's limit; return a refusal if it has no room."""
         if team.limit is None or team.limit.rate <= 0.0:
             return None
@@ -126,18 +126,18 @@
         allowance = self._allowances.get(team.name)
         if allowance is None:
             allowance = self._allowances[team.name] = Allowance(self._bounds.hold)
-        if not allowance.take(start):
+        if not allowance.try_consume(start):
             shares = list_shares(team.limit, self._bounds, team.name)
-            deadline = start + min(patience, MAX_ASKING_TIME)
+            deadline = start + min(max_wait, MAX_ASKING_TIME)
             search = _Search(team.name, team.limit, shares, allowance, deadline)
             refusal = await self._ask(search)
             if refusal is not None:
                 return refusal
             self._metrics.time("quota.wait", (self._clock.monotonic() - start) * 1000)
-        allowance.note_use(start)
+        allowance.record_use(start)
         return None
 
-    def give_back(self, team: Team, admitted_at: float) -> None:
+    def refund(self, team: Team, admitted_at: float) -> None:
         """Refund the charge for a request that was sent to no leaf.
 
         A late refund has no effect: it would let the team run more requests within a
@@ -145,7 +145,7 @@
         """
         allowance = self._allowances.get(team.name)
         if allowance is not None:
-            allowance.give_back(admitted_at, self._clock.monotonic())
+            allowance.refund(admitted_at, self._clock.monotonic())
 
     async def _ask(self, search: _Search) -> NotRun | None:
         """Ask the accountants of the shares in turn until one grants a request."""
@@ -172,12 +172,12 @@
         answer = await self._asks.ask(share, want, search.deadline)
         now = self._clock.monotonic()
         # A grant for another request, or a late one, may have arrived meanwhile.
-        taken = allowance.take(now)
+        taken = allowance.try_consume(now)
         if answer is None:
             return taken
         if answer.reply.granted:
             allowance.full.forget(share)
-            allowance.put(answer.reply.granted - (not taken), answer.until)
+            allowance.add_grant(answer.reply.granted - (not taken), answer.until)
             return True
         allowance.full.take(answer.reply.full, now)
         allowance.full.note(share, answer.reply.wait, now)
@@ -186,7 +186,7 @@
         self._denials[search.team] = denial
         return taken
 
-    def _make_want(self, search: _Search) -> Want:
+    def _make_want(self, search: _Search) -> QuotaRequest:
         """Return what to ask for, by the configuration in force now.
 
         If that no longer has a limit for the team, the limit at the request's arrival
@@ -196,19 +196,19 @@
         version, limit = self._find_limit(search.team)
         if limit is None:
             version, limit = 0, search.limit
-        wanted = search.allowance.find_wanted(now)
+        wanted = search.allowance.find_request_amount(now)
         told = search.allowance.full.tell(now)
-        return Want(search.team, limit, version, wanted, told)
+        return QuotaRequest(search.team, limit, version, wanted, told)
 
     def _add_late_grant(self, team: str, amount: int, until: float) -> None:
         allowance = self._allowances.get(team)
         if allowance is not None:
-            allowance.put(amount, until)
+            allowance.add_grant(amount, until)
 
     def _refuse(self, search: _Search, wait: float) -> NotRun:
         """Refuse a request above the limit, with the time until there is room."""
         limit = search.limit
-        told = max(MIN_RETRY_DELAY, find_return(wait, self._random))
+        told = max(MIN_RETRY_DELAY, draw_retry_after(wait, self._random))
         detail = f"the limit of {limit.rate:g} a second and {limit.burst:g} is used"
         denial = self._denials.get(search.team)
         if denial is not None:
@@ -219,6 +219,6 @@
 
     def _refuse_unknown(self, asked: int) -> NotRun:
         """Refuse a request since no accountant can tell if it is above the limit."""
-        told = find_return(UNKNOWN_RETRY_DELAY, self._random)
+        told = draw_retry_after(UNKNOWN_RETRY_DELAY, self._random)
         detail = f"no accountant of {asked} shares was reached"
         return NotRun(Reason.LIMIT_UNKNOWN, detail, told)
--- a/walkcart/entry/tests/test_team_access.py
+++ b/walkcart/entry/tests/test_team_access.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 
 from walkcart.entry.callerports import CallerRequest
-from walkcart.entry.teamaccess import OLD_AGE, Access, find_access
+from walkcart.entry.teamaccess import MAX_CONFIGURATION_AGE, Access, find_access
 from walkcart.intent.routes import Route, RouteTable, RoutingDocument, ToService
 from walkcart.intent.teams import Grant, Team, digest_key
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 from walkcart.wire.http import HttpRequest
 from walkcart.wire.verdicts import NotRun, Reason
 
@@ -99,7 +99,7 @@
 def test_instance_with_an_old_configuration_refuses_no_key_for_good(configuration, key):
     table, route = make_table(configuration)
     new = find_access(table, route, key, FRESH_AGE)
-    old = find_access(table, route, key, OLD_AGE + 0.1)
+    old = find_access(table, route, key, MAX_CONFIGURATION_AGE + 0.1)
     if isinstance(new, Access):
         assert old == new
     elif key is None:
@@ -141,7 +141,7 @@
 )
 def test_regions_of_route_and_team_both_apply(of_route, of_team, both):
     def make(names):
-        return ANYWHERE if names is None else Regions(frozenset(names))
+        return ALL_REGIONS if names is None else Regions(frozenset(names))
 
     route = Route("r", "h", "/", ToService("s"), regions=make(of_route))
     team = Team("riders", regions=make(of_team))
--- a/walkcart/entry/tests/test_team_limits.py
+++ b/walkcart/entry/tests/test_team_limits.py
@@ -15,7 +15,12 @@
     send_usual_load,
 )
 from walkcart.intent.teams import RateLimit
-from walkcart.routing.quotas import DEPTH_PART, MOST_STARTS, SHARES, START_PART
+from walkcart.routing.quotas import (
+    DEPTH_FRACTION,
+    MAX_SHARES,
+    MAX_STARTS,
+    START_FRACTION,
+)
 from walkcart.wire.verdicts import Reason
 
 
@@ -23,7 +28,7 @@
 def test_usual_load_is_not_refused_and_makes_few_store_calls(count):
     async def act(fleet):
         store = fleet.store
-        accountants = [fleet.find_accountant(share) for share in range(SHARES)]
+        accountants = [fleet.find_accountant(share) for share in range(MAX_SHARES)]
         assert {member.region for member in accountants} == set(REGIONS)
         writes, reads = store.writes, store.reads
         store.renewals = 0
@@ -31,9 +36,9 @@
         check_served(fleet)
         assert not fleet.refused["large"]
         # One write for each share, which records that it has been held for long.
-        assert store.writes - writes <= SHARES
+        assert store.writes - writes <= MAX_SHARES
         assert store.reads == reads
-        assert store.renewals <= SHARES * 21
+        assert store.renewals <= MAX_SHARES * 21
         # An accountant in the instance's own region answers within a few ms.
         waits = sorted(fleet.waits)
         assert waits[len(waits) // 2] < 0.006
@@ -130,6 +135,6 @@
     # so the bounds need a reserve.
     limit = LARGE.limit
     used = limit.rate * BOUNDS.window + limit.burst
-    used += BOUNDS.slack * (DEPTH_PART + MOST_STARTS * START_PART)
+    used += BOUNDS.slack * (DEPTH_FRACTION + MAX_STARTS * START_FRACTION)
     used += limit.rate * 0.75 * BOUNDS.tolerance * BOUNDS.window
-    assert used + BOUNDS.slack / 6 <= BOUNDS.most(limit)
+    assert used + BOUNDS.slack / 6 <= BOUNDS.max_requests(limit)
