--- a/walkcart/entry/routed.py
+++ b/walkcart/entry/routed.py
@@ -70,8 +70,8 @@
         random: chooses where weighted splits begin.
         startup_gate: delays requests while the instance starts.
         origins: computes fingerprints of requests.
-        find_configuration_age: returns the seconds since the configuration was last confirmed to
-            be the newest.
+        find_configuration_age: returns the seconds since the configuration was last
+            confirmed to be the newest.
         room: delays or refuses requests while the instance is overloaded.
         limits: rate limits of the teams; None if they aren't enforced.
     """
--- a/walkcart/entry/teamlimits.py
+++ b/walkcart/entry/teamlimits.py
@@ -1,7 +1,7 @@
 """Admission of teams' requests under rate limits that all instances share.
 
 See Also:
-    `walkcart.entry.callerports.TeamLimits`, the interface that this implements.
+    `walkcart.entry.callerports.TeamRateLimiter`, the interface implemented here.
     ``docs/design/quotas.md``.
 """
 
--- a/walkcart/entry/tests/quotafleet.py
+++ b/walkcart/entry/tests/quotafleet.py
@@ -247,7 +247,7 @@
 
     async def request(self, member, name):
         start = trio.current_time()
-        refusal = await member.limits.admit(self.teams[name], patience=1.0)
+        refusal = await member.limits.admit(self.teams[name], max_wait=1.0)
         now = trio.current_time()
         self.waits.append(now - start)
         if refusal is None:
