--- a/walkcart/entry/callerports.py
+++ b/walkcart/entry/callerports.py
@@ -25,7 +25,7 @@
     Args:
         id: identifier that the caller gave the request.
         host: host name that the request is addressed to.
-        max_wait: time for which the caller waits; None if it states none.
+        timeout: time for which the caller waits; None if it states none.
         forwarded: the request as sent to leaves where no API key is required.
         traceparent: trace context that the caller sent; None if it sent none.
         credential: digest of the API key in the request; None unless there is
--- a/walkcart/entry/overloadgate.py
+++ b/walkcart/entry/overloadgate.py
@@ -124,7 +124,7 @@
         if self.room.limit != before:
             self._report_limit(before)
         self._start_waiting(now)
-        self._reject_hopeless(now)
+        self._reject_late(now)
 
     def _report_limit(self, before: float) -> None:
         """Report a changed limit in metrics and, if it comes or goes, in the log."""
@@ -185,7 +185,7 @@
             waiter.started = True
             waiter.turn.set()
 
-    def _reject_hopeless(self, now: float) -> None:
+    def _reject_late(self, now: float) -> None:
         """Refuse the waiting questions that can no longer be answered in time."""
         for waiter, rejection in self.room.remove_late(now):
             waiter.rejection = rejection
--- a/walkcart/entry/queries.py
+++ b/walkcart/entry/queries.py
@@ -163,12 +163,12 @@
             )
             if isinstance(entered, AdmissionRefused):
                 return self._refuse(entered)
-            typical_time = None
+            median_time = None
             try:
                 result = await self._gatherer.ask(question)
-                typical_time = result.map(lambda item: item.median_time).value_or(None)
+                median_time = result.map(lambda item: item.median_time).value_or(None)
             finally:
-                admission.release(caller.partner.name, typical_time)
+                admission.release(caller.partner.name, median_time)
             match result:
                 case Success(answer):
                     return self._answer(body, answer, caller, start)
@@ -194,9 +194,9 @@
             self._tools.metrics.count("query.partial")
         return render_answer(rows, answer, configuration)
 
-    def _refuse(self, turned_away: AdmissionRefused) -> HttpReply:
+    def _refuse(self, refusal: AdmissionRefused) -> HttpReply:
         detail = "the service has more requests than it can serve in time"
-        verdict = NotRun(Reason.OVERLOADED, detail, turned_away.retry_after)
+        verdict = NotRun(Reason.OVERLOADED, detail, refusal.retry_after)
         return self._fail(verdict)
 
     def _fail(self, verdict: NotRun | MayHaveRun) -> HttpReply:
--- a/walkcart/entry/routed.py
+++ b/walkcart/entry/routed.py
@@ -100,7 +100,7 @@
     def __init__(self, tools: RoutedEntryTools) -> None:
         self._tools = tools
         self._splits: dict[str, tuple[ToSplit, WeightedSplit]] = {}
-        self._overshoot = InstanceDelay()
+        self._instance_delay = InstanceDelay()
         self._log = RequestLog(tools.events, tools.metrics)
 
     async def handle(self, request: HttpRequest) -> HttpReply:
@@ -162,8 +162,8 @@
         limits = self._tools.limits
         if limits is None or team is None or team.limit is None:
             return None
-        patience = deadline - self._tools.gathering.clock.monotonic()
-        return await limits.admit(team, max(0.0, patience))
+        max_wait = deadline - self._tools.gathering.clock.monotonic()
+        return await limits.admit(team, max(0.0, max_wait))
 
     def _refund_limit(self, team: Team | None, start: float) -> None:
         """Refund to a team's limit the charge for a request that didn't run."""
@@ -195,7 +195,7 @@
                 reply = tools.protocol.render_merged(answer, top)
                 if answer.missing:
                     now = tools.gathering.clock.monotonic()
-                    self._overshoot.observe(max(0.0, now - question.objective_at))
+                    self._instance_delay.observe(max(0.0, now - question.objective_at))
                 return reply
             case Success(answer):
                 return tools.protocol.render_single(answer)
@@ -240,7 +240,7 @@
         sharded = isinstance(route.target, ToShards)
         if route.objective is not None:
             objective = (route.objective - OBJECTIVE_RESERVE).total_seconds()
-            objective -= self._overshoot.estimate(start)
+            objective -= self._instance_delay.estimate(start)
             objective -= self._tools.gathering.send_time.estimate(start)
         team = access.grant.team
         request = caller.forwarded
--- a/walkcart/entry/teamlimits.py
+++ b/walkcart/entry/teamlimits.py
@@ -168,8 +168,8 @@
     async def _ask_share(self, share: int, search: _Search) -> bool:
         """Ask the accountant of one share; return whether the request may run."""
         allowance = search.allowance
-        want = self._make_want(search)
-        answer = await self._asks.ask(share, want, search.deadline)
+        request = self._make_request(search)
+        answer = await self._asks.ask(share, request, search.deadline)
         now = self._clock.monotonic()
         # A grant for another request, or a late one, may have arrived meanwhile.
         taken = allowance.try_consume(now)
@@ -186,7 +186,7 @@
         self._denials[search.team] = denial
         return taken
 
-    def _make_want(self, search: _Search) -> QuotaRequest:
+    def _make_request(self, search: _Search) -> QuotaRequest:
         """Return what to ask for, by the configuration in force now.
 
         If that no longer has a limit for the team, the limit at the request's arrival
--- a/walkcart/entry/tests/test_overload_gate.py
+++ b/walkcart/entry/tests/test_overload_gate.py
@@ -27,11 +27,11 @@
     return OverloadGate(clock, Random(1), events, Metrics(None, "one"))
 
 
-def make_question(patience=5.0, rank=0):
+def make_question(timeout=5.0, rank=0):
     now = trio.current_time()
     request = HttpRequest("GET", "/x")
     return RoutedQuestion(
-        "q", "kind", request, ("s",), now + patience, now + 0.2, rank=rank
+        "q", "kind", request, ("s",), now + timeout, now + 0.2, rank=rank
     )
 
 
@@ -88,7 +88,7 @@
             for name in range(20):
                 nursery.start_soon(serve, gate, make_question(), found, name)
             await trio.sleep(0.55)
-            question = make_question(patience=0.3)
+            question = make_question(timeout=0.3)
             await serve(gate, question, found, "hasty")
             waiting = gate.room.waiting
         return found, waiting, log.getvalue()
