--- a/walkcart/membership/coldshares.py
+++ b/walkcart/membership/coldshares.py
@@ -42,15 +42,15 @@
 SHARE_PREFIX = "walkcart/cold/"
 #: Shares of each data centre: as many as gather in it at the least, so that one that
 #: ended leaves two thirds in use until its key is gone.
-SHARES = 3
+SHARE_COUNT = 3
 #: Seconds for which a reading that showed the key is trusted. Four looks, so that one
 #: slow call of the store does no harm; a free share is unused for as long.
-TRUST = 2.0
+KEY_TRUST_TIME = 2.0
 #: Seconds between two looks at what is to be taken or read.
-LOOK = 0.5
+REFRESH_INTERVAL = 0.5
 #: Seconds before shares that others hold are tried for again; doubles to the longest.
-FIRST_RETRY = 2.0
-LONGEST_RETRY = 60.0
+MIN_RETRY_INTERVAL = 2.0
+MAX_RETRY_INTERVAL = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
         self._held: dict[str, HeldShare] = {}
         self._trusted_until: dict[str, float] = {}
         self._retry_at: dict[str, float] = {}
-        self._retry: dict[str, float] = {}
+        self._retry_intervals: dict[str, float] = {}
 
     def find_share(self, data_centre: str) -> Share | None:
         """Return the share of a data centre's cold leafs that may be used now."""
@@ -133,7 +133,7 @@
             with suppress(StoreUnavailable):
                 # Logged by the calls, which know whether it is the first failure.
                 await self.look()
-            await trio.sleep(LOOK)
+            await trio.sleep(REFRESH_INTERVAL)
 
     async def look(self) -> None:
         """Take the shares that this instance is to hold, and see to those it uses.
@@ -143,10 +143,10 @@
         """
         self._drop_ended()
         for data_centre in sorted(self._needs.find_cold() & set(self._held)):
-            await self._confirm(data_centre)
+            await self._check_key(data_centre)
         for data_centre in sorted(self._needs.find_bounded() - set(self._held)):
-            if self._may_try(data_centre):
-                await self._try_all(data_centre)
+            if self._may_take(data_centre):
+                await self._take_any(data_centre)
 
     def _drop_ended(self) -> None:
         """Forget the shares whose lease this instance no longer has."""
@@ -162,40 +162,40 @@
             Events.COLD_SHARE_LOST, data_centre=data_centre, reason=reason
         )
 
-    async def _confirm(self, data_centre: str) -> None:
+    async def _check_key(self, data_centre: str) -> None:
         """Read whether the key of a share is still there."""
         held = self._held[data_centre]
         asked_at = self._clock.monotonic()
-        if asked_at < self._trusted_until.get(data_centre, 0.0) - TRUST / 2:
+        if asked_at < self._trusted_until.get(data_centre, 0.0) - KEY_TRUST_TIME / 2:
             return
         page = await self._store.list_items(held.key, "", fresh=True)
         revisions = {item.key: item.revision for item in page.items}
         if revisions.get(held.key) == held.revision:
-            self._trusted_until[data_centre] = asked_at + TRUST
+            self._trusted_until[data_centre] = asked_at + KEY_TRUST_TIME
         else:
             self._lose(data_centre, "the key is gone")
 
-    def _may_try(self, data_centre: str) -> bool:
+    def _may_take(self, data_centre: str) -> bool:
         if self._registration.lease is None:
             return False
         if self._clock.monotonic() < self._retry_at.get(data_centre, 0.0):
             return False
         own = self._registration.own.name
-        return own in self._needs.rank(data_centre)[:SHARES]
+        return own in self._needs.rank(data_centre)[:SHARE_COUNT]
 
-    async def _try_all(self, data_centre: str) -> None:
+    async def _take_any(self, data_centre: str) -> None:
         """Take a share of a data centre, this instance's own number first."""
-        first = self._needs.rank(data_centre).index(self._registration.own.name)
-        for step in range(SHARES):
-            share = Share((first + step) % SHARES, SHARES)
-            if await self._try(data_centre, share):
-                self._retry.pop(data_centre, None)
+        preferred = self._needs.rank(data_centre).index(self._registration.own.name)
+        for step in range(SHARE_COUNT):
+            share = Share((preferred + step) % SHARE_COUNT, SHARE_COUNT)
+            if await self._take(data_centre, share):
+                self._retry_intervals.pop(data_centre, None)
                 return
-        retry = self._retry.get(data_centre, FIRST_RETRY)
-        self._retry_at[data_centre] = self._clock.monotonic() + retry
-        self._retry[data_centre] = min(LONGEST_RETRY, retry * 2)
+        interval = self._retry_intervals.get(data_centre, MIN_RETRY_INTERVAL)
+        self._retry_at[data_centre] = self._clock.monotonic() + interval
+        self._retry_intervals[data_centre] = min(MAX_RETRY_INTERVAL, interval * 2)
 
-    async def _try(self, data_centre: str, share: Share) -> bool:
+    async def _take(self, data_centre: str, share: Share) -> bool:
         """Take one share; return whether it is this instance's."""
         lease = self._registration.lease
         if lease is None:
@@ -209,7 +209,7 @@
             for item in outcome.present:
                 if item.value == value:
                     # An answer that was lost may have been of a call that was done.
-                    self._take(data_centre, share, item, lease)
+                    self._hold(data_centre, share, item, lease)
                     return True
                 if item.lease == lease.id and item.value < value:
                     # Of a life that began earlier; the new revision tells that one,
@@ -218,13 +218,13 @@
                     outcome = await self._store.commit(Transaction(expected, (put,)))
         if isinstance(outcome, Committed):
             item = Item(key, value, outcome.revision)
-            self._take(data_centre, share, item, lease)
+            self._hold(data_centre, share, item, lease)
             return True
         return False
 
-    def _take(self, data_centre: str, share: Share, item: Item, lease: Lease) -> None:
+    def _hold(self, data_centre: str, share: Share, item: Item, lease: Lease) -> None:
         """Hold a share whose key is stored; it is used once no former holder is."""
-        usable_from = self._clock.monotonic() + TRUST + WINDOW + WINDOW_MARGIN
+        usable_from = self._clock.monotonic() + KEY_TRUST_TIME + WINDOW + WINDOW_MARGIN
         self._held[data_centre] = HeldShare(
             share, item.key, item.revision, lease, usable_from
         )
--- a/walkcart/membership/detector.py
+++ b/walkcart/membership/detector.py
@@ -35,7 +35,7 @@
 INDIRECT_PINGS = 2
 PUSH_PEERS = 3
 #: Share of a round after which a ping without an answer is asked of others.
-DIRECT_SHARE = 0.5
+DIRECT_PING_FRACTION = 0.5
 #: Rounds from a suspicion to death.
 SUSPICION_ROUNDS = 2.0
 #: In one of so many rounds a dead instance is pinged, so that a cut heals.
@@ -86,9 +86,9 @@
         self._events = events
         self._metrics = metrics
         self._interval = interval.total_seconds()
-        self._number = 0
+        self._last_number = 0
         self._probes: dict[int, _Probe] = {}
-        self._relayed: dict[int, tuple[str, int]] = {}
+        self._indirect_pings: dict[int, tuple[str, int]] = {}
         self._order: list[str] = []
         self._round = 0
         self._nursery: trio.Nursery | None = None
@@ -118,12 +118,12 @@
 
     def _choose_target(self) -> str | None:
         if self._round % DEAD_PING_ROUNDS == 0:
-            dead = self._dead_but_listed()
+            dead = self._list_dead_but_listed()
             if dead:
                 return self._random.choice(dead)
         while True:
             if not self._order:
-                self._order = self._not_dead()
+                self._order = self._list_not_dead()
                 self._random.shuffle(self._order)
                 if not self._order:
                     return None
@@ -132,14 +132,14 @@
             if record is not None and record.state != MemberState.DEAD:
                 return name
 
-    def _not_dead(self) -> list[str]:
+    def _list_not_dead(self) -> list[str]:
         return [
             record.name
             for record in self._view.records()
             if record.state != MemberState.DEAD and record.name != self._view.own.name
         ]
 
-    def _dead_but_listed(self) -> list[str]:
+    def _list_dead_but_listed(self) -> list[str]:
         return [
             record.name
             for record in self._view.records()
@@ -165,7 +165,7 @@
         target = probe.target
         try:
             self._links.send(target, Ping(number, self._gossip.make_digest(target)))
-            with trio.move_on_after(self._interval * DIRECT_SHARE):
+            with trio.move_on_after(self._interval * DIRECT_PING_FRACTION):
                 await probe.answered.wait()
                 return True
             for helper in self._choose_peers(INDIRECT_PINGS, target):
@@ -194,12 +194,12 @@
             self.push_soon()
 
     def _next_number(self) -> int:
-        self._number += 1
-        return self._number
+        self._last_number += 1
+        return self._last_number
 
-    def _choose_peers(self, count: int, without: str = "") -> list[str]:
+    def _choose_peers(self, count: int, exclude: str = "") -> list[str]:
         names = [item.name for item in self._view.usable_peers()]
-        names = [name for name in names if name != without]
+        names = [name for name in names if name != exclude]
         return self._random.sample(names, min(count, len(names)))
 
     async def _push_news(self) -> None:
@@ -213,17 +213,17 @@
 
     def _on_ping(self, sender: str, message: Message) -> None:
         assert isinstance(message, Ping)
-        self._take_in(message.digest)
+        self._merge_digest(message.digest)
         digest = self._gossip.make_digest()
         self._links.send(sender, Ack(message.number, self._view.own.name, digest))
 
     def _on_ack(self, sender: str, message: Message) -> None:
         assert isinstance(message, Ack)
-        self._take_in(message.digest)
+        self._merge_digest(message.digest)
         probe = self._probes.get(message.number)
         if probe is not None and probe.target == message.target:
             probe.answered.set()
-        asked = self._relayed.pop(message.number, None)
+        asked = self._indirect_pings.pop(message.number, None)
         if asked is not None:
             name, number = asked
             digest = self._gossip.make_digest()
@@ -231,19 +231,19 @@
 
     def _on_ping_request(self, sender: str, message: Message) -> None:
         assert isinstance(message, PingRequest)
-        self._take_in(message.digest)
+        self._merge_digest(message.digest)
         number = self._next_number()
-        self._relayed[number] = (sender, message.number)
-        if len(self._relayed) > 1000:
-            self._relayed.pop(next(iter(self._relayed)))
+        self._indirect_pings[number] = (sender, message.number)
+        if len(self._indirect_pings) > 1000:
+            self._indirect_pings.pop(next(iter(self._indirect_pings)))
         digest = self._gossip.make_digest(message.target)
         self._links.send(message.target, Ping(number, digest))
 
     def _on_gossip(self, sender: str, message: Message) -> None:
         assert isinstance(message, Gossip)
-        self._take_in(message.digest)
+        self._merge_digest(message.digest)
 
-    def _take_in(self, digest: object) -> None:
+    def _merge_digest(self, digest: object) -> None:
         if self._gossip.take_in(digest):
             self.push_soon()
 
--- a/walkcart/membership/feeding.py
+++ b/walkcart/membership/feeding.py
@@ -35,25 +35,25 @@
 )
 
 #: A subscription ends this long after it was renewed last.
-SUBSCRIPTION = timedelta(seconds=3)
+SUBSCRIPTION_TTL = timedelta(seconds=3)
 #: A message that wasn't acknowledged after this is taken for lost: a full copy of 170
 #: KB to each of 12 subscribers takes 1.6 s on a link of 10 Mbit/s if it can't be
 #: packed.
-RESEND = timedelta(seconds=2)
+RESEND_TIMEOUT = timedelta(seconds=2)
 #: Least time between two signs of life. One is due when the store has served a call,
 #: which it does each second, so that it is new when it is sent.
-BEAT = timedelta(seconds=0.5)
+HEARTBEAT_INTERVAL = timedelta(seconds=0.5)
 #: A copy that was surely complete longer ago isn't passed on as one that is.
-FRESH = timedelta(seconds=1.6)
+MAX_COPY_AGE = timedelta(seconds=1.6)
 #: Level of zlib: 2,627 bytes of a configuration of 21,676 in 0.15 ms of a processor;
 #: level 6 makes 2,539 of them in 0.41 ms.
-PACK_LEVEL = 1
+ZLIB_LEVEL = 1
 #: Bytes that a message may unpack to, so that a small one can't fill the memory.
-UNPACK_LIMIT = 64 << 20
+MAX_UNPACKED_BYTES = 64 << 20
 
 
 @dataclass(frozen=True, slots=True)
-class _Flight:
+class _SentMessage:
     """A message that wasn't acknowledged yet.
 
     Args:
@@ -72,18 +72,18 @@
         self.renewed_at = float("-inf")
         #: By prefix, the revision that it last said to have.
         self.told: dict[str, int] = {}
-        self.flights: dict[str, _Flight] = {}
+        self.in_flight: dict[str, _SentMessage] = {}
 
-    def take_word(self, prefix: str, revision: int, now: float) -> None:
+    def record_revision(self, prefix: str, revision: int, now: float) -> None:
         """Note what the subscriber has of a prefix."""
-        flight = self.flights.get(prefix)
-        if flight is not None:
-            arrived = revision >= flight.revision
-            lost = now - flight.sent_at > RESEND.total_seconds()
+        sent_message = self.in_flight.get(prefix)
+        if sent_message is not None:
+            arrived = revision >= sent_message.revision
+            lost = now - sent_message.sent_at > RESEND_TIMEOUT.total_seconds()
             # One that has less than it had is a new process: nothing is on its way.
-            is_new = revision < self.told.get(prefix, 0)
-            if arrived or lost or is_new:
-                del self.flights[prefix]
+            restarted = revision < self.told.get(prefix, 0)
+            if arrived or lost or restarted:
+                del self.in_flight[prefix]
         self.told[prefix] = revision
 
 
@@ -95,7 +95,7 @@
         links: to the other instances.
         clock: source of time.
         may_feed: whether this instance watches the store and is served by it.
-        on_asked: told who asks while it may not.
+        on_refused: told who asks while it may not.
     """
 
     def __init__(
@@ -104,56 +104,60 @@
         links: PeerLinks,
         clock: Clock,
         may_feed: Callable[[], bool],
-        on_asked: Callable[[str], None] = lambda name: None,
+        on_refused: Callable[[str], None] = lambda name: None,
     ) -> None:
         self._followers = followers
         self._links = links
         self._clock = clock
         self._may_feed = may_feed
-        self._on_asked = on_asked
+        self._on_refused = on_refused
         self._subscribers: dict[str, _Subscriber] = {}
         self._changed_at = dict.fromkeys(followers, clock.monotonic())
-        self._beat_at = float("-inf")
+        self._heartbeat_at = float("-inf")
         #: The last packed message of each prefix: most subscribers lack the same.
         self._packed: dict[str, tuple[tuple[int, int], bytes]] = {}
         for follower in followers.values():
             follower.on_change = self._on_change
-            follower.on_current = self._beat
+            follower.on_current = self._send_heartbeats
         links.on(RelaySubscribe, self._on_subscribe)
 
     def has_subscribers(self) -> bool:
         """Return whether anybody was asking of late."""
-        self._drop_ended(self._clock.monotonic())
+        self._drop_expired(self._clock.monotonic())
         return bool(self._subscribers)
 
-    def turn_away(self) -> None:
+    def reject_subscribers(self) -> None:
         """Tell all subscribers to ask others."""
         for name in self._subscribers:
             self._links.send(name, RelayUnserved())
         self._subscribers.clear()
 
-    def note_served(self) -> None:
+    def send_heartbeats_if_due(self) -> None:
         """Send signs of life, now that the store has served a call."""
         now = self._clock.monotonic()
         oldest = min(follower.current_at for follower in self._followers.values())
         # While a watch pauses there is nothing new to say; once it is over there is.
-        if now - oldest <= BEAT.total_seconds() <= now - self._beat_at:
-            self._beat()
-
-    def _beat(self) -> None:
+        if (
+            now - oldest
+            <= HEARTBEAT_INTERVAL.total_seconds()
+            <= now - self._heartbeat_at
+        ):
+            self._send_heartbeats()
+
+    def _send_heartbeats(self) -> None:
         """Send signs of life: what a watch has shown ages while it pauses."""
         now = self._clock.monotonic()
-        self._beat_at = now
-        self._drop_ended(now)
+        self._heartbeat_at = now
+        self._drop_expired(now)
         if not self._subscribers or not self._may_feed():
             return
         for name, subscriber in self._subscribers.items():
             for follower in self._followers.values():
-                self._offer(name, subscriber, follower)
-            self._send_sign(name, subscriber)
+                self._send_missing(name, subscriber, follower)
+            self._send_current(name, subscriber)
 
-    def _drop_ended(self, now: float) -> None:
-        limit = now - SUBSCRIPTION.total_seconds()
+    def _drop_expired(self, now: float) -> None:
+        limit = now - SUBSCRIPTION_TTL.total_seconds()
         for name, subscriber in list(self._subscribers.items()):
             if subscriber.renewed_at < limit:
                 del self._subscribers[name]
@@ -163,7 +167,7 @@
         if not self._may_feed():
             return
         for name, subscriber in self._subscribers.items():
-            self._offer(name, subscriber, follower)
+            self._send_missing(name, subscriber, follower)
 
     def _on_subscribe(self, sender: str, message: Message) -> None:
         assert isinstance(message, RelaySubscribe)
@@ -173,21 +177,21 @@
         subscriber.renewed_at = now
         for prefix, revision in message.revisions.items():
             if prefix in self._followers:
-                subscriber.take_word(prefix, revision, now)
+                subscriber.record_revision(prefix, revision, now)
         if not self._may_feed():
-            self._on_asked(sender)
+            self._on_refused(sender)
             return
         for follower in self._followers.values():
-            self._offer(sender, subscriber, follower)
+            self._send_missing(sender, subscriber, follower)
         if first:
-            self._send_sign(sender, subscriber)
+            self._send_current(sender, subscriber)
 
-    def _offer(
+    def _send_missing(
         self, name: str, subscriber: _Subscriber, follower: PrefixFollower
     ) -> None:
         """Send a subscriber what it lacks of a prefix, if nothing is on its way."""
         prefix = follower.prefix
-        if prefix in subscriber.flights or not self._is_fresh(follower):
+        if prefix in subscriber.in_flight or not self._is_fresh(follower):
             return
         base = subscriber.told.get(prefix, 0)
         changes = follower.changes_after(base)
@@ -195,7 +199,7 @@
             return
         if self._links.send(name, self._make_message(follower, base, changes)):
             now = self._clock.monotonic()
-            subscriber.flights[prefix] = _Flight(follower.revision, now)
+            subscriber.in_flight[prefix] = _SentMessage(follower.revision, now)
 
     def _make_message(
         self,
@@ -222,7 +226,7 @@
         self._packed[prefix] = ((base, revision), packed)
         return packed
 
-    def _send_sign(self, name: str, subscriber: _Subscriber) -> None:
+    def _send_current(self, name: str, subscriber: _Subscriber) -> None:
         """Say where the copies stand that the subscriber lacks nothing of."""
         now = self._clock.monotonic()
         states = {
@@ -230,19 +234,19 @@
                 follower.latest_change, follower.revision, now - follower.current_at
             )
             for prefix, follower in self._followers.items()
-            if prefix not in subscriber.flights and self._is_fresh(follower)
+            if prefix not in subscriber.in_flight and self._is_fresh(follower)
         }
         if states:
             self._links.send(name, RelayCurrent(states))
 
     def _is_fresh(self, follower: PrefixFollower) -> bool:
         age = self._clock.monotonic() - follower.current_at
-        return follower.known and age <= FRESH.total_seconds()
+        return follower.known and age <= MAX_COPY_AGE.total_seconds()
 
 
 def pack_changes(changes: Iterable[Change]) -> bytes:
     """Return the bytes of changes for a message."""
-    return pack_value(tuple(_encode(change) for change in changes), PACK_LEVEL)
+    return pack_value(tuple(_encode(change) for change in changes), ZLIB_LEVEL)
 
 
 def unpack_changes(packed: bytes) -> list[Change]:
@@ -251,7 +255,7 @@
     Raises:
         walkcart.store.packing.BadValue: they can't be read.
     """
-    rows = unpack_value(packed, tuple[RelayedItem, ...], UNPACK_LIMIT)
+    rows = unpack_value(packed, tuple[RelayedItem, ...], MAX_UNPACKED_BYTES)
     return [_decode(row) for row in rows]
 
 
--- a/walkcart/membership/gossip.py
+++ b/walkcart/membership/gossip.py
@@ -32,16 +32,16 @@
     def __init__(self, view: MembershipView, marks: LeafMarks) -> None:
         self._view = view
         self._marks = marks
-        self._members: dict[str, int] = {}
-        self._leaves: dict[str, int] = {}
+        self._pending_members: dict[str, int] = {}
+        self._pending_marks: dict[str, int] = {}
 
     def add_member(self, name: str) -> None:
         """Pass on the record of the instance called `name`."""
-        self._members[name] = self._repeats()
+        self._pending_members[name] = self._count_repeats()
 
     def add_mark(self, address: str) -> None:
         """Pass on the mark of the leaf at `address`."""
-        self._leaves[address] = self._repeats()
+        self._pending_marks[address] = self._count_repeats()
 
     def make_digest(self, target: str = "") -> Digest:
         """Return what the next message carries, and count it as sent.
@@ -54,11 +54,11 @@
         held = self._view.find(target)
         if held is not None and held.state >= MemberState.SUSPECT:
             members.append(held)
-        for name in _take(self._members, RECORDS_PER_MESSAGE):
+        for name in _pick_next(self._pending_members, RECORDS_PER_MESSAGE):
             record = self._view.find(name)
             if record is not None and name != self._view.own.name:
                 members.append(record)
-        addresses = _take(self._leaves, MARKS_PER_MESSAGE)
+        addresses = _pick_next(self._pending_marks, MARKS_PER_MESSAGE)
         marks = [self._marks.mark_of(address) for address in addresses]
         return Digest(
             self._view.own.revision,
@@ -70,29 +70,29 @@
         """Merge a received digest; return whether it held urgent news."""
         urgent = False
         for record in digest.members:
-            urgent |= self._take_member(record)
+            urgent |= self._merge_member(record)
         for mark in digest.marks:
-            urgent |= self._take_mark(mark)
+            urgent |= self._merge_mark(mark)
         return urgent
 
-    def _take_member(self, record: MemberRecord) -> bool:
+    def _merge_member(self, record: MemberRecord) -> bool:
         held = self._view.find(record.name)
         if not self._view.merge(record):
             return False
         return held is None or held.state != record.state
 
-    def _take_mark(self, mark: LeafMark) -> bool:
+    def _merge_mark(self, mark: LeafMark) -> bool:
         if not self._marks.note_leaving(mark.address, mark.incarnation):
             return False
         self.add_mark(mark.address)
         return True
 
-    def _repeats(self) -> int:
+    def _count_repeats(self) -> int:
         count = len(self._view.records())
         return REPEATS_FACTOR * max(1, math.ceil(math.log2(count + 1)))
 
 
-def _take(pending: dict[str, int], limit: int) -> list[str]:
+def _pick_next(pending: dict[str, int], limit: int) -> list[str]:
     """Take the names with most repeats left, counting them down."""
     chosen = sorted(pending, key=lambda name: (-pending[name], name))[:limit]
     for name in chosen:
--- a/walkcart/membership/instancekeys.py
+++ b/walkcart/membership/instancekeys.py
@@ -50,7 +50,7 @@
         self._events = events
         self._readers: dict[str, Callable[[Item], None]] = {}
 
-    def add(self, prefix: str, reader: Callable[[Item], None]) -> None:
+    def add_prefix_reader(self, prefix: str, reader: Callable[[Item], None]) -> None:
         """Give `reader` the items of another prefix, each time the keys are read."""
         self._readers[prefix] = reader
 
@@ -64,14 +64,14 @@
         others = {}
         for item in reading.items.values():
             if not item.key.startswith(INSTANCE_PREFIX):
-                self._give_to_reader(item)
+                self._dispatch_item(item)
                 continue
             record = self._read_record(item)
             if record is not None and record.name != self._name:
                 others[record.name] = record
         return KeyReading(reading.items.get(INSTANCE_PREFIX + self._name), others)
 
-    def _give_to_reader(self, item: Item) -> None:
+    def _dispatch_item(self, item: Item) -> None:
         for prefix, reader in self._readers.items():
             if item.key.startswith(prefix):
                 reader(item)
--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -15,16 +15,16 @@
 from walkcart.kernel.taskfaults import note_task_fault
 from walkcart.membership.messageages import ClockReadings, Stamp
 from walkcart.membership.outbox import Outbox
-from walkcart.membership.peerbook import PeerBook, read_address
+from walkcart.membership.peerbook import PeerBook, parse_address
 from walkcart.wire.codec import BadMessage, decode_envelope, encode_envelope
 from walkcart.wire.messages import Envelope, Message
 from walkcart.wire.peers import PeerListener, PeerTransport
 
 #: Random bytes that name a process life.
-LIFE_BYTES = 4
+LIFE_ID_BYTES = 4
 #: Senders outside the book whose addresses are kept.
-STRANGER_LIMIT = 256
-SEND_TIME = timedelta(seconds=2)
+MAX_UNKNOWN_SENDERS = 256
+SEND_TIMEOUT = timedelta(seconds=2)
 #: A connection may have gone silent for good without an end. Between two new ones to a
 #: peer that seems silent; also how long the old one is kept for what it still carries.
 RENEWAL_INTERVAL = timedelta(seconds=2)
@@ -56,17 +56,17 @@
     ) -> None:
         self._listener = listener
         self._transport = transport
-        self._view = view
+        self._directory = view
         self._events = events
         self._metrics = metrics
         self._handlers: dict[type[Message], MessageHandler] = {}
-        self._work_handlers: dict[type[Message], WorkHandler] = {}
-        self._readings = ClockReadings(secrets.token_hex(LIFE_BYTES))
+        self._aged_handlers: dict[type[Message], WorkHandler] = {}
+        self._clock_readings = ClockReadings(secrets.token_hex(LIFE_ID_BYTES))
         self._links: dict[tuple[str, HostPort], Outbox] = {}
         #: Addresses that senders gave or the book held last, for answers to those that
         #: aren't in it yet, or any more: the store may turn one away for longer than
         #: its entry lasts.
-        self._heard: dict[str, str] = {}
+        self._last_addresses: dict[str, str] = {}
         self._nursery: trio.Nursery | None = None
         self.last_received = trio.current_time()
 
@@ -76,11 +76,11 @@
 
     def on_work(self, kind: type[Message], handler: WorkHandler) -> None:
         """Give messages of `kind`, which start work, to `handler`, with their age."""
-        self._work_handlers[kind] = handler
+        self._aged_handlers[kind] = handler
 
     def has_heard_of(self, name: str) -> bool:
         """Return whether a life of the instance called `name` was heard of."""
-        return self._readings.has_heard_of(name)
+        return self._clock_readings.has_heard_of(name)
 
     def has_link(self, name: str) -> bool:
         """Return whether there is a link to an instance, or one is being made."""
@@ -101,10 +101,10 @@
         return self._links.get((name, address)) if address else None
 
     def _find_address(self, name: str) -> HostPort | None:
-        record = self._view.find(name)
+        record = self._directory.find(name)
         if record is not None:
-            self._heard[name] = record.peer_address
-        return read_address(self._heard.get(name, ""))
+            self._last_addresses[name] = record.peer_address
+        return parse_address(self._last_addresses.get(name, ""))
 
     def is_waiting(self, name: str, message: Message) -> bool:
         """Return whether a message to an instance wasn't sent yet."""
@@ -161,46 +161,46 @@
             async with trio.open_nursery() as self._nursery:
                 task_status.started()
                 while True:
-                    self._take_in_safely(await self._listener.receive())
+                    self._receive_safely(await self._listener.receive())
         finally:
             self._nursery = None
             with trio.CancelScope(shield=True, deadline=trio.current_time() + 1):
                 await self._listener.close()
 
-    def _take_in_safely(self, data: bytes) -> None:
+    def _receive_safely(self, data: bytes) -> None:
         """Take in an envelope, whose faults must not end the instance."""
         try:
-            self._take_in(data)
+            self._receive(data)
         except Exception as error:
             note_task_fault(self._events, "peer envelope", error)
 
-    def _take_in(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         self._metrics.count("peer.bytes", len(data))
         try:
             envelope = decode_envelope(data)
         except BadMessage as error:
             self._events.emit(Events.PEER_BAD_MESSAGE, detail=str(error)[:200])
             return
-        if envelope.to_incarnation not in (0, self._view.own.incarnation):
+        if envelope.to_incarnation not in (0, self._directory.own.incarnation):
             # Meant for an earlier process at this address.
             return
         now = self.last_received = trio.current_time()
-        if envelope.address and self._view.find(envelope.sender) is None:
-            self._note_stranger(envelope)
+        if envelope.address and self._directory.find(envelope.sender) is None:
+            self._record_unknown_sender(envelope)
         stamp = Stamp(
             envelope.life, envelope.sent_at, envelope.to_life, envelope.least_reading
         )
         if stamp.life:
-            self._readings.note(envelope.sender, stamp, now)
-        age = self._readings.find_age(stamp, now)
+            self._clock_readings.note(envelope.sender, stamp, now)
+        age = self._clock_readings.find_age(stamp, now)
         self._metrics.count("peer.received", len(envelope.messages))
         for message in envelope.messages:
-            self._handle(envelope.sender, message, age)
+            self._dispatch(envelope.sender, message, age)
 
-    def _handle(self, sender: str, message: Message, age: float) -> None:
+    def _dispatch(self, sender: str, message: Message, age: float) -> None:
         """Give a message to its handler, whose faults must not end the instance."""
         try:
-            if (work := self._work_handlers.get(type(message))) is not None:
+            if (work := self._aged_handlers.get(type(message))) is not None:
                 work(sender, message, age)
             elif (handler := self._handlers.get(type(message))) is not None:
                 handler(sender, message)
@@ -208,11 +208,11 @@
             task = f"{type(message).__name__} of {sender}"
             note_task_fault(self._events, task, error)
 
-    def _note_stranger(self, envelope: Envelope) -> None:
+    def _record_unknown_sender(self, envelope: Envelope) -> None:
         """Keep the address of a sender that the book doesn't know yet."""
-        while len(self._heard) >= STRANGER_LIMIT:
-            del self._heard[next(iter(self._heard))]
-        self._heard[envelope.sender] = envelope.address
+        while len(self._last_addresses) >= MAX_UNKNOWN_SENDERS:
+            del self._last_addresses[next(iter(self._last_addresses))]
+        self._last_addresses[envelope.sender] = envelope.address
 
     async def _run_link(self, name: str, address: HostPort, link: Outbox) -> None:
         """Send what is queued for one peer until it is idle or unreachable."""
@@ -229,16 +229,18 @@
             while await link.wait():
                 self._metrics.time("peer.wait", link.waited * 1000)
                 messages: tuple[Message, ...] = ()
-                with trio.move_on_after(SEND_TIME.total_seconds()) as scope:
+                with trio.move_on_after(SEND_TIMEOUT.total_seconds()) as scope:
                     # Until then messages can be taken back, and surely weren't sent.
                     await sender.wait_connected()
-                    messages = link.take()
+                    messages = link.take_batch()
                     if messages:
-                        await sender.send(self._pack(name, messages))
+                        await sender.send(self._pack_envelope(name, messages))
                 if scope.cancelled_caught:
                     lost = len(messages) + len(link)
                     self._metrics.count("peer.dropped", lost)
-                    detail = f"not taken in {SEND_TIME.total_seconds()} s: {lost} lost"
+                    detail = (
+                        f"not taken in {SEND_TIMEOUT.total_seconds()} s: {lost} lost"
+                    )
                     self._events.emit(Events.PEER_SLOW, peer=name, detail=detail)
                     break
             if link.ended:
@@ -254,10 +256,10 @@
             with trio.CancelScope(shield=True, deadline=trio.current_time() + 1):
                 await sender.close()
 
-    def _pack(self, name: str, messages: tuple[Message, ...]) -> bytes:
-        record = self._view.find(name)
-        own = self._view.own
-        stamp = self._readings.make_stamp(name, trio.current_time())
+    def _pack_envelope(self, name: str, messages: tuple[Message, ...]) -> bytes:
+        record = self._directory.find(name)
+        own = self._directory.own
+        stamp = self._clock_readings.make_stamp(name, trio.current_time())
         envelope = Envelope(
             own.name,
             own.incarnation,
--- a/walkcart/membership/listing.py
+++ b/walkcart/membership/listing.py
@@ -32,10 +32,10 @@
 ROLE_INSTANCE = "walkcart"
 STATE_LEAVING = "leaving"
 STATE_GONE = "gone"
-BODY_LIMIT = 8 << 20
-READ_TIME = timedelta(seconds=5)
+MAX_BODY_BYTES = 8 << 20
+READ_TIMEOUT = timedelta(seconds=5)
 #: Seconds between two tries until the first read.
-FIRST_INTERVAL = 0.1
+INITIAL_INTERVAL = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,30 +126,32 @@
         await self._read_once()
         task_status.started()
         while True:
-            interval = self._interval if self.known else FIRST_INTERVAL
+            interval = self._interval if self.known else INITIAL_INTERVAL
             await trio.sleep(interval * self._random.uniform(0.8, 1.2))
             await self._read_once()
 
     async def _read_once(self) -> None:
-        with trio.move_on_after(READ_TIME.total_seconds()):
+        with trio.move_on_after(READ_TIMEOUT.total_seconds()):
             try:
                 page = await self._fetch()
             except (OSError, ExchangeFailed, msgspec.MsgspecError, ValueError) as error:
                 await self._drop_connection()
-                self._note_failure(str(error))
+                self._report_failure(str(error))
                 return
             self._failing = False
             self.known = True
             if page is not None:
-                self._take_in(page)
+                self._apply(page)
             return
         await self._drop_connection()
-        self._note_failure("no reply in time")
+        self._report_failure("no reply in time")
 
     async def _fetch(self) -> _Page | None:
         if self._connection is None:
             stream = await self._network.connect(self._address)
-            self._connection = HttpConnection(stream, str(self._address), BODY_LIMIT)
+            self._connection = HttpConnection(
+                stream, str(self._address), MAX_BODY_BYTES
+            )
         request = HttpRequest("GET", f"/instances?after={self._revision}")
         reply = await self._connection.exchange(request)
         if not self._connection.renew():
@@ -166,12 +168,12 @@
             with trio.CancelScope(shield=True):
                 await connection.close()
 
-    def _note_failure(self, detail: str) -> None:
+    def _report_failure(self, detail: str) -> None:
         if not self._failing:
             self._events.emit(Events.LIST_FAILED, detail=detail[:200])
         self._failing = True
 
-    def _take_in(self, page: _Page) -> None:
+    def _apply(self, page: _Page) -> None:
         if page.full:
             self._rows = {}
         self._revision = page.revision
@@ -181,7 +183,7 @@
             else:
                 self._rows[row.name] = row
         self._seed_view()
-        self._note_states()
+        self._record_states()
         leaves = self.leaves()
         for listener in self._listeners:
             listener(leaves)
@@ -197,7 +199,7 @@
             if record.state == MemberState.DEAD and record.name not in live:
                 self._view.forget(record.name)
 
-    def _note_states(self) -> None:
+    def _record_states(self) -> None:
         for row in self.leaves():
             try:
                 address = str(parse_host_port(row.address))
--- a/walkcart/membership/marks.py
+++ b/walkcart/membership/marks.py
@@ -55,19 +55,19 @@
         life = incarnation or self._live.get(address, 0)
         if self._leaving.get(address, -1) >= life:
             return False
-        was = self.is_leaving(address)
+        was_leaving = self.is_leaving(address)
         self._leaving[address] = life
-        self._tell(address, was)
-        return not was and self.is_leaving(address)
+        self._notify(address, was_leaving)
+        return not was_leaving and self.is_leaving(address)
 
     def note_live(self, address: str, incarnation: int) -> bool:
         """Note that this life of the leaf is live; return whether that is news."""
         if self._live.get(address, 0) >= incarnation:
             return False
-        was = self.is_leaving(address)
+        was_leaving = self.is_leaving(address)
         self._live[address] = incarnation
-        self._tell(address, was)
-        return was and not self.is_leaving(address)
+        self._notify(address, was_leaving)
+        return was_leaving and not self.is_leaving(address)
 
     def mark_of(self, address: str) -> LeafMark | None:
         """Return the mark to pass on, or None when the leaf isn't leaving."""
@@ -75,10 +75,10 @@
             return None
         return LeafMark(address, self._leaving[address])
 
-    def _tell(self, address: str, was: bool) -> None:
-        now = self.is_leaving(address)
-        if now == was:
+    def _notify(self, address: str, was_leaving: bool) -> None:
+        is_leaving = self.is_leaving(address)
+        if is_leaving == was_leaving:
             return
-        life = self._leaving[address] if now else self._live[address]
+        life = self._leaving[address] if is_leaving else self._live[address]
         for listener in self._listeners:
-            listener(address, life, now)
+            listener(address, life, is_leaving)
--- a/walkcart/membership/messageages.py
+++ b/walkcart/membership/messageages.py
@@ -29,9 +29,9 @@
 
 #: Steady clocks of two machines run apart by less than this share of the time: ten
 #: times what is usual for the crystals that drive them.
-DRIFT = 2e-4
+MAX_CLOCK_DRIFT = 2e-4
 #: Peers whose readings are kept; the oldest is forgotten past it.
-MOST_PEERS = 4096
+MAX_PEERS = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,16 +52,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Reading:
+class _OffsetBound:
     """The least that a peer's clock is ahead of this one's, as of a time here."""
 
     life: str
-    ahead: float
+    min_offset: float
     at: float
 
-    def find_ahead(self, now: float) -> float:
+    def find_min_offset(self, now: float) -> float:
         """Return the least it is ahead by now; the clocks run apart."""
-        return self.ahead - DRIFT * (now - self.at)
+        return self.min_offset - MAX_CLOCK_DRIFT * (now - self.at)
 
 
 class ClockReadings:
@@ -73,7 +73,7 @@
 
     def __init__(self, life: str) -> None:
         self.life = life
-        self._readings: dict[str, _Reading] = {}
+        self._offset_bounds: dict[str, _OffsetBound] = {}
 
     def note(self, peer: str, stamp: Stamp, now: float) -> None:
         """Take in what an envelope of a peer said.
@@ -83,24 +83,24 @@
             stamp: of the envelope.
             now: what this instance's steady clock shows, in seconds.
         """
-        ahead = stamp.sent_at - now
-        held = self._readings.get(peer)
+        min_offset = stamp.sent_at - now
+        held = self._offset_bounds.get(peer)
         if held is not None and held.life == stamp.life:
-            ahead = max(ahead, held.find_ahead(now))
-        while peer not in self._readings and len(self._readings) >= MOST_PEERS:
-            del self._readings[next(iter(self._readings))]
-        self._readings[peer] = _Reading(stamp.life, ahead, now)
+            min_offset = max(min_offset, held.find_min_offset(now))
+        while peer not in self._offset_bounds and len(self._offset_bounds) >= MAX_PEERS:
+            del self._offset_bounds[next(iter(self._offset_bounds))]
+        self._offset_bounds[peer] = _OffsetBound(stamp.life, min_offset, now)
 
     def has_heard_of(self, peer: str) -> bool:
         """Return whether a life of the peer was heard of."""
-        return peer in self._readings
+        return peer in self._offset_bounds
 
     def make_stamp(self, peer: str, now: float) -> Stamp:
         """Return what an envelope to a peer that is packed now says."""
-        held = self._readings.get(peer)
+        held = self._offset_bounds.get(peer)
         if held is None:
             return Stamp(self.life, now)
-        return Stamp(self.life, now, held.life, now + held.find_ahead(now))
+        return Stamp(self.life, now, held.life, now + held.find_min_offset(now))
 
     def find_age(self, stamp: Stamp, now: float) -> float:
         """Return the most seconds since an envelope was packed; infinite if unknown."""
--- a/walkcart/membership/outbox.py
+++ b/walkcart/membership/outbox.py
@@ -11,11 +11,11 @@
 from walkcart.wire.peers import PeerSender
 
 #: Messages that wait for one peer; more are dropped and counted.
-OUTBOX_LIMIT = 2000
+MAX_QUEUED_MESSAGES = 2000
 MESSAGES_PER_ENVELOPE = 64
 #: A link without messages for this long is closed. A new one costs the first question
 #: some round trips, which at its objective is too long.
-IDLE_TIME = timedelta(minutes=5)
+IDLE_TIMEOUT = timedelta(minutes=5)
 
 
 class Outbox:
@@ -37,7 +37,7 @@
 
     def put(self, message: Message) -> bool:
         """Queue `message`; False when the outbox is full."""
-        if len(self._messages) >= OUTBOX_LIMIT:
+        if len(self._messages) >= MAX_QUEUED_MESSAGES:
             return False
         self._messages.append((trio.current_time(), message))
         self._wakeup.set()
@@ -69,7 +69,7 @@
         """Wait for a message; False after a long time without one, or at the end."""
         if not self._messages and not self.ended:
             self._wakeup = trio.Event()
-            with trio.move_on_after(IDLE_TIME.total_seconds()):
+            with trio.move_on_after(IDLE_TIMEOUT.total_seconds()):
                 await self._wakeup.wait()
         return bool(self._messages)
 
@@ -83,7 +83,7 @@
     def __len__(self) -> int:
         return len(self._messages)
 
-    def take(self) -> tuple[Message, ...]:
+    def take_batch(self) -> tuple[Message, ...]:
         """Take what fits into one envelope."""
         count = min(len(self._messages), MESSAGES_PER_ENVELOPE)
         return tuple(self._messages.popleft()[1] for _ in range(count))
--- a/walkcart/membership/peerbook.py
+++ b/walkcart/membership/peerbook.py
@@ -9,7 +9,7 @@
 
 #: Addresses that are kept as they were read: those of the largest fleet and as many
 #: that were before.
-MOST_ADDRESSES = 2048
+MAX_CACHED_ADDRESSES = 2048
 
 
 class PeerEntry(Protocol):
@@ -44,8 +44,8 @@
         ...
 
 
-@lru_cache(maxsize=MOST_ADDRESSES)
-def read_address(text: str) -> HostPort | None:
+@lru_cache(maxsize=MAX_CACHED_ADDRESSES)
+def parse_address(text: str) -> HostPort | None:
     """Return the address that an instance gave, or None.
 
     Kept, since it is asked for each second of each link that stands ready: reading one
--- a/walkcart/membership/quarantinekeys.py
+++ b/walkcart/membership/quarantinekeys.py
@@ -33,9 +33,9 @@
 #: Start of the keys; read with the prefix that it shares with the instances' keys.
 QUARANTINE_PREFIX = "walkcart/quarantine/"
 #: For how long the store keeps a key: the longest lease that the platform grants.
-KEY_TIME = timedelta(minutes=10)
+KEY_TTL = timedelta(minutes=10)
 #: Keys that wait to be stored; requests past it are only told among instances.
-MOST_WAITING = 32
+MAX_QUEUED = 32
 #: Between two keys of one instance, so that a flood of them leaves the store alone.
 STORE_INTERVAL = timedelta(seconds=1)
 
@@ -67,33 +67,33 @@
         self._backoff = backoff
         self._events = events
         self._on_news = on_news
-        self._waiting: deque[bytes] = deque()
+        self._queue: deque[bytes] = deque()
         self._wakeup = trio.Event()
 
     def keep(self, fingerprint: bytes) -> None:
         """Store a request that this instance refuses from now on."""
-        if len(self._waiting) < MOST_WAITING and fingerprint not in self._waiting:
-            self._waiting.append(fingerprint)
+        if len(self._queue) < MAX_QUEUED and fingerprint not in self._queue:
+            self._queue.append(fingerprint)
             self._wakeup.set()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Store what is to be kept, until cancelled."""
         task_status.started()
         while True:
-            if not self._waiting:
+            if not self._queue:
                 self._wakeup = trio.Event()
                 await self._wakeup.wait()
             await self._store_next()
 
     async def _store_next(self) -> None:
-        fingerprint = self._waiting[0]
+        fingerprint = self._queue[0]
         now = self._clock.monotonic()
         wanted = self._quarantine.find_standing(fingerprint, now) is Standing.REFUSED
         if wanted and not await self._put(fingerprint):
             await trio.sleep(self._backoff.advance().total_seconds())
             return
         self._backoff.reset()
-        self._waiting.popleft()
+        self._queue.popleft()
         await trio.sleep(STORE_INTERVAL.total_seconds())
 
     async def _put(self, fingerprint: bytes) -> bool:
@@ -103,7 +103,7 @@
         value = b",".join(b"%d" % strike for strike in sorted(held.strikes))
         key = QUARANTINE_PREFIX + fingerprint.hex()
         try:
-            lease = await self._store.grant_lease(KEY_TIME)
+            lease = await self._store.grant_lease(KEY_TTL)
             put = Put(key, value, lease.id)
             outcome = await self._store.commit(Transaction(puts=(put,)))
         except StoreUnavailable:
--- a/walkcart/membership/quarantinenews.py
+++ b/walkcart/membership/quarantinenews.py
@@ -28,9 +28,9 @@
 
 #: Between two tellings of what is known, each to one other instance. Of seven instances
 #: one that was cut off hears from six others within 3 s, and operators allow four.
-TELL_INTERVAL = timedelta(seconds=0.5)
+GOSSIP_INTERVAL = timedelta(seconds=0.5)
 #: Entries of one message: 40 bytes each, so at most 1.3 KB.
-MOST_TOLD = 32
+MAX_ENTRIES = 32
 
 
 class QuarantineSpread:
@@ -60,37 +60,37 @@
         self._find_peers = find_peers
         self._may_relay = may_relay
         self._on_news = on_news
-        self._turn = 0
-        links.on_work(QuarantineNews, self._on_told)
+        self._round = 0
+        links.on_work(QuarantineNews, self._on_message)
 
-    def tell_all(self, fingerprint: bytes, without: str = "") -> None:
+    def tell_all(self, fingerprint: bytes, exclude: str = "") -> None:
         """Tell all that are told what is known of a request."""
         held = self._quarantine.find(fingerprint)
         if held is None:
             return
         news = QuarantineNews((self._encode(fingerprint, held),))
         for name in self._find_peers():
-            if name != without:
+            if name != exclude:
                 self._links.send(name, news)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Tell one instance after the other, until cancelled."""
         task_status.started()
         while True:
-            await trio.sleep(TELL_INTERVAL.total_seconds())
+            await trio.sleep(GOSSIP_INTERVAL.total_seconds())
             if len(self._quarantine):
-                self._tell_next()
+                self._send_to_next_peer()
 
-    def _tell_next(self) -> None:
+    def _send_to_next_peer(self) -> None:
         """Tell one other instance the most that fits of what weighs most."""
         peers = self._find_peers()
         entries = self._quarantine.entries(self._clock.monotonic())
         if not peers or not entries:
             return
-        self._turn += 1
-        chosen = sorted(entries, key=lambda item: item[1].weight)[-MOST_TOLD:]
+        self._round += 1
+        chosen = sorted(entries, key=lambda item: item[1].weight)[-MAX_ENTRIES:]
         told = tuple(self._encode(*item) for item in chosen)
-        self._links.send(peers[self._turn % len(peers)], QuarantineNews(told))
+        self._links.send(peers[self._round % len(peers)], QuarantineNews(told))
 
     def _encode(self, fingerprint: bytes, held: Suspicion) -> QuarantineEntry:
         now = self._clock.monotonic()
@@ -102,24 +102,24 @@
             min(NEVER, answered),
         )
 
-    def _on_told(self, sender: str, message: Message, age: float) -> None:
+    def _on_message(self, sender: str, message: Message, age: float) -> None:
         assert isinstance(message, QuarantineNews)
         # Of a sender that this instance hasn't heard of the way's time isn't known.
-        way = age if isfinite(age) else 0.0
+        delay = age if isfinite(age) else 0.0
         now = self._clock.monotonic()
-        for fingerprint, told in _read(message.entries, now - way):
+        for fingerprint, told in _decode_valid(message.entries, now - delay):
             if not self._quarantine.merge(fingerprint, told, now):
                 continue
             self._on_news(fingerprint)
             if self._may_relay():
-                self.tell_all(fingerprint, without=sender)
+                self.tell_all(fingerprint, exclude=sender)
 
 
-def _read(
+def _decode_valid(
     entries: Sequence[QuarantineEntry], sent_at: float
 ) -> Iterable[tuple[bytes, Suspicion]]:
     """Return what a message tells, without what can't be."""
-    for entry in entries[:MOST_TOLD]:
+    for entry in entries[:MAX_ENTRIES]:
         ages = (entry.struck_age, entry.answered_age)
         if len(entry.fingerprint) != SIZE or len(entry.strikes) > REFUSED_STRIKES:
             continue
--- a/walkcart/membership/quotaanswers.py
+++ b/walkcart/membership/quotaanswers.py
@@ -57,7 +57,7 @@
         if math.isfinite(age) and age > self._bounds.hold:
             # A grant would have ended when it arrives.
             return
-        if _is_sound(message):
+        if _is_valid(message):
             self._links.send(sender, self._answer(message))
 
     def _answer(self, ask: QuotaAsk) -> QuotaGrant | QuotaElsewhere:
@@ -65,13 +65,13 @@
         if account is None:
             holder = self._holders.find(ask.share)
             return QuotaElsewhere(ask.id, holder.name, holder.revision)
-        reply = account.ask(self._find_newest(ask), self._clock.monotonic())
+        reply = account.ask(self._apply_newest_limit(ask), self._clock.monotonic())
         wait = min(reply.wait, LONGEST_TURN)
         return QuotaGrant(
             ask.id, reply.granted, wait, reply.turn, reply.use, reply.full
         )
 
-    def _find_newest(self, ask: QuotaAsk) -> Want:
+    def _apply_newest_limit(self, ask: QuotaAsk) -> Want:
         """Return what is asked for under the newer of two configurations."""
         limit = RateLimit(ask.rate, ask.burst)
         version = ask.version
@@ -81,7 +81,7 @@
         return Want(ask.team, limit, version, ask.wanted, ask.full)
 
 
-def _is_sound(ask: QuotaAsk) -> bool:
+def _is_valid(ask: QuotaAsk) -> bool:
     """Return whether the numbers of an ask are usable."""
     numbers = (ask.rate, ask.burst)
     finite = all(math.isfinite(number) and number >= 0.0 for number in numbers)
--- a/walkcart/membership/quotaasks.py
+++ b/walkcart/membership/quotaasks.py
@@ -26,13 +26,13 @@
 from walkcart.wire.quotas import QuotaAsk, QuotaElsewhere, QuotaGrant
 
 #: Seconds for which an instance that didn't answer isn't asked.
-SILENCE_TIME = 1.0
+SILENT_TTL = 1.0
 #: Instances that are asked for one share in turn at the most: the one that is known to
 #: account it, and one that may know better.
-MOST_ASKED = 2
+MAX_ASKED = 2
 
 #: Given what was granted after nobody waited any more, and until when it holds.
-LateGrant = Callable[[str, int, float], None]
+LateGrantListener = Callable[[str, int, float], None]
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
         sent_at: when, in seconds.
         done: set with the answer.
         reply: of the accountant; None if there is none, or it came too late to hold.
-        left: whether nobody waits any more.
+        abandoned: whether nobody waits any more.
     """
 
     asked: str
@@ -55,7 +55,7 @@
     sent_at: float
     done: trio.Event = field(default_factory=trio.Event)
     reply: Reply | None = None
-    left: bool = False
+    abandoned: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,14 +110,14 @@
         self._last_id = 0
         self._silent_until: dict[str, float] = {}
         self._patience: dict[str, ReplyPatience] = {}
-        self._on_late: LateGrant = lambda team, amount, until: None
-        holders.follow(self._open_link)
+        self._late_grant_listener: LateGrantListener = lambda team, amount, until: None
+        holders.on_new_holder(self._open_link)
         links.on(QuotaGrant, self._on_grant)
         links.on(QuotaElsewhere, self._on_elsewhere)
 
-    def follow_late(self, listener: LateGrant) -> None:
+    def follow_late(self, listener: LateGrantListener) -> None:
         """Give `listener` what is granted after nobody waits for it any more."""
-        self._on_late = listener
+        self._late_grant_listener = listener
 
     def _open_link(self, name: str) -> None:
         """Have a link ready to an accountant: a request waits for none to come up."""
@@ -156,8 +156,8 @@
         if account is not None:
             return self._ask_own(account, want)
         asked: set[str] = set()
-        for _ in range(MOST_ASKED):
-            name = self._choose(share, asked)
+        for _ in range(MAX_ASKED):
+            name = self._choose_instance(share, asked)
             if name is None or self._clock.monotonic() >= deadline:
                 return None
             asked.add(name)
@@ -171,7 +171,7 @@
         until = now + self._bounds.hold
         return Answer(account.ask(want, now), self._holders.own, until)
 
-    def _choose(self, share: int, asked: set[str]) -> str | None:
+    def _choose_instance(self, share: int, asked: set[str]) -> str | None:
         """Return whom to ask: the accountant, or who may know it."""
         names = [self._holders.find(share).name, *self._holders.find_candidates(share)]
         for name in names:
@@ -192,13 +192,13 @@
         patience = self._patience.setdefault(name, ReplyPatience()).find()
         pending = _Pending(name, share, want.team, now)
         if not self._send(pending, want):
-            self._note_silence(name)
+            self._record_silence(name)
             return None
         with trio.move_on_after(min(deadline - now, patience)):
             await pending.done.wait()
-        pending.left = True
+        pending.abandoned = True
         if not pending.done.is_set():
-            self._note_silence(name)
+            self._record_silence(name)
             return None
         if pending.reply is None:
             return None
@@ -206,7 +206,7 @@
 
     def _send(self, pending: _Pending, want: Want) -> bool:
         """Send an ask; return False if it will surely not arrive."""
-        self._forget_old(pending.sent_at)
+        self._drop_expired(pending.sent_at)
         self._last_id += 1
         message = QuotaAsk(
             self._last_id,
@@ -224,30 +224,30 @@
         self._pending[self._last_id] = pending
         return True
 
-    def _note_silence(self, name: str) -> None:
+    def _record_silence(self, name: str) -> None:
         """Leave an instance out for a while."""
         if name in self._silent_until:
             # Silent again: the connection may have gone silent for good.
             self._links.renew(name)
-        self._silent_until[name] = self._clock.monotonic() + SILENCE_TIME
+        self._silent_until[name] = self._clock.monotonic() + SILENT_TTL
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Forget asks whose grants would have ended."""
         while self._pending:
             number = next(iter(self._pending))
             pending = self._pending[number]
-            if not pending.left or now < pending.sent_at + self._bounds.hold:
+            if not pending.abandoned or now < pending.sent_at + self._bounds.hold:
                 return
             del self._pending[number]
 
     def _on_grant(self, sender: str, message: Message) -> None:
         assert isinstance(message, QuotaGrant)
-        pending = self._finish(sender, message.id)
+        pending = self._complete(sender, message.id)
         if pending is None:
             return
         until = pending.sent_at + self._bounds.hold
-        if pending.left:
-            self._on_late(pending.team, message.granted, until)
+        if pending.abandoned:
+            self._late_grant_listener(pending.team, message.granted, until)
         elif self._clock.monotonic() < until:
             pending.reply = Reply(
                 message.granted,
@@ -260,13 +260,13 @@
 
     def _on_elsewhere(self, sender: str, message: Message) -> None:
         assert isinstance(message, QuotaElsewhere)
-        pending = self._finish(sender, message.id)
+        pending = self._complete(sender, message.id)
         if pending is None:
             return
-        self._holders.note(pending.share, Holder(message.holder, message.revision))
+        self._holders.record(pending.share, Holder(message.holder, message.revision))
         pending.done.set()
 
-    def _finish(self, sender: str, number: int) -> _Pending | None:
+    def _complete(self, sender: str, number: int) -> _Pending | None:
         """Return the ask that a message answers; None if it is none of those."""
         pending = self._pending.get(number)
         if pending is None or pending.asked != sender:
--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -14,7 +14,7 @@
 from walkcart.kernel.clock import Clock
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
-from walkcart.membership.quotakeys import StoredKey, read_key, read_share
+from walkcart.membership.quotakeys import StoredKey, decode_key, parse_share
 from walkcart.membership.registration import Registration
 from walkcart.routing.accountants import (
     Site,
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class _Known:
+class _ShareState:
     """What is known of one share.
 
     Args:
@@ -50,7 +50,7 @@
         offered: revision of the key that its accountant can't renew.
         wanted: revision of the key that this instance asked it for.
         heard_at: when it was last heard of, in seconds; None if it never was.
-        tries: to take it since then.
+        attempts: to take it since then.
         retry_at: when this instance may try again.
     """
 
@@ -60,7 +60,7 @@
     offered: int = 0
     wanted: int = 0
     heard_at: float | None = None
-    tries: int = 0
+    attempts: int = 0
     retry_at: float = 0.0
 
 
@@ -79,9 +79,9 @@
         self._registration = registration
         self._clock = clock
         self._events = events
-        self._known = [_Known() for _ in range(SHARES)]
+        self._shares = [_ShareState() for _ in range(SHARES)]
         self._candidates: dict[int, list[str]] = {}
-        self._on_holder: Callable[[str], None] = lambda name: None
+        self._listener: Callable[[str], None] = lambda name: None
         registration.on_change(self._candidates.clear)
 
     @property
@@ -89,76 +89,76 @@
         """Name of this instance."""
         return self._registration.own.name
 
-    def follow(self, listener: Callable[[str], None]) -> None:
+    def on_new_holder(self, listener: Callable[[str], None]) -> None:
         """Call `listener` with the name of each new accountant."""
-        self._on_holder = listener
+        self._listener = listener
 
     def find(self, share: int) -> Holder:
         """Return who accounts a share."""
-        return self._known[share].holder
+        return self._shares[share].holder
 
-    def note(self, share: int, holder: Holder) -> None:
+    def record(self, share: int, holder: Holder) -> None:
         """Note who accounts a share, from whoever says so."""
-        known = self._known[share]
+        known = self._shares[share]
         given_up = not holder.name and holder.revision == known.holder.revision
         if holder.revision > known.holder.revision or given_up:
             is_other = holder.name not in ("", known.last)
             known.last = holder.name or known.last
             known.holder = holder
-            known.tries, known.retry_at = 0, 0.0
+            known.attempts, known.retry_at = 0, 0.0
             if is_other:
-                self._on_holder(holder.name)
+                self._listener(holder.name)
 
-    def note_heard(self, share: int, holder: Holder) -> bool:
+    def record_announcement(self, share: int, holder: Holder) -> bool:
         """Note the accountant's own word; return whether it isn't outdated."""
-        self.note(share, holder)
-        known = self._known[share]
+        self.record(share, holder)
+        known = self._shares[share]
         if holder.revision < known.holder.revision:
             return False
         known.heard_at = self._clock.monotonic()
-        known.tries, known.retry_at = 0, 0.0
+        known.attempts, known.retry_at = 0, 0.0
         return True
 
-    def note_released(self, share: int, revision: int) -> None:
+    def record_released(self, share: int, revision: int) -> None:
         """Note the accountant's own word that it uses a key no longer."""
-        self._known[share].released = revision
+        self._shares[share].released = revision
 
     def is_released(self, share: int, revision: int) -> bool:
         """Return whether the accountant said that it uses a key no longer."""
-        return self._known[share].released == revision
+        return self._shares[share].released == revision
 
-    def note_offer(self, share: int, revision: int) -> None:
+    def record_offer(self, share: int, revision: int) -> None:
         """Note that the accountant would give a share up; 0 when it wouldn't."""
-        self._known[share].offered = revision
+        self._shares[share].offered = revision
 
-    def take_offer(self, share: int) -> int:
+    def pop_offer(self, share: int) -> int:
         """Return the revision that is offered, once; 0 if none is."""
-        known = self._known[share]
+        known = self._shares[share]
         offered, known.offered = known.offered, 0
         return offered
 
-    def note_wanted(self, share: int, revision: int) -> None:
+    def record_requested(self, share: int, revision: int) -> None:
         """Note that this instance asked an accountant for its share."""
-        self._known[share].wanted = revision
+        self._shares[share].wanted = revision
 
-    def note_lost(self, share: int) -> None:
+    def record_lost(self, share: int) -> None:
         """Note that this instance accounts a share no longer."""
-        self.note_heard(share, Holder("", self.find(share).revision))
+        self.record_announcement(share, Holder("", self.find(share).revision))
 
-    def read_item(self, item: Item) -> tuple[int, StoredKey] | None:
+    def record_item(self, item: Item) -> tuple[int, StoredKey] | None:
         """Note a stored key; return its share and what it says."""
-        share = read_share(item.key)
+        share = parse_share(item.key)
         if share is None or share >= SHARES:
             return None
         try:
-            stored = read_key(item)
+            stored = decode_key(item)
         except msgspec.MsgspecError as error:
             self._events.emit(
                 Events.PEER_BAD_MESSAGE, key=item.key, detail=str(error)[:200]
             )
             return None
-        self.note(share, Holder(stored.key.holder, stored.revision))
-        known = self._known[share]
+        self.record(share, Holder(stored.key.holder, stored.revision))
+        known = self._shares[share]
         if known.heard_at is None and stored.key.holder:
             known.heard_at = self._clock.monotonic()
         return share, stored
@@ -175,7 +175,7 @@
             self._candidates[share] = rank_candidates(share, sites)
         return self._candidates[share]
 
-    def may_try(self, share: int, since: float, is_busy: bool) -> bool:
+    def should_try(self, share: int, since: float, is_busy: bool) -> bool:
         """Return whether this instance is to look whether it can take a share.
 
         Args:
@@ -183,7 +183,7 @@
             since: when shares began to be of use, in seconds.
             is_busy: whether this instance accounts another one.
         """
-        known = self._known[share]
+        known = self._shares[share]
         now = self._clock.monotonic()
         if now < known.retry_at:
             return False
@@ -201,12 +201,12 @@
         # Who accounted it last is the least likely to take it.
         order = sorted(candidates, key=lambda name: name == known.last)
         was_heard = bool(known.holder.name) and known.heard_at is not None
-        begun = max(since, known.heard_at or since)
+        start = max(since, known.heard_at or since)
         wait = find_try_wait(order.index(self.own), is_busy, was_heard)
-        return now >= begun + wait
+        return now >= start + wait
 
-    def note_try(self, share: int) -> None:
+    def record_attempt(self, share: int) -> None:
         """Note that this instance tries to take a share."""
-        known = self._known[share]
-        known.tries += 1
-        known.retry_at = self._clock.monotonic() + find_retry(known.tries)
+        known = self._shares[share]
+        known.attempts += 1
+        known.retry_at = self._clock.monotonic() + find_retry(known.attempts)
--- a/walkcart/membership/quotakeys.py
+++ b/walkcart/membership/quotakeys.py
@@ -33,14 +33,14 @@
 QUOTA_PREFIX = "walkcart/quota/"
 #: Life of the lease: a silent store of several seconds is ridden out, and a lost
 #: accountant's share is unused for as long.
-LEASE_TIME = timedelta(seconds=8)
+MIN_LEASE_TTL = timedelta(seconds=8)
 #: Seconds by which the lease outlasts the window of the limits at the least: a key that
 #: ran out was taken more than a window ago.
-LEASE_MARGIN = 3.0
+MIN_LEASE_MARGIN = 3.0
 #: Seconds from the grant of a lease to the key on it at the most, for the same reason.
-TAKE_TIME = 2.0
+TAKE_TIMEOUT = 2.0
 #: Seconds kept back from a lease: clocks run apart, and a grant takes its time.
-USE_MARGIN = 0.5
+EXPIRY_MARGIN = 0.5
 
 
 class QuotaKey(msgspec.Struct, frozen=True):
@@ -85,7 +85,7 @@
     until: float
 
 
-def read_key(item: Item) -> StoredKey:
+def decode_key(item: Item) -> StoredKey:
     """Return a stored item as a key.
 
     Raises:
@@ -94,7 +94,7 @@
     return StoredKey(msgspec.json.decode(item.value, type=QuotaKey), item.revision)
 
 
-def read_share(key: str) -> int | None:
+def parse_share(key: str) -> int | None:
     """Return the share that a key stands for, or None."""
     number = key.removeprefix(QUOTA_PREFIX)
     return int(number) if number.isdecimal() else None
@@ -116,8 +116,8 @@
         self._store = store
         self._own = own
         self._clock = clock
-        lease_time = max(LEASE_TIME.total_seconds(), window + LEASE_MARGIN)
-        self._lease_time = timedelta(seconds=lease_time)
+        lease_ttl = max(MIN_LEASE_TTL.total_seconds(), window + MIN_LEASE_MARGIN)
+        self._lease_ttl = timedelta(seconds=lease_ttl)
 
     async def read(self, share: int) -> StoredKey | None:
         """Return what is stored for a share now.
@@ -129,7 +129,7 @@
         name = QUOTA_PREFIX + str(share)
         page = await self._store.list_items(name, "", fresh=True)
         found = [item for item in page.items if item.key == name]
-        return read_key(found[0]) if found else None
+        return decode_key(found[0]) if found else None
 
     def is_free(self, stored: StoredKey | None) -> bool:
         """Return whether this instance may take a share with such a key.
@@ -154,14 +154,14 @@
             StoreUnavailable: the store has no usable reply.
         """
         sent_at = self._clock.monotonic()
-        lease = await self._store.grant_lease(self._lease_time)
+        lease = await self._store.grant_lease(self._lease_ttl)
         starts = min(stored.key.starts, MOST_STARTS) + 1 if stored else 1
         key = QuotaKey(self._own.name, self._own.started, starts)
         expected = stored.revision if stored else ABSENT
         revision = await self._put(share, key, expected, lease)
-        if revision is None or self._clock.monotonic() > sent_at + TAKE_TIME:
+        if revision is None or self._clock.monotonic() > sent_at + TAKE_TIMEOUT:
             return None
-        return TakenKey(StoredKey(key, revision), lease, _end(lease, sent_at))
+        return TakenKey(StoredKey(key, revision), lease, _find_expiry(lease, sent_at))
 
     async def renew(self, taken: TakenKey) -> TakenKey | None:
         """Renew a key's lease; return None if it is over.
@@ -173,7 +173,7 @@
         renewed = await self._store.renew_lease(taken.lease)
         if isinstance(renewed, LeaseOver):
             return None
-        until = max(taken.until, _end(renewed, sent_at))
+        until = max(taken.until, _find_expiry(renewed, sent_at))
         return TakenKey(taken.stored, renewed, until)
 
     async def settle(self, share: int, taken: TakenKey) -> TakenKey | None:
@@ -210,5 +210,5 @@
         return outcome.revision if isinstance(outcome, Committed) else None
 
 
-def _end(lease: Lease, sent_at: float) -> float:
-    return sent_at + lease.time_to_live.total_seconds() - USE_MARGIN
+def _find_expiry(lease: Lease, sent_at: float) -> float:
+    return sent_at + lease.time_to_live.total_seconds() - EXPIRY_MARGIN
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -41,33 +41,33 @@
 
 #: Life of the lease: an instance that died is forgotten after this. A living one tries
 #: a renewal that failed again for 10 s before it loses its key.
-LEASE_TIME = timedelta(seconds=15)
+MIN_LEASE_TTL = timedelta(seconds=15)
 #: Between two renewals while there are few instances. A silent store is noticed after
 #: this and the time limit of a call.
-RENEW_INTERVAL = timedelta(seconds=1)
+MIN_RENEW_INTERVAL = timedelta(seconds=1)
 #: Renewals a second of all instances together, but for those that watch the store:
 #: past it each renews less often.
-FLEET_RENEWALS = 10.0
+MAX_FLEET_RENEWAL_RATE = 10.0
 #: A lease is replaced when one this many times as long is wanted.
-LEASE_SLACK = 3.0
+LEASE_REPLACE_FACTOR = 3.0
 #: Seconds that an instance lives before that. A replaced lease costs three calls and a
 #: renewal a tenth of one, so that in a fleet of 195 it pays after 140 s; replaced at
 #: once it took three of the 11.5 calls of each instance at such a fleet's start. All of
 #: these are worked out, but for the 11.5, which were counted.
-REPLACING_AGE = 140.0
+MIN_REPLACE_AGE = 140.0
 #: Leases outlast this many renewals.
 RENEWALS_PER_LEASE = 3
 #: Longest pause between two tries while the store doesn't serve this instance, times
 #: that of those that watch: it is fed, and only its lease waits, for seconds yet.
-FED_PATIENCE = 2.0
+FED_BACKOFF_FACTOR = 2.0
 #: Between two readings of the others' keys, in renewals.
-READ_EVERY = 3
+RENEWALS_PER_READ = 3
 #: Seconds from the first reading to the second: instances that start together have
 #: stored their keys by then.
-SECOND_READ = 0.5
+SECOND_READ_DELAY = 0.5
 #: How long an instance that vanished still counts: it may live on, cut off from the
 #: store, with its connections open and its repeats within the budgets' window.
-COUNT_MEMORY = timedelta(seconds=20)
+COUNT_WINDOW = timedelta(seconds=20)
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,12 +106,12 @@
         self._others: dict[str, InstanceRecord] = {}
         self._counts: deque[tuple[float, int]] = deque()
         self._registered: Registered | None = None
-        self._turn = 0
-        self._began_at = clock.monotonic()
-        self._left = False
-        self._prompted = trio.Event()
+        self._cycles = 0
+        self._started_at = clock.monotonic()
+        self._is_stopping = False
+        self._renew_requested = trio.Event()
         calls.on_away(self.try_soon)
-        self._watches: Callable[[], bool] = lambda: True
+        self._is_watching: Callable[[], bool] = lambda: True
         self._listeners: list[Callable[[], None]] = []
         self._keys = KeyReader(store, own.name, events)
 
@@ -120,12 +120,12 @@
 
         They come with the keys of the instances, each time these are read.
         """
-        self._keys.add(prefix, reader)
+        self._keys.add_prefix_reader(prefix, reader)
 
     @property
     def is_settled(self) -> bool:
         """Whether the others were read twice: those that start together are known."""
-        return self._turn > 1
+        return self._cycles > 1
 
     @property
     def lease(self) -> Lease | None:
@@ -146,7 +146,7 @@
 
     def count(self) -> int:
         """Return the instances to divide by: the most of late, this one included."""
-        limit = self._clock.monotonic() - COUNT_MEMORY.total_seconds()
+        limit = self._clock.monotonic() - COUNT_WINDOW.total_seconds()
         while self._counts and self._counts[0][0] < limit:
             self._counts.popleft()
         return max((count for _, count in self._counts), default=len(self._others) + 1)
@@ -154,37 +154,37 @@
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Keep the key stored until cancelled."""
         task_status.started()
-        while not self._left:
+        while not self._is_stopping:
             try:
-                await self._keep()
+                await self._maintain()
                 self._backoff.reset()
-                await self._rest()
+                await self._wait_for_next_cycle()
             except StoreUnavailable:
                 # Logged by the calls, which know whether it is the first failure.
                 pause = self._backoff.advance().total_seconds()
-                if not self._watches():
-                    pause *= FED_PATIENCE
+                if not self._is_watching():
+                    pause *= FED_BACKOFF_FACTOR
                 await trio.sleep(pause)
 
-    async def _rest(self) -> None:
+    async def _wait_for_next_cycle(self) -> None:
         """Wait until the lease is to be renewed, or the store to be tried.
 
         Nothing else tries whether a store that failed is back: a renewal is the
         cheapest call, and one of each instance is enough.
         """
-        early = self._turn <= 1
-        pause = SECOND_READ if early else self._interval()
+        is_starting = self._cycles <= 1
+        pause = SECOND_READ_DELAY if is_starting else self._renew_interval()
         with trio.move_on_after(pause):
-            await self._prompted.wait()
-        self._prompted = trio.Event()
+            await self._renew_requested.wait()
+        self._renew_requested = trio.Event()
 
     def try_soon(self) -> None:
         """Renew the lease at once, to see whether the store serves this instance."""
-        self._prompted.set()
+        self._renew_requested.set()
 
     async def leave(self) -> None:
         """End the lease, so that the others learn of a planned stop at once."""
-        self._left = True
+        self._is_stopping = True
         if self._registered is None:
             return
         try:
@@ -195,41 +195,41 @@
 
     def follow_watching(self, watches: Callable[[], bool]) -> None:
         """Renew often while `watches` says that this instance watches the store."""
-        self._watches = watches
+        self._is_watching = watches
 
-    def _interval(self) -> float:
+    def _renew_interval(self) -> float:
         """Return the seconds between renewals: the fleet's rate stays bounded."""
-        least = RENEW_INTERVAL.total_seconds()
-        if self._watches():
-            return least
-        wanted = max(least, (len(self._others) + 1) / FLEET_RENEWALS)
+        shortest = MIN_RENEW_INTERVAL.total_seconds()
+        if self._is_watching():
+            return shortest
+        wanted = max(shortest, (len(self._others) + 1) / MAX_FLEET_RENEWAL_RATE)
         if self._registered is None:
             return wanted
         granted = self._registered.lease.time_to_live.total_seconds()
         return min(wanted, granted / RENEWALS_PER_LEASE)
 
-    def _lease_time(self) -> timedelta:
-        interval = (len(self._others) + 1) / FLEET_RENEWALS
+    def _wanted_ttl(self) -> timedelta:
+        interval = (len(self._others) + 1) / MAX_FLEET_RENEWAL_RATE
         renewals = timedelta(seconds=interval * RENEWALS_PER_LEASE)
-        return max(LEASE_TIME, renewals)
+        return max(MIN_LEASE_TTL, renewals)
 
-    async def _keep(self) -> None:
+    async def _maintain(self) -> None:
         """Renew the lease or store the key anew; read the others now and then."""
         if self._registered is None:
             # The cheapest call goes first, since the store may be away.
-            left_over = await self._read_others()
-            lease = await self._take_over(left_over) or await self._grant()
+            previous = await self._read_others()
+            lease = await self._reuse_lease(previous) or await self._grant()
             self._registered = await self._register(lease)
         else:
             await self._renew(self._registered.lease)
-            if self._turn % READ_EVERY == 0 or self._turn == 1:
+            if self._cycles % RENEWALS_PER_READ == 0 or self._cycles == 1:
                 await self._check_key()
-        self._turn += 1
+        self._cycles += 1
 
     async def _renew(self, lease: Lease) -> None:
         """Renew the lease, or replace it by one that fits a fleet that grew."""
         if isinstance(await self._store.renew_lease(lease), LeaseOver):
-            self._lose("the lease ended")
+            self._drop_registration("the lease ended")
         elif self._wants_longer_lease(lease):
             await self._store.end_lease(lease)
             self._registered = await self._register(await self._grant())
@@ -238,26 +238,30 @@
         """Read the others, and whether this instance's own key is still there."""
         own = await self._read_others()
         # A fresh key may be missing from a stale reading; not from the second one.
-        if own is None and self._turn >= READ_EVERY and self._registered is not None:
-            self._lose("the key is gone")
+        if (
+            own is None
+            and self._cycles >= RENEWALS_PER_READ
+            and self._registered is not None
+        ):
+            self._drop_registration("the key is gone")
 
     def _wants_longer_lease(self, lease: Lease) -> bool:
         """Return whether renewing seldom is worth the calls of another lease."""
-        age = self._clock.monotonic() - self._began_at
-        longer = self._lease_time() > lease.time_to_live * LEASE_SLACK
-        return longer and age >= REPLACING_AGE
+        age = self._clock.monotonic() - self._started_at
+        is_too_short = self._wanted_ttl() > lease.time_to_live * LEASE_REPLACE_FACTOR
+        return is_too_short and age >= MIN_REPLACE_AGE
 
     async def _grant(self) -> Lease:
-        return await self._store.grant_lease(self._lease_time())
+        return await self._store.grant_lease(self._wanted_ttl())
 
-    async def _take_over(self, left_over: Item | None) -> Lease | None:
+    async def _reuse_lease(self, previous: Item | None) -> Lease | None:
         """Return the lease of this instance's former life, if it goes on.
 
         A renewal costs a tenth of what granting another one does.
         """
-        if left_over is None or left_over.lease == NO_LEASE:
+        if previous is None or previous.lease == NO_LEASE:
             return None
-        lease = Lease(left_over.lease, LEASE_TIME)
+        lease = Lease(previous.lease, MIN_LEASE_TTL)
         renewed = await self._store.renew_lease(lease)
         return None if isinstance(renewed, LeaseOver) else renewed
 
@@ -269,20 +273,20 @@
                 self._events.emit(Events.REGISTERED, key=key)
                 return Registered(lease)
             case _:
-                self._lose("the lease ended before the key was stored")
+                self._drop_registration("the lease ended before the key was stored")
                 return None
 
-    def _lose(self, reason: str) -> None:
+    def _drop_registration(self, reason: str) -> None:
         self._registered = None
         self._events.emit(Events.REGISTRATION_LOST, reason=reason)
 
     async def _read_others(self) -> Item | None:
         """Read the keys of all instances; return this instance's own."""
         reading = await self._keys.read()
-        self._take(reading.others)
+        self._update_others(reading.others)
         return reading.own
 
-    def _take(self, found: dict[str, InstanceRecord]) -> None:
+    def _update_others(self, found: dict[str, InstanceRecord]) -> None:
         self._counts.append((self._clock.monotonic(), len(found) + 1))
         if found == self._others:
             return
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -46,9 +46,9 @@
 )
 
 #: Between two looks at how old the copies are.
-LOOK = timedelta(seconds=0.35)
+CHECK_INTERVAL = timedelta(seconds=0.35)
 #: Looks between two renewals of the subscription.
-RENEW_LOOKS = 2
+CHECKS_PER_RENEWAL = 2
 #: A receiver whose copy was surely complete longer ago reads the store itself. Signs of
 #: life come each second; with the time between two looks and a reading of some 0.3 s on
 #: a busy machine that stays within the three seconds that operators allow for a change.
@@ -58,13 +58,13 @@
 GOOD = timedelta(seconds=0.9)
 #: An instance that has just started reads the store itself; only after this is it fed
 #: all of the copies. A reading takes some 50 ms.
-FIRST_READ_TIME = timedelta(seconds=0.3)
+FIRST_READ_DELAY = timedelta(seconds=0.3)
 #: An instance that the store didn't serve for this long sends its subscribers away: a
 #: single failed call isn't enough.
-UNSERVED = timedelta(seconds=0.3)
+MAX_UNSERVED_TIME = timedelta(seconds=0.3)
 #: An instance that need not watch any more, since others joined, feeds on for this long
 #: while it is asked: its subscribers read more seldom which instances there are.
-HANDOVER = timedelta(seconds=20)
+HANDOVER_TIME = timedelta(seconds=20)
 
 
 class Relay:
@@ -98,18 +98,22 @@
         self._metrics = metrics
         self._registration = registration
         self._watchers = Watchers(registration)
-        self._choice = FeederChoice(self._watchers, clock, lambda: calls.reachable)
-        self._heard_at = float("-inf")
+        self._feeder_choice = FeederChoice(
+            self._watchers, clock, lambda: calls.reachable
+        )
+        self._last_heard_at = float("-inf")
         #: When each prefix was surely complete by the feeder's word: one may be up to
         #: date, another not.
         self._complete_at = dict.fromkeys(self._followers, float("-inf"))
-        self._fed = False
-        self._ranked_at = float("-inf")
-        feeds = Feeder(self._followers, links, clock, self._may_feed, self._on_asked)
-        self._feeds = feeds
-        calls.on_success(feeds.note_served)
+        self._is_fed = False
+        self._last_watcher_at = float("-inf")
+        own_feeder = Feeder(
+            self._followers, links, clock, self._may_feed, self._on_refused
+        )
+        self._feeder = own_feeder
+        calls.on_success(own_feeder.send_heartbeats_if_due)
         for follower in self._followers.values():
-            follower.on_resumed = self._check_soon
+            follower.on_resumed = self._refresh_soon
         links.on(RelayUnserved, self._on_unserved)
         links.on_work(RelayChanges, self._on_changes)
         links.on_work(RelayCopy, self._on_copy)
@@ -118,94 +122,98 @@
     @property
     def watches(self) -> bool:
         """Whether this instance is one of those that watch the store for others."""
-        return self._watchers.is_own() or self._hands_over() or self._stands_in()
+        return (
+            self._watchers.is_watcher()
+            or self._is_handing_over()
+            or self._is_substitute()
+        )
 
-    def _hands_over(self) -> bool:
+    def _is_handing_over(self) -> bool:
         """Return whether it was one until lately and is still asked."""
-        age = self._clock.monotonic() - self._ranked_at
-        return age < HANDOVER.total_seconds() and self._feeds.has_subscribers()
+        age = self._clock.monotonic() - self._last_watcher_at
+        return age < HANDOVER_TIME.total_seconds() and self._feeder.has_subscribers()
 
-    def _stands_in(self) -> bool:
+    def _is_substitute(self) -> bool:
         """Return whether it feeds others because nobody feeds it."""
-        return not self._fed and self._feeds.has_subscribers()
+        return not self._is_fed and self._feeder.has_subscribers()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Subscribe and look at the feed, until cancelled."""
         task_status.started()
-        await trio.sleep(FIRST_READ_TIME.total_seconds())
-        looks = 0
+        await trio.sleep(FIRST_READ_DELAY.total_seconds())
+        checks = 0
         while True:
-            self._look_at_feed()
-            if looks % RENEW_LOOKS == 0:
-                self._tell()
-            looks += 1
-            await trio.sleep(LOOK.total_seconds())
+            self._check_feed()
+            if checks % CHECKS_PER_RENEWAL == 0:
+                self._renew_subscription()
+            checks += 1
+            await trio.sleep(CHECK_INTERVAL.total_seconds())
 
     def _may_feed(self) -> bool:
         return self._calls.reachable and self.watches
 
-    def _look_at_feed(self) -> None:
+    def _check_feed(self) -> None:
         """Choose a feeder where one is wanted, and leave one that is late.
 
         Another one is tried first; when that doesn't help in time the store is read.
         """
         now = self._clock.monotonic()
-        self._show_age(now)
-        if self._calls.unserved_time() > UNSERVED.total_seconds():
-            self._feeds.turn_away()
-        if self._registration.is_settled and self._watchers.is_own():
-            self._ranked_at = now
+        self._report_age(now)
+        if self._calls.unserved_time() > MAX_UNSERVED_TIME.total_seconds():
+            self._feeder.reject_subscribers()
+        if self._registration.is_settled and self._watchers.is_watcher():
+            self._last_watcher_at = now
             for follower in self._followers.values():
                 follower.begin_watching()
-        ranked = self._watchers.is_own() or self._hands_over()
+        ranked = self._watchers.is_watcher() or self._is_handing_over()
         if ranked and self._calls.reachable:
-            self._choice.leave()
+            self._feeder_choice.clear()
             self._set_fed(False, "watches itself")
             return
         age = now - min(self._complete_at.values())
-        is_late = age > SUSPECT.total_seconds() and self._choice.is_due()
-        if is_late or self._choice.is_far_for_long():
+        is_late = age > SUSPECT.total_seconds() and self._feeder_choice.is_grace_over()
+        if is_late or self._feeder_choice.is_far_too_long():
             self._choose_feeder()
         if age > LATE.total_seconds():
-            heard = now - self._heard_at <= LATE.total_seconds()
+            heard = now - self._last_heard_at <= LATE.total_seconds()
             self._set_fed(False, "late" if heard else "silence", age)
 
     def _choose_feeder(self) -> None:
-        if self._choice.feeder is not None:
+        if self._feeder_choice.feeder is not None:
             # Should nobody feed this instance it must know whether reading is of use.
             self._registration.try_soon()
-        self._choice.turn_to_next()
-        self._tell()
+        self._feeder_choice.switch_to_next()
+        self._renew_subscription()
 
     def _on_unserved(self, sender: str, message: Message) -> None:
         """Ask somebody else at once, who hasn't been found silent just now."""
-        if sender != self._choice.feeder:
+        if sender != self._feeder_choice.feeder:
             return
-        if self._choice.turn_to_other():
-            self._tell()
+        if self._feeder_choice.switch_to_other():
+            self._renew_subscription()
         else:
-            self._stand_in()
+            self._become_substitute()
 
-    def _check_soon(self) -> None:
+    def _refresh_soon(self) -> None:
         """Have a call served now: the copies of those whom this one feeds have aged."""
-        if self._feeds.has_subscribers():
+        if self._feeder.has_subscribers():
             self._registration.try_soon()
 
-    def _on_asked(self, sender: str) -> None:
+    def _on_refused(self, sender: str) -> None:
         """Send away who can't be fed here, or begin to watch for it."""
-        if self._calls.unserved_time() > UNSERVED.total_seconds():
+        if self._calls.unserved_time() > MAX_UNSERVED_TIME.total_seconds():
             self._links.send(sender, RelayUnserved())
-        elif self._choice.find_other() is None:
-            self._stand_in()
+        elif self._feeder_choice.find_responsive() is None:
+            self._become_substitute()
 
-    def _stand_in(self) -> None:
+    def _become_substitute(self) -> None:
         """Read the store at once if others ask and nobody is left to feed this one."""
-        if self._calls.reachable and self._feeds.has_subscribers():
+        if self._calls.reachable and self._feeder.has_subscribers():
             self._set_fed(False, "stands in")
 
-    def _tell(self) -> None:
+    def _renew_subscription(self) -> None:
         """Renew the subscription; that also acknowledges what came."""
-        feeder = self._choice.feeder
+        feeder = self._feeder_choice.feeder
         if feeder is None:
             return
         revisions = {
@@ -214,82 +222,88 @@
         }
         self._links.send(feeder, RelaySubscribe(revisions))
 
-    def _show_age(self, now: float) -> None:
+    def _report_age(self, now: float) -> None:
         """Show how long ago the older of the copies was surely complete."""
         ages = [now - follower.current_at for follower in self._followers.values()]
         if isfinite(max(ages)):
             self._metrics.gauge("intent.age", max(ages))
 
     def _set_fed(self, fed: bool, reason: str, age: float = 0.0) -> None:
-        if fed == self._fed:
+        if fed == self._is_fed:
             return
-        self._fed = fed
+        self._is_fed = fed
         if fed:
             # Those whom this instance has fed meanwhile.
-            self._feeds.turn_away()
+            self._feeder.reject_subscribers()
         self._events.emit(
             Events.FEED,
             fed=fed,
-            feeder=self._choice.feeder,
+            feeder=self._feeder_choice.feeder,
             reason=reason,
             age_ms=round(age * 1000) if isfinite(age) else None,
         )
         for follower in self._followers.values():
             follower.set_fed(fed)
 
-    def _on_changes(self, sender: str, message: Message, way: float) -> None:
+    def _on_changes(self, sender: str, message: Message, delay: float) -> None:
         assert isinstance(message, RelayChanges)
-        follower = self._take_from(sender, message.prefix)
+        follower = self._find_fed_copy(sender, message.prefix)
         if follower is None:
             return
         if follower.known and follower.revision >= message.base:
             try:
                 changes = unpack_changes(message.packed)
             except BadValue as error:
-                self._note_bad(sender, error)
+                self._report_bad_message(sender, error)
                 return
-            origin = Origin(sender, message.age.changed + way)
+            origin = Origin(sender, message.age.changed + delay)
             follower.apply(changes, message.revision, origin)
-            self._note_complete(follower, message.revision, message.age.current + way)
-        self._tell()
+            self._record_complete(
+                follower, message.revision, message.age.current + delay
+            )
+        self._renew_subscription()
 
-    def _on_copy(self, sender: str, message: Message, way: float) -> None:
+    def _on_copy(self, sender: str, message: Message, delay: float) -> None:
         assert isinstance(message, RelayCopy)
-        follower = self._take_from(sender, message.prefix)
+        follower = self._find_fed_copy(sender, message.prefix)
         if follower is None:
             return
         if not follower.known or message.revision >= follower.revision:
             try:
                 items = unpack_changes(message.packed)
             except BadValue as error:
-                self._note_bad(sender, error)
+                self._report_bad_message(sender, error)
                 return
             found = {item.key: item for item in items}
-            origin = Origin(sender, message.age.changed + way)
+            origin = Origin(sender, message.age.changed + delay)
             follower.replace(found, message.revision, origin)
-            self._note_complete(follower, message.revision, message.age.current + way)
-        self._tell()
+            self._record_complete(
+                follower, message.revision, message.age.current + delay
+            )
+        self._renew_subscription()
 
-    def _on_current(self, sender: str, message: Message, way: float) -> None:
+    def _on_current(self, sender: str, message: Message, delay: float) -> None:
         assert isinstance(message, RelayCurrent)
         for prefix, state in message.states.items():
-            follower = self._take_from(sender, prefix)
+            follower = self._find_fed_copy(sender, prefix)
             if follower is None or not follower.known:
                 continue
             if follower.revision >= state.latest_change:
-                self._note_complete(follower, state.revision, state.current_age + way)
+                self._record_complete(
+                    follower, state.revision, state.current_age + delay
+                )
 
-    def _take_from(self, sender: str, prefix: str) -> PrefixFollower | None:
-        if sender != self._choice.feeder:
+    def _find_fed_copy(self, sender: str, prefix: str) -> PrefixFollower | None:
+        if sender != self._feeder_choice.feeder:
             return None
-        self._heard_at = self._clock.monotonic()
+        self._last_heard_at = self._clock.monotonic()
         return self._followers.get(prefix)
 
-    def _note_bad(self, sender: str, error: BadValue) -> None:
+    def _report_bad_message(self, sender: str, error: BadValue) -> None:
         detail = str(error)[:200]
         self._events.emit(Events.PEER_BAD_MESSAGE, peer=sender, detail=detail)
 
-    def _note_complete(
+    def _record_complete(
         self, follower: PrefixFollower, revision: int, age: float
     ) -> None:
         """Note that a copy was complete up to a revision not longer ago than `age`."""
--- a/walkcart/membership/tests/test_cold_shares.py
+++ b/walkcart/membership/tests/test_cold_shares.py
@@ -12,7 +12,7 @@
 import trio
 
 from walkcart.bench.harness import ManualClock
-from walkcart.membership.coldshares import SHARES, ColdNeeds, ColdShares
+from walkcart.membership.coldshares import SHARE_COUNT, ColdNeeds, ColdShares
 from walkcart.routing.coldleafs import WINDOW, ColdBound, SendLog, Share
 from walkcart.routing.shares import rank_rendezvous
 from walkcart.store.calls import StoreUnavailable
@@ -124,10 +124,10 @@
     def find_share(self):
         if self.way == "leased":
             return self.shares.find_share(DATA_CENTRE)
-        ranked = self.ranked[:SHARES]
+        ranked = self.ranked[:SHARE_COUNT]
         if self.name not in ranked:
             return None
-        return Share(ranked.index(self.name), SHARES)
+        return Share(ranked.index(self.name), SHARE_COUNT)
 
     def send(self):
         share = self.find_share()
--- a/walkcart/membership/tests/test_feeder_choice.py
+++ b/walkcart/membership/tests/test_feeder_choice.py
@@ -5,11 +5,11 @@
 from walkcart.bench.harness import ManualClock
 from walkcart.membership.instancerecord import InstanceRecord
 from walkcart.membership.watchers import (
-    FAR_TIME,
-    SILENT_MEMORY,
+    MAX_FAR_TIME,
+    SILENT_TTL,
     SPARE_WATCHERS,
     SUSPECT,
-    WATCHERS,
+    WATCHERS_PER_DATA_CENTRE,
     FeederChoice,
     Watchers,
 )
@@ -33,7 +33,7 @@
 def find_candidates():
     """Return the numbers of those that watch and of the spare ones, in their order."""
     watchers = make_watchers(0)
-    names = watchers._ranked()[: WATCHERS + SPARE_WATCHERS]
+    names = watchers._rank_candidates()[: WATCHERS_PER_DATA_CENTRE + SPARE_WATCHERS]
     return [int(name[1:]) for name in names]
 
 
@@ -52,35 +52,39 @@
 
 def test_a_subscriber_that_is_sent_away_asks_each_candidate_once():
     choice, _ = make_choice(find_subscriber())
-    choice.turn_to_next()
+    choice.switch_to_next()
     asked = [choice.feeder]
-    while choice.turn_to_other():
+    while choice.switch_to_other():
         asked.append(choice.feeder)
     candidates = [name_of(number) for number in find_candidates()]
     assert sorted(asked) == sorted(candidates)
-    assert set(asked[:WATCHERS]) == set(candidates[:WATCHERS])
+    assert set(asked[:WATCHERS_PER_DATA_CENTRE]) == set(
+        candidates[:WATCHERS_PER_DATA_CENTRE]
+    )
     # It waits with those that watch, not with a spare one.
-    assert choice.feeder in candidates[:WATCHERS]
+    assert choice.feeder in candidates[:WATCHERS_PER_DATA_CENTRE]
 
 
 def test_one_that_was_silent_is_asked_again_after_a_while():
     choice, clock = make_choice(find_subscriber())
-    choice.turn_to_next()
-    while choice.turn_to_other():
+    choice.switch_to_next()
+    while choice.switch_to_other():
         pass
-    assert choice.find_other() is None
+    assert choice.find_responsive() is None
     clock.time += SUSPECT.total_seconds() + 0.01
-    assert choice.is_due()
-    assert choice.find_other() is not None
+    assert choice.is_grace_over()
+    assert choice.find_responsive() is not None
 
 
 def test_spare_ones_ask_only_those_before_them():
     candidates = find_candidates()
-    for place in range(WATCHERS, WATCHERS + SPARE_WATCHERS):
+    for place in range(
+        WATCHERS_PER_DATA_CENTRE, WATCHERS_PER_DATA_CENTRE + SPARE_WATCHERS
+    ):
         choice, _ = make_choice(candidates[place])
-        choice.turn_to_next()
+        choice.switch_to_next()
         asked = {choice.feeder}
-        while choice.turn_to_other():
+        while choice.switch_to_other():
             asked.add(choice.feeder)
         assert asked == {name_of(number) for number in candidates[:place]}
 
@@ -88,9 +92,9 @@
 def test_a_watcher_that_is_sent_away_asks_all_others():
     candidates = find_candidates()
     choice, _ = make_choice(candidates[0])
-    choice.turn_to_next()
+    choice.switch_to_next()
     asked = {choice.feeder}
-    while choice.turn_to_other():
+    while choice.switch_to_other():
         asked.add(choice.feeder)
     assert asked == {name_of(number) for number in candidates[1:]}
 
@@ -115,9 +119,9 @@
 
 def ask_all(choice):
     """Return who is asked in turn while each one sends the asker away."""
-    choice.turn_to_next()
+    choice.switch_to_next()
     asked = [choice.feeder]
-    while choice.turn_to_other():
+    while choice.switch_to_other():
         asked.append(choice.feeder)
     return asked
 
@@ -127,7 +131,7 @@
     asked = ask_all(choice)
     near = {name_of(number) for number in find_candidates()}
     assert set(asked[: len(near)]) == near
-    assert len(asked) == len(near) + WATCHERS * len(FAR)
+    assert len(asked) == len(near) + WATCHERS_PER_DATA_CENTRE * len(FAR)
 
 
 def test_an_instance_that_the_store_serves_asks_only_near():
@@ -138,12 +142,12 @@
 
 def test_a_far_feeder_is_left_for_a_near_one_after_a_while():
     choice, clock = make_far_choice(find_subscriber(), is_served=False)
-    choice.turn_to_next()
+    choice.switch_to_next()
     near = {name_of(number) for number in find_candidates()}
     while choice.feeder in near:
-        assert choice.turn_to_other()
-    assert not choice.is_far_for_long()
-    clock.time += max(FAR_TIME, SILENT_MEMORY) + 0.01
-    assert choice.is_far_for_long()
-    choice.turn_to_next()
+        assert choice.switch_to_other()
+    assert not choice.is_far_too_long()
+    clock.time += max(MAX_FAR_TIME, SILENT_TTL) + 0.01
+    assert choice.is_far_too_long()
+    choice.switch_to_next()
     assert choice.feeder in near
--- a/walkcart/membership/tests/test_feeding.py
+++ b/walkcart/membership/tests/test_feeding.py
@@ -8,10 +8,10 @@
 
 from walkcart.bench.harness import ManualClock
 from walkcart.membership.feeding import (
-    BEAT,
-    FRESH,
-    RESEND,
-    SUBSCRIPTION,
+    HEARTBEAT_INTERVAL,
+    MAX_COPY_AGE,
+    RESEND_TIMEOUT,
+    SUBSCRIPTION_TTL,
     Feeder,
     pack_changes,
     unpack_changes,
@@ -101,7 +101,7 @@
     fixture.links.take()
     fixture.tell(1)
     assert fixture.links.take() == []
-    fixture.pass_time(RESEND + timedelta(milliseconds=1))
+    fixture.pass_time(RESEND_TIMEOUT + timedelta(milliseconds=1))
     fixture.tell(1)
     (again,) = fixture.links.take()
     assert isinstance(again, RelayChanges)
@@ -124,9 +124,9 @@
     fixture = FeederFixture()
     fixture.tell(1)
     fixture.links.take()
-    fixture.clock.time += FRESH.total_seconds() + 0.1
+    fixture.clock.time += MAX_COPY_AGE.total_seconds() + 0.1
     fixture.follower.apply([Item("a", b"2", 2)], 2)
-    fixture.feeder.note_served()
+    fixture.feeder.send_heartbeats_if_due()
     assert fixture.links.take() == []
 
 
@@ -135,7 +135,7 @@
     fixture.feeds = False
     fixture.tell(1)
     fixture.change(2)
-    fixture.feeder.note_served()
+    fixture.feeder.send_heartbeats_if_due()
     assert fixture.links.take() == []
 
 
@@ -144,13 +144,13 @@
     fixture.tell(1)
     fixture.links.take()
     fixture.clock.time += 0.4
-    fixture.feeder.note_served()
-    fixture.feeder.note_served()
+    fixture.feeder.send_heartbeats_if_due()
+    fixture.feeder.send_heartbeats_if_due()
     (sign,) = fixture.links.take()
     assert isinstance(sign, RelayCurrent)
     assert round(sign.states[PREFIX].current_age, 3) == 0.4
-    fixture.pass_time(BEAT)
-    fixture.feeder.note_served()
+    fixture.pass_time(HEARTBEAT_INTERVAL)
+    fixture.feeder.send_heartbeats_if_due()
     assert len(fixture.links.take()) == 1
 
 
@@ -158,8 +158,8 @@
     fixture = FeederFixture()
     fixture.tell(1)
     fixture.links.take()
-    fixture.pass_time(SUBSCRIPTION + timedelta(milliseconds=1))
-    fixture.feeder.note_served()
+    fixture.pass_time(SUBSCRIPTION_TTL + timedelta(milliseconds=1))
+    fixture.feeder.send_heartbeats_if_due()
     fixture.change(2)
     assert fixture.links.take() == []
 
@@ -202,7 +202,7 @@
             case ("lose",):
                 flight = []
             case ("wait",):
-                fixture.pass_time(RESEND / 4)
+                fixture.pass_time(RESEND_TIMEOUT / 4)
                 fixture.tell(receiver.revision if receiver.known else 0)
             case ("restart",):
                 receiver = make_follower(fixture.clock)
@@ -212,7 +212,7 @@
         # Signs of life aside, one message is on its way at the most, until it is lost.
         assert sum(not isinstance(item, RelayCurrent) for item in flight) <= 2
     for _ in range(12):
-        fixture.pass_time(RESEND / 4)
+        fixture.pass_time(RESEND_TIMEOUT / 4)
         fixture.tell(receiver.revision if receiver.known else 0)
         take_all(receiver, flight + fixture.links.take())
         flight = []
--- a/walkcart/membership/tests/test_kept_leases.py
+++ b/walkcart/membership/tests/test_kept_leases.py
@@ -5,14 +5,14 @@
 import trio
 
 from walkcart.bench.harness import ManualClock
-from walkcart.membership.coldshares import TRUST, ColdNeeds, ColdShares
+from walkcart.membership.coldshares import KEY_TRUST_TIME, ColdNeeds, ColdShares
 from walkcart.routing.coldleafs import WINDOW, WINDOW_MARGIN
 from walkcart.store.items import Committed, Item, Lease, Page, Rejected
 
 DATA_CENTRE = "north-a"
 LEASE = Lease(7, None)
 #: Seconds from taking a share until it may be used, and a bit.
-WAIT = TRUST + WINDOW + WINDOW_MARGIN + 0.1
+WAIT = KEY_TRUST_TIME + WINDOW + WINDOW_MARGIN + 0.1
 
 
 class Keys:
@@ -52,7 +52,7 @@
     end = clock.time + seconds
     while clock.time < end:
         await shares.look()
-        clock.time += TRUST / 4
+        clock.time += KEY_TRUST_TIME / 4
 
 
 def test_a_present_life_has_the_share_of_the_former_which_loses_it():
--- a/walkcart/membership/view.py
+++ b/walkcart/membership/view.py
@@ -103,7 +103,7 @@
             self._selections[name] = tuple(item for item in found if wanted(item))
         return self._selections[name]
 
-    def _note_change(self) -> None:
+    def _invalidate(self) -> None:
         self.version += 1
         self._selections.clear()
 
@@ -111,7 +111,7 @@
         """Note which instances the instance list shows as live."""
         if names != self._listed:
             self._listed = names
-            self._note_change()
+            self._invalidate()
 
     def is_listed(self, name: str) -> bool:
         """Return whether the instance list shows `name` as live."""
@@ -120,7 +120,7 @@
     def merge(self, record: MemberRecord) -> bool:
         """Take `record` if it is newer than what is held; return whether it was."""
         if record.name == self.own.name:
-            return self._defend(record)
+            return self._refute(record)
         held = self._records.get(record.name)
         if held is None and record.state == MemberState.DEAD:
             # Nothing to do for it, and taking it in would pass it round for ever.
@@ -155,9 +155,9 @@
         """Drop a dead instance that the instance list doesn't show any longer."""
         if name != self.own.name:
             self._records.pop(name, None)
-            self._note_change()
+            self._invalidate()
 
-    def _defend(self, record: MemberRecord) -> bool:
+    def _refute(self, record: MemberRecord) -> bool:
         """Refute what others hold of this instance where it is wrong."""
         if rank_record(record) <= rank_record(self.own):
             return False
@@ -170,7 +170,7 @@
 
     def _store(self, old: MemberRecord | None, new: MemberRecord) -> None:
         self._records[new.name] = new
-        self._note_change()
+        self._invalidate()
         if new.name == self.own.name:
             self.own = new
         for listener in self._listeners:
