--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -56,7 +56,7 @@
     ) -> None:
         self._listener = listener
         self._transport = transport
-        self._directory = view
+        self._view = view
         self._events = events
         self._metrics = metrics
         self._handlers: dict[type[Message], MessageHandler] = {}
@@ -101,7 +101,7 @@
         return self._links.get((name, address)) if address else None
 
     def _find_address(self, name: str) -> HostPort | None:
-        record = self._directory.find(name)
+        record = self._view.find(name)
         if record is not None:
             self._last_addresses[name] = record.peer_address
         return parse_address(self._last_addresses.get(name, ""))
@@ -181,11 +181,11 @@
         except BadMessage as error:
             self._events.emit(Events.PEER_BAD_MESSAGE, detail=str(error)[:200])
             return
-        if envelope.to_incarnation not in (0, self._directory.own.incarnation):
+        if envelope.to_incarnation not in (0, self._view.own.incarnation):
             # Meant for an earlier process at this address.
             return
         now = self.last_received = trio.current_time()
-        if envelope.address and self._directory.find(envelope.sender) is None:
+        if envelope.address and self._view.find(envelope.sender) is None:
             self._record_unknown_sender(envelope)
         stamp = Stamp(
             envelope.life, envelope.sent_at, envelope.to_life, envelope.least_reading
@@ -195,9 +195,9 @@
         age = self._clock_readings.find_age(stamp, now)
         self._metrics.count("peer.received", len(envelope.messages))
         for message in envelope.messages:
-            self._dispatch(envelope.sender, message, age)
+            self._handle(envelope.sender, message, age)
 
-    def _dispatch(self, sender: str, message: Message, age: float) -> None:
+    def _handle(self, sender: str, message: Message, age: float) -> None:
         """Give a message to its handler, whose faults must not end the instance."""
         try:
             if (work := self._aged_handlers.get(type(message))) is not None:
@@ -257,8 +257,8 @@
                 await sender.close()
 
     def _pack_envelope(self, name: str, messages: tuple[Message, ...]) -> bytes:
-        record = self._directory.find(name)
-        own = self._directory.own
+        record = self._view.find(name)
+        own = self._view.own
         stamp = self._clock_readings.make_stamp(name, trio.current_time())
         envelope = Envelope(
             own.name,
