--- a/walkcart/membership/__init__.py
+++ b/walkcart/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Which instances live and which leaves are leaving, as far as one can know.
+"""Which instances are live and which leaves are leaving, as known to one instance.
 
-Views of different instances may differ; nothing correct rests on their being
-equal. What must be exact goes through the store's compare-and-swap.
+The views of different instances may differ, and correctness doesn't depend on their
+being equal. What must be exact goes through the store's compare-and-swap.
 """
 
 from walkcart.lazyimport import attach_names
--- a/walkcart/membership/coldshares.py
+++ b/walkcart/membership/coldshares.py
@@ -1,16 +1,17 @@
-"""The shares of cold leafs' bounds that this instance holds.
+"""The shares of the request bounds on cold leaves that this instance holds.
 
-The bound of each cold leaf of a data centre is cut into a few shares. A share is a key
-in the shared store that hangs on the lease of the instance that holds it, so that never
-two hold one, whatever views of the fleet there are. The store may take a key away
-without a word to its holder. So a holder that wants to use its share reads its key
-first, and trusts that for a short time; whoever takes a share that became free waits
-for that time, and for the window of the bound, before it sends anything.
+The bound on each cold leaf of a data centre is divided into a few shares. A share is a
+key in the shared store, attached to the lease of its holder. So no two instances hold
+the same share, however their views of the fleet differ. The store may delete a key
+without notice to its holder. A holder therefore reads its key before it uses the share
+and trusts that read for a short time. An instance that takes a free share waits for
+that time, and for the window of the bound, before it sends any request.
 
-While no service has a bound nothing is stored; while no leaf is cold nothing is read.
+Nothing is stored while no service has a bound, and nothing is read while no leaf is
+cold.
 
 See Also:
-    `walkcart.routing.coldleafs`, for what a share stands for.
+    `walkcart.routing.coldleafs`, which defines the bounds.
 """
 
 from __future__ import annotations
@@ -38,17 +39,19 @@
     Transaction,
 )
 
-#: Start of the keys; a data centre and the number of a share follow.
+#: Prefix of the keys; the data centre and the number of the share follow.
 SHARE_PREFIX = "walkcart/cold/"
-#: Shares of each data centre: as many as gather in it at the least, so that one that
-#: ended leaves two thirds in use until its key is gone.
+#: Shares of each data centre. At least this many instances gather answers in each, so
+#: when a holder dies two thirds stay in use until its key is gone.
 SHARE_COUNT = 3
-#: Seconds for which a reading that showed the key is trusted. Four looks, so that one
-#: slow call of the store does no harm; a free share is unused for as long.
+#: Seconds for which a read that found the key is trusted. This is four refresh
+#: intervals, so that one slow call to the store does no harm. A share that became free
+#: stays unused for as long.
 KEY_TRUST_TIME = 2.0
-#: Seconds between two looks at what is to be taken or read.
+#: Seconds between two calls of `ColdShares.look`.
 REFRESH_INTERVAL = 0.5
-#: Seconds before shares that others hold are tried for again; doubles to the longest.
+#: Seconds before the instance tries again to take shares that others hold. Doubles
+#: after each attempt, up to the maximum.
 MIN_RETRY_INTERVAL = 2.0
 MAX_RETRY_INTERVAL = 60.0
 
@@ -58,11 +61,11 @@
     """A share that this instance has taken.
 
     Args:
-        share: which one.
-        key: that says so.
-        revision: of the key.
-        lease: that it hangs on.
-        usable_from: when no former holder uses it any more, in seconds.
+        share: the index of the share and the number of shares.
+        key: the share's key in the store.
+        revision: the revision of the key.
+        lease: the lease that the key is attached to.
+        usable_from: the time after which no former holder uses the share, in seconds.
     """
 
     share: Share
@@ -74,12 +77,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdNeeds:
-    """Which shares are of use.
+    """Functions that tell which shares are needed and who should hold them.
 
     Args:
-        find_bounded: returns the data centres with leafs that have a bound.
-        find_cold: returns those among them with leafs that are cold now.
-        rank: returns the instances that are to hold a data centre's shares, in order.
+        find_bounded: returns the data centres that have leaves with a bound.
+        find_cold: returns those of them that have cold leaves now.
+        rank: returns the names of the instances of a data centre that should hold its
+            shares, by rank.
     """
 
     find_bounded: Callable[[], frozenset[str]]
@@ -88,14 +92,14 @@
 
 
 class ColdShares:
-    """Takes shares of cold leafs' bounds and says which of them may be used.
+    """Takes shares of the bounds on cold leaves and tells which may be used now.
 
     Args:
         store: the shared store.
-        registration: of this instance, for its name and its lease.
-        needs: which shares are of use.
+        registration: the registration of this instance, for its name and its lease.
+        needs: tells which shares are needed.
         clock: source of time.
-        events: where shares that come and go are logged.
+        events: log of shares taken and lost.
     """
 
     def __init__(
@@ -117,7 +121,7 @@
         self._retry_intervals: dict[str, float] = {}
 
     def find_share(self, data_centre: str) -> Share | None:
-        """Return the share of a data centre's cold leafs that may be used now."""
+        """Return the share of a data centre that may be used now, or None."""
         held = self._held.get(data_centre)
         now = self._clock.monotonic()
         if held is None or now < held.usable_from:
@@ -127,19 +131,19 @@
         return held.share
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Take shares and read their keys, until cancelled."""
+        """Take shares and check their keys, until cancelled."""
         task_status.started()
         while True:
             with suppress(StoreUnavailable):
-                # Logged by the calls, which know whether it is the first failure.
+                # `StoreCalls` logs the first failure of a series.
                 await self.look()
             await trio.sleep(REFRESH_INTERVAL)
 
     async def look(self) -> None:
-        """Take the shares that this instance is to hold, and see to those it uses.
+        """Take the shares that this instance should hold and check those in use.
 
         Raises:
-            StoreUnavailable: the store has no usable reply.
+            StoreUnavailable: the store gave no usable reply.
         """
         self._drop_ended()
         for data_centre in sorted(self._needs.find_cold() & set(self._held)):
@@ -149,7 +153,7 @@
                 await self._take_any(data_centre)
 
     def _drop_ended(self) -> None:
-        """Forget the shares whose lease this instance no longer has."""
+        """Drop the shares that are attached to a lease this instance no longer has."""
         lease = self._registration.lease
         for data_centre, held in list(self._held.items()):
             if lease is None or held.lease.id != lease.id:
@@ -163,7 +167,7 @@
         )
 
     async def _check_key(self, data_centre: str) -> None:
-        """Read whether the key of a share is still there."""
+        """Read whether the key of a held share still exists; drop the share if not."""
         held = self._held[data_centre]
         asked_at = self._clock.monotonic()
         if asked_at < self._trusted_until.get(data_centre, 0.0) - KEY_TRUST_TIME / 2:
@@ -184,7 +188,7 @@
         return own in self._needs.rank(data_centre)[:SHARE_COUNT]
 
     async def _take_any(self, data_centre: str) -> None:
-        """Take a share of a data centre, this instance's own number first."""
+        """Take any share of a data centre, beginning at this instance's rank."""
         preferred = self._needs.rank(data_centre).index(self._registration.own.name)
         for step in range(SHARE_COUNT):
             share = Share((preferred + step) % SHARE_COUNT, SHARE_COUNT)
@@ -196,7 +200,7 @@
         self._retry_intervals[data_centre] = min(MAX_RETRY_INTERVAL, interval * 2)
 
     async def _take(self, data_centre: str, share: Share) -> bool:
-        """Take one share; return whether it is this instance's."""
+        """Try to take a share; return whether this instance holds it now."""
         lease = self._registration.lease
         if lease is None:
             return False
@@ -208,12 +212,12 @@
         if isinstance(outcome, Rejected):
             for item in outcome.present:
                 if item.value == value:
-                    # An answer that was lost may have been of a call that was done.
+                    # An earlier call succeeded, but its reply was lost.
                     self._hold(data_centre, share, item, lease)
                     return True
                 if item.lease == lease.id and item.value < value:
-                    # Of a life that began earlier; the new revision tells that one,
-                    # should it go on.
+                    # Stored by an earlier process of this instance. The new revision
+                    # takes the share away from it, in case it is still running.
                     expected = ((key, item.revision),)
                     outcome = await self._store.commit(Transaction(expected, (put,)))
         if isinstance(outcome, Committed):
@@ -223,7 +227,7 @@
         return False
 
     def _hold(self, data_centre: str, share: Share, item: Item, lease: Lease) -> None:
-        """Hold a share whose key is stored; it is used once no former holder is."""
+        """Hold a share whose key is stored, unused until no former holder uses it."""
         usable_from = self._clock.monotonic() + KEY_TRUST_TIME + WINDOW + WINDOW_MARGIN
         self._held[data_centre] = HeldShare(
             share, item.key, item.revision, lease, usable_from
--- a/walkcart/membership/detector.py
+++ b/walkcart/membership/detector.py
@@ -1,10 +1,10 @@
-"""Failure detection by heartbeats to a bounded number of peers.
+"""Failure detection by pings to a bounded number of peers, as in SWIM.
 
-Each round an instance pings one other, in a shuffled order that comes round to
-all. Without an answer it asks a few others to ping it too; without an answer to
-those either, the instance is suspected, and dead unless it refutes that in time.
-The cost for one instance doesn't grow with their number. News that matters at
-once (states, marks of leaves, a revision) is pushed to a few peers besides.
+Each round an instance pings one other instance, in a shuffled order that covers all of
+them. If there is no answer, it asks a few others to ping the target too. If these get
+no answer either, the target is suspected, and it is declared dead unless it refutes
+that in time. The cost for one instance doesn't grow with the size of the fleet. Urgent
+news (states, marks of leaves, a revision) is also pushed to a few peers at once.
 
 References:
     Das, Gupta, Motivala: SWIM, 2002.
@@ -34,35 +34,36 @@
 
 INDIRECT_PINGS = 2
 PUSH_PEERS = 3
-#: Share of a round after which a ping without an answer is asked of others.
+#: Part of a round to wait for an answer before other instances are asked to ping.
 DIRECT_PING_FRACTION = 0.5
-#: Rounds from a suspicion to death.
+#: Rounds from the suspicion of an instance until it is declared dead.
 SUSPICION_ROUNDS = 2.0
-#: In one of so many rounds a dead instance is pinged, so that a cut heals.
+#: A dead instance is pinged in one of this many rounds, so that the fleet recovers from
+#: a network partition.
 DEAD_PING_ROUNDS = 4
 
 
 @dataclass(slots=True)
 class _Probe:
-    """A ping under way."""
+    """A ping that has not been answered yet."""
 
     target: str
     answered: trio.Event
 
 
 class Detector:
-    """Pings peers, keeps the view and passes news on.
+    """Pings peers, updates the view and spreads news.
 
     Args:
-        view: what is kept.
-        marks: leaves that are leaving.
-        gossip: news to pass on.
-        links: to the peers.
+        view: the view of all instances.
+        marks: the leaves that are leaving.
+        gossip: the news to spread.
+        links: links to the peers.
         clock: source of time.
-        random: source of the order of pings.
-        events: where changes are logged.
-        metrics: where live peers are counted.
-        interval: length of a round.
+        random: source of randomness for targets and jitter.
+        events: log of changes.
+        metrics: counts live instances.
+        interval: the length of a round.
     """
 
     def __init__(
@@ -147,7 +148,7 @@
         ]
 
     async def _probe(self, target: str) -> None:
-        """Ping `target`, then through others; suspect it when nothing answers."""
+        """Ping `target` directly and indirectly; suspect it if there is no answer."""
         number = self._next_number()
         probe = _Probe(target, trio.Event())
         self._probes[number] = probe
@@ -161,7 +162,7 @@
             self._probes.pop(number, None)
 
     async def _is_answered(self, probe: _Probe, number: int) -> bool:
-        """Ping, then ping through others; return whether anything answered."""
+        """Ping directly, then through others; return whether an answer came."""
         target = probe.target
         try:
             self._links.send(target, Ping(number, self._gossip.make_digest(target)))
@@ -179,9 +180,10 @@
             del self._probes[number]
 
     async def _suspect(self, target: str) -> None:
-        """Suspect `target`; hold it dead unless it refutes that in time.
+        """Suspect `target`, and declare it dead unless it refutes that in time.
 
-        Also when another suspected it before: that one may be gone itself.
+        This is also done if another instance suspected it first, as that instance may
+        be gone itself.
         """
         if self._view.mark(target, MemberState.SUSPECT):
             self.push_soon()
@@ -208,7 +210,7 @@
             self._urgent = trio.Event()
             for name in self._choose_peers(PUSH_PEERS):
                 self._links.send(name, Gossip(self._gossip.make_digest()))
-            # Gathers what comes close together into one push.
+            # Combines news that come shortly after each other into one push.
             await trio.sleep(self._interval / 20)
 
     def _on_ping(self, sender: str, message: Message) -> None:
@@ -249,8 +251,8 @@
 
     def _on_member_change(self, old: MemberRecord | None, new: MemberRecord) -> None:
         if old is None or rank_record(old)[:3] != rank_record(new)[:3]:
-            # A revision alone isn't passed on record by record: that would cost
-            # each instance as much as there are instances, for every change.
+            # A new revision alone isn't spread by records: for every change, the cost
+            # for each instance would grow with the number of instances.
             self._gossip.add_member(new.name)
         self._metrics.gauge("member.live", len(self._view.live()))
         if old is not None and old.state == new.state:
--- a/walkcart/membership/feeding.py
+++ b/walkcart/membership/feeding.py
@@ -1,11 +1,12 @@
-"""Passing the copies of what the store holds on to subscribers.
+"""Replication of the local copies of stored prefixes to subscribed instances.
 
-State is passed on, not a log of changes: of each prefix a subscriber is sent what
-differs from what it last said to have, and nothing more before it has acknowledged
-that. So at most one message of a prefix is on its way to a subscriber, a slow link or
-receiver gets fewer versions rather than later ones, and how much waits doesn't depend
-on how often the configuration changes: with whole versions in turn a feeder on a link
-of 10 Mbit/s fell 6 s behind under six changes a second.
+The feeder sends state, not a log of changes. For each prefix a subscriber gets the
+difference from the revision that it last acknowledged, and nothing more until it
+acknowledges that message. So at most one message of a prefix is on its way to a
+subscriber, and a slow link or receiver gets fewer versions instead of later ones. The
+amount queued doesn't depend on how often the configuration changes: when every version
+was sent in turn, a feeder on a link of 10 Mbit/s fell 6 s behind under six changes a
+second.
 
 See Also:
     `walkcart.membership.relaying.Relay`, the receiver.
@@ -34,31 +35,32 @@
     RelayUnserved,
 )
 
-#: A subscription ends this long after it was renewed last.
+#: A subscription expires this long after its last renewal.
 SUBSCRIPTION_TTL = timedelta(seconds=3)
-#: A message that wasn't acknowledged after this is taken for lost: a full copy of 170
-#: KB to each of 12 subscribers takes 1.6 s on a link of 10 Mbit/s if it can't be
-#: packed.
+#: A message that isn't acknowledged within this time counts as lost. A full copy of 170
+#: KB to each of 12 subscribers takes 1.6 s on a link of 10 Mbit/s if it doesn't
+#: compress.
 RESEND_TIMEOUT = timedelta(seconds=2)
-#: Least time between two signs of life. One is due when the store has served a call,
-#: which it does each second, so that it is new when it is sent.
+#: Shortest time between two heartbeats. One is due after each successful call to the
+#: store, about once a second, so that it carries a recent confirmation.
 HEARTBEAT_INTERVAL = timedelta(seconds=0.5)
-#: A copy that was surely complete longer ago isn't passed on as one that is.
+#: A copy that was last confirmed complete longer ago is not sent to subscribers.
 MAX_COPY_AGE = timedelta(seconds=1.6)
-#: Level of zlib: 2,627 bytes of a configuration of 21,676 in 0.15 ms of a processor;
-#: level 6 makes 2,539 of them in 0.41 ms.
+#: Compression level of zlib. Level 1 packs a configuration of 21,676 bytes into 2,627
+#: in 0.15 ms of CPU time; level 6 packs it into 2,539 in 0.41 ms.
 ZLIB_LEVEL = 1
-#: Bytes that a message may unpack to, so that a small one can't fill the memory.
+#: Size limit for an unpacked message in bytes, so that a small message can't exhaust
+#: the memory.
 MAX_UNPACKED_BYTES = 64 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class _SentMessage:
-    """A message that wasn't acknowledged yet.
+    """A message that the subscriber has not acknowledged yet.
 
     Args:
-        revision: that the subscriber has when it arrived.
-        sent_at: when it was queued, in seconds.
+        revision: the revision that the subscriber has once it applied the message.
+        sent_at: when the message was queued, in seconds.
     """
 
     revision: int
@@ -66,21 +68,22 @@
 
 
 class _Subscriber:
-    """What is known of one subscriber."""
+    """The state of one subscription."""
 
     def __init__(self) -> None:
         self.renewed_at = float("-inf")
-        #: By prefix, the revision that it last said to have.
+        #: The revision that the subscriber last reported, by prefix.
         self.told: dict[str, int] = {}
         self.in_flight: dict[str, _SentMessage] = {}
 
     def record_revision(self, prefix: str, revision: int, now: float) -> None:
-        """Note what the subscriber has of a prefix."""
+        """Record the revision of a prefix that the subscriber reports."""
         sent_message = self.in_flight.get(prefix)
         if sent_message is not None:
             arrived = revision >= sent_message.revision
             lost = now - sent_message.sent_at > RESEND_TIMEOUT.total_seconds()
-            # One that has less than it had is a new process: nothing is on its way.
+            # A lower revision than before comes from a new process, for which no
+            # message is on its way.
             restarted = revision < self.told.get(prefix, 0)
             if arrived or lost or restarted:
                 del self.in_flight[prefix]
@@ -88,14 +91,15 @@
 
 
 class Feeder:
-    """Sends subscribers what changed, and signs of life.
+    """Sends changes and heartbeats to subscribers.
 
     Args:
-        followers: the copies, by prefix.
-        links: to the other instances.
+        followers: the local copies, by prefix.
+        links: links to the other instances.
         clock: source of time.
-        may_feed: whether this instance watches the store and is served by it.
-        on_refused: told who asks while it may not.
+        may_feed: returns whether this instance watches the store and can reach it.
+        on_refused: called with the name of an instance that subscribes while `may_feed`
+            returns False.
     """
 
     def __init__(
@@ -114,7 +118,7 @@
         self._subscribers: dict[str, _Subscriber] = {}
         self._changed_at = dict.fromkeys(followers, clock.monotonic())
         self._heartbeat_at = float("-inf")
-        #: The last packed message of each prefix: most subscribers lack the same.
+        #: The last packed changes of each prefix; most subscribers need the same ones.
         self._packed: dict[str, tuple[tuple[int, int], bytes]] = {}
         for follower in followers.values():
             follower.on_change = self._on_change
@@ -122,21 +126,21 @@
         links.on(RelaySubscribe, self._on_subscribe)
 
     def has_subscribers(self) -> bool:
-        """Return whether anybody was asking of late."""
+        """Return whether there are subscriptions that have not expired."""
         self._drop_expired(self._clock.monotonic())
         return bool(self._subscribers)
 
     def reject_subscribers(self) -> None:
-        """Tell all subscribers to ask others."""
+        """End all subscriptions and tell the subscribers to ask another instance."""
         for name in self._subscribers:
             self._links.send(name, RelayUnserved())
         self._subscribers.clear()
 
     def send_heartbeats_if_due(self) -> None:
-        """Send signs of life, now that the store has served a call."""
+        """Send heartbeats if they are due; called after a successful store call."""
         now = self._clock.monotonic()
         oldest = min(follower.current_at for follower in self._followers.values())
-        # While a watch pauses there is nothing new to say; once it is over there is.
+        # While a watch is paused there is no newer confirmation to send.
         if (
             now - oldest
             <= HEARTBEAT_INTERVAL.total_seconds()
@@ -145,7 +149,7 @@
             self._send_heartbeats()
 
     def _send_heartbeats(self) -> None:
-        """Send signs of life: what a watch has shown ages while it pauses."""
+        """Send missing changes and heartbeats; copies age while a watch is paused."""
         now = self._clock.monotonic()
         self._heartbeat_at = now
         self._drop_expired(now)
@@ -189,7 +193,10 @@
     def _send_missing(
         self, name: str, subscriber: _Subscriber, follower: PrefixFollower
     ) -> None:
-        """Send a subscriber what it lacks of a prefix, if nothing is on its way."""
+        """Send a subscriber the changes of a prefix that it lacks.
+
+        Sends nothing while an earlier message of the prefix is not acknowledged.
+        """
         prefix = follower.prefix
         if prefix in subscriber.in_flight or not self._is_fresh(follower):
             return
@@ -227,7 +234,7 @@
         return packed
 
     def _send_current(self, name: str, subscriber: _Subscriber) -> None:
-        """Say where the copies stand that the subscriber lacks nothing of."""
+        """Send the revision and age of each copy that the subscriber has in full."""
         now = self._clock.monotonic()
         states = {
             prefix: RelayedState(
@@ -245,15 +252,15 @@
 
 
 def pack_changes(changes: Iterable[Change]) -> bytes:
-    """Return the bytes of changes for a message."""
+    """Return changes as compressed bytes for a message."""
     return pack_value(tuple(_encode(change) for change in changes), ZLIB_LEVEL)
 
 
 def unpack_changes(packed: bytes) -> list[Change]:
-    """Return the changes in a message.
+    """Return the changes from the compressed bytes of a message.
 
     Raises:
-        walkcart.store.packing.BadValue: they can't be read.
+        walkcart.store.packing.BadValue: the bytes can't be decoded.
     """
     rows = unpack_value(packed, tuple[RelayedItem, ...], MAX_UNPACKED_BYTES)
     return [_decode(row) for row in rows]
--- a/walkcart/membership/gossip.py
+++ b/walkcart/membership/gossip.py
@@ -1,8 +1,8 @@
-"""News to pass on, each a bounded number of times.
+"""Queue of news to spread by gossip, each a bounded number of times.
 
-Each piece of news rides on a number of messages that grows with the logarithm
-of the number of instances, which is enough to reach all of them with high
-probability while a message stays small.
+Each item is sent with a number of messages that grows with the logarithm of the number
+of instances. This is enough to reach all of them with high probability while messages
+stay small.
 
 References:
     Demers et al., Epidemic algorithms for replicated database maintenance, 1987.
@@ -22,11 +22,11 @@
 
 
 class GossipQueue:
-    """Chooses what the next message carries.
+    """Chooses the news for the next message.
 
     Args:
-        view: source of the members' records.
-        marks: source of the leaves' marks.
+        view: the records of the instances.
+        marks: the marks of the leaves.
     """
 
     def __init__(self, view: MembershipView, marks: LeafMarks) -> None:
@@ -36,19 +36,19 @@
         self._pending_marks: dict[str, int] = {}
 
     def add_member(self, name: str) -> None:
-        """Pass on the record of the instance called `name`."""
+        """Queue the record of the instance called `name`."""
         self._pending_members[name] = self._count_repeats()
 
     def add_mark(self, address: str) -> None:
-        """Pass on the mark of the leaf at `address`."""
+        """Queue the mark of the leaf at `address`."""
         self._pending_marks[address] = self._count_repeats()
 
     def make_digest(self, target: str = "") -> Digest:
-        """Return what the next message carries, and count it as sent.
+        """Return the content of the next message, and count it as sent.
 
         Args:
-            target: receiver of a ping; when it is held to be suspect or dead it
-                is told so, or it could never refute that.
+            target: the receiver of a ping. If it is suspected or declared dead, its
+                record is included, since otherwise it could never refute that.
         """
         members = [self._view.own]
         held = self._view.find(target)
@@ -67,7 +67,7 @@
         )
 
     def take_in(self, digest: Digest) -> bool:
-        """Merge a received digest; return whether it held urgent news."""
+        """Merge a received digest; return whether it contained urgent news."""
         urgent = False
         for record in digest.members:
             urgent |= self._merge_member(record)
@@ -93,7 +93,7 @@
 
 
 def _pick_next(pending: dict[str, int], limit: int) -> list[str]:
-    """Take the names with most repeats left, counting them down."""
+    """Return the names with the most repeats left, and count them down."""
     chosen = sorted(pending, key=lambda name: (-pending[name], name))[:limit]
     for name in chosen:
         pending[name] -= 1
--- a/walkcart/membership/instancekeys.py
+++ b/walkcart/membership/instancekeys.py
@@ -1,7 +1,7 @@
-"""Reading the keys that instances store, and what else they store beside them.
+"""Reading of the instances' keys, and of other keys under the same prefix.
 
 See Also:
-    `walkcart.membership.registration.Registration`, which stores this instance's.
+    `walkcart.membership.registration.Registration`, which stores this instance's key.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyReading:
-    """The instances, as their keys were read.
+    """The result of reading the instances' keys.
 
     Args:
-        own: this instance's key, or None without one.
-        others: by name.
+        own: the key of this instance, or None if there is none.
+        others: the records of the other instances, by name.
     """
 
     own: Item | None
@@ -40,8 +40,8 @@
 
     Args:
         store: the shared store.
-        name: of this instance.
-        events: where keys that can't be read are logged.
+        name: the name of this instance.
+        events: log of keys that can't be decoded.
     """
 
     def __init__(self, store: SharedStore, name: str, events: EventLog) -> None:
@@ -51,14 +51,16 @@
         self._readers: dict[str, Callable[[Item], None]] = {}
 
     def add_prefix_reader(self, prefix: str, reader: Callable[[Item], None]) -> None:
-        """Give `reader` the items of another prefix, each time the keys are read."""
+        """Pass the items of another prefix to `reader` at each read."""
         self._readers[prefix] = reader
 
     async def read(self) -> KeyReading:
-        """Read the keys; they may be seconds old, which costs a tenth.
+        """Read the keys.
+
+        The result may be some seconds old: such a read costs a tenth of a fresh one.
 
         Raises:
-            walkcart.store.calls.StoreUnavailable: they couldn't be read.
+            walkcart.store.calls.StoreUnavailable: the store gave no usable reply.
         """
         reading = await read_prefix(self._store, SHARED_PREFIX, fresh=False)
         others = {}
--- a/walkcart/membership/instancerecord.py
+++ b/walkcart/membership/instancerecord.py
@@ -1,29 +1,29 @@
-"""What an instance stores about itself, and under which keys.
+"""The record that an instance stores about itself, and the prefixes of the keys.
 
 See Also:
-    `walkcart.membership.registration.Registration`, which stores and reads it.
+    `walkcart.membership.registration.Registration`, which stores and reads the record.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-#: Start of all keys that instances of the platform store.
+#: Prefix of all keys that instances store.
 SHARED_PREFIX = "walkcart/"
-#: Start of the keys of instances.
+#: Prefix of the keys that hold the instances' records.
 INSTANCE_PREFIX = "walkcart/instances/"
 
 
 class InstanceRecord(msgspec.Struct, frozen=True):
-    """What an instance stores about itself.
+    """The record that an instance stores about itself.
 
     Args:
-        name: of the instance.
-        started: names its process life.
-        data_centre: where it stands.
-        region: of that data centre.
-        peer_address: ``IP:port`` for other instances; empty when it takes no peers.
-        cores: of its machine, in cores of the usual speed.
+        name: the name of the instance.
+        started: identifies the process; a restarted instance has another value.
+        data_centre: the data centre of the instance.
+        region: the region of the data centre.
+        peer_address: ``IP:port`` for other instances; empty if it accepts no peers.
+        cores: the cores of its machine, as a number of cores of the usual speed.
     """
 
     name: str
@@ -35,5 +35,5 @@
 
     @property
     def incarnation(self) -> int:
-        """Return 0: messages to any life of an instance may be taken by the present."""
+        """Always 0: the present process accepts messages meant for an earlier one."""
         return 0
--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -1,4 +1,4 @@
-"""Links to peers: one task for each, batched envelopes, dispatch by type."""
+"""Links to peers: one task per peer, batched envelopes, dispatch by message type."""
 
 from __future__ import annotations
 
@@ -20,30 +20,32 @@
 from walkcart.wire.messages import Envelope, Message
 from walkcart.wire.peers import PeerListener, PeerTransport
 
-#: Random bytes that name a process life.
+#: Random bytes that identify a process.
 LIFE_ID_BYTES = 4
-#: Senders outside the book whose addresses are kept.
+#: Addresses that are kept of senders, for replies to those outside the directory.
 MAX_UNKNOWN_SENDERS = 256
 SEND_TIMEOUT = timedelta(seconds=2)
-#: A connection may have gone silent for good without an end. Between two new ones to a
-#: peer that seems silent; also how long the old one is kept for what it still carries.
+#: Shortest time between two new connections to a peer that doesn't answer, since a
+#: connection may be dead without having been closed. The old connection is kept open
+#: for the same time, so that it can still deliver what was sent.
 RENEWAL_INTERVAL = timedelta(seconds=2)
 
-#: Called with the sender's name and the message; must not wait.
+#: Called with the sender's name and the message; must not block.
 MessageHandler = Callable[[str, Message], None]
-#: The same, with the most seconds that the message was on its way; infinite if unknown.
+#: The same, with an upper bound on the age of the message in seconds; infinite if
+#: unknown.
 WorkHandler = Callable[[str, Message, float], None]
 
 
 class PeerLinks:
-    """Sends to and receives from the other instances.
+    """Sends messages to the other instances and receives theirs.
 
     Args:
-        listener: where this instance is reached.
-        transport: makes senders.
-        view: the instances and their addresses.
-        events: where bad messages are logged.
-        metrics: where messages are counted.
+        listener: receives the envelopes sent to this instance.
+        transport: opens connections to peers.
+        view: the known instances and their addresses.
+        events: log of invalid messages and failed connections.
+        metrics: counts messages.
     """
 
     def __init__(
@@ -63,39 +65,42 @@
         self._aged_handlers: dict[type[Message], WorkHandler] = {}
         self._clock_readings = ClockReadings(secrets.token_hex(LIFE_ID_BYTES))
         self._links: dict[tuple[str, HostPort], Outbox] = {}
-        #: Addresses that senders gave or the book held last, for answers to those that
-        #: aren't in it yet, or any more: the store may turn one away for longer than
-        #: its entry lasts.
+        #: The last known address of each instance, from its envelopes or the directory,
+        #: for replies to those that aren't in the directory yet or any more: the store
+        #: may reject an instance for longer than its entry lasts.
         self._last_addresses: dict[str, str] = {}
         self._nursery: trio.Nursery | None = None
         self.last_received = trio.current_time()
 
     def on(self, kind: type[Message], handler: MessageHandler) -> None:
-        """Give messages of `kind` to `handler`."""
+        """Pass messages of type `kind` to `handler`."""
         self._handlers[kind] = handler
 
     def on_work(self, kind: type[Message], handler: WorkHandler) -> None:
-        """Give messages of `kind`, which start work, to `handler`, with their age."""
+        """Pass messages of type `kind` to `handler` with their age.
+
+        For messages that start work, which is useless if the message is too old.
+        """
         self._aged_handlers[kind] = handler
 
     def has_heard_of(self, name: str) -> bool:
-        """Return whether a life of the instance called `name` was heard of."""
+        """Return whether any process of the instance `name` has sent an envelope."""
         return self._clock_readings.has_heard_of(name)
 
     def has_link(self, name: str) -> bool:
-        """Return whether there is a link to an instance, or one is being made."""
+        """Return whether a link to an instance is open or being opened."""
         return self._find_link(name) is not None
 
     def is_connected(self, name: str) -> bool:
-        """Return whether a message to an instance would leave at once."""
+        """Return whether a message to an instance would be sent without delay."""
         link = self._find_link(name)
         return link is not None and link.is_connected
 
     def _find_link(self, name: str) -> Outbox | None:
-        """Return the present link to an instance, or None.
+        """Return the current link to an instance, or None.
 
-        Found by its address: looked for among 200 links for each instance that may be
-        asked it would cost a question some milliseconds.
+        The lookup is by address: a search through 200 links for each instance that may
+        be asked would cost a question some milliseconds.
         """
         address = self._find_address(name)
         return self._links.get((name, address)) if address else None
@@ -107,13 +112,13 @@
         return parse_address(self._last_addresses.get(name, ""))
 
     def is_waiting(self, name: str, message: Message) -> bool:
-        """Return whether a message to an instance wasn't sent yet."""
+        """Return whether a message to an instance is queued and not sent yet."""
         return any(
             link.holds(message) for key, link in self._links.items() if key[0] == name
         )
 
     def withdraw(self, name: str, message: Message) -> bool:
-        """Take back a message that wasn't sent yet; return whether that was so."""
+        """Remove a message that is not sent yet; return False if it was sent."""
         return any(
             link.withdraw(message)
             for key, link in self._links.items()
@@ -124,7 +129,7 @@
         """Queue `message` for the instance called `name`.
 
         Returns:
-            False when it was not queued and so will surely not be sent.
+            False if it was not queued, so that it will certainly not be sent.
         """
         address = self._find_address(name)
         if self._nursery is None or address is None:
@@ -135,7 +140,7 @@
             try:
                 self._nursery.start_soon(self._run_link, name, address, link)
             except RuntimeError:
-                # The links have just ended, with the instance.
+                # The nursery has just closed, because the instance stops.
                 return False
             self._links[(name, address)] = link
         if not link.put(message):
@@ -144,9 +149,9 @@
         return True
 
     def renew(self, name: str) -> None:
-        """Make new connections to a peer that seems silent, with the next message.
+        """Open a new connection to a silent peer with the next message.
 
-        The old ones still send what was queued.
+        The old connection still sends what was queued.
         """
         latest = trio.current_time() - RENEWAL_INTERVAL.total_seconds()
         for key, link in list(self._links.items()):
@@ -156,7 +161,7 @@
                 self._metrics.count("peer.renewed")
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Receive until cancelled."""
+        """Receive envelopes until cancelled."""
         try:
             async with trio.open_nursery() as self._nursery:
                 task_status.started()
@@ -168,7 +173,7 @@
                 await self._listener.close()
 
     def _receive_safely(self, data: bytes) -> None:
-        """Take in an envelope, whose faults must not end the instance."""
+        """Receive an envelope; an error in it must not end the instance."""
         try:
             self._receive(data)
         except Exception as error:
@@ -182,7 +187,7 @@
             self._events.emit(Events.PEER_BAD_MESSAGE, detail=str(error)[:200])
             return
         if envelope.to_incarnation not in (0, self._view.own.incarnation):
-            # Meant for an earlier process at this address.
+            # Sent to an earlier process at this address.
             return
         now = self.last_received = trio.current_time()
         if envelope.address and self._view.find(envelope.sender) is None:
@@ -198,7 +203,7 @@
             self._handle(envelope.sender, message, age)
 
     def _handle(self, sender: str, message: Message, age: float) -> None:
-        """Give a message to its handler, whose faults must not end the instance."""
+        """Call the handler of a message; its errors must not end the instance."""
         try:
             if (work := self._aged_handlers.get(type(message))) is not None:
                 work(sender, message, age)
@@ -209,19 +214,19 @@
             note_task_fault(self._events, task, error)
 
     def _record_unknown_sender(self, envelope: Envelope) -> None:
-        """Keep the address of a sender that the book doesn't know yet."""
+        """Keep the address of a sender that is not in the directory."""
         while len(self._last_addresses) >= MAX_UNKNOWN_SENDERS:
             del self._last_addresses[next(iter(self._last_addresses))]
         self._last_addresses[envelope.sender] = envelope.address
 
     async def _run_link(self, name: str, address: HostPort, link: Outbox) -> None:
-        """Send what is queued for one peer until it is idle or unreachable."""
+        """Send the queued messages of one peer until it is idle or unreachable."""
         try:
             sender = await self._transport.dial(address)
         except OSError as error:
             self._links.pop((name, address), None)
             self._events.emit(
-                Events.PEER_BAD_MESSAGE, peer=name, detail=f"not dialled: {error}"
+                Events.PEER_BAD_MESSAGE, peer=name, detail=f"cannot connect: {error}"
             )
             return
         link.sender = sender
@@ -230,7 +235,7 @@
                 self._metrics.time("peer.wait", link.waited * 1000)
                 messages: tuple[Message, ...] = ()
                 with trio.move_on_after(SEND_TIMEOUT.total_seconds()) as scope:
-                    # Until then messages can be taken back, and surely weren't sent.
+                    # Until then messages can be withdrawn and certainly weren't sent.
                     await sender.wait_connected()
                     messages = link.take_batch()
                     if messages:
@@ -239,14 +244,15 @@
                     lost = len(messages) + len(link)
                     self._metrics.count("peer.dropped", lost)
                     detail = (
-                        f"not taken in {SEND_TIMEOUT.total_seconds()} s: {lost} lost"
+                        f"not sent within {SEND_TIMEOUT.total_seconds()} s: "
+                        f"{lost} messages lost"
                     )
                     self._events.emit(Events.PEER_SLOW, peer=name, detail=detail)
                     break
             if link.ended:
                 await trio.sleep(RENEWAL_INTERVAL.total_seconds())
         except OSError:
-            # The next message dials again; the detector tells whether it lives.
+            # The next message reconnects; the failure detector checks the peer.
             self._metrics.count("peer.dropped")
         except Exception as error:
             note_task_fault(self._events, f"link to {name}", error)
--- a/walkcart/membership/listing.py
+++ b/walkcart/membership/listing.py
@@ -1,12 +1,12 @@
-"""The platform's list of instances: lagging, so only a hint.
+"""The platform's list of instances. It lags behind, so it is only a hint.
 
-It seeds the view of peers, names the leaves with their labels, and is one of
-three sources that say a leaf is leaving. While it can't be read, what it said
-last stays in use.
+The list seeds the view of the peers, names the leaves with their labels, and is one of
+three sources that report a leaf as leaving. While it can't be read, its last content
+stays in use.
 
-The interface, as the stand-in offers it: ``GET /instances?after=N`` gives JSON
-with ``revision``, ``full`` and ``instances``; only the changed ones when
-``full`` is false; 304 when nothing changed.
+Interface: ``GET /instances?after=N`` returns JSON with ``revision``, ``full`` and
+``instances``. If ``full`` is false, ``instances`` holds only the changed ones. The
+status is 304 if nothing changed.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 STATE_GONE = "gone"
 MAX_BODY_BYTES = 8 << 20
 READ_TIMEOUT = timedelta(seconds=5)
-#: Seconds between two tries until the first read.
+#: Seconds between two attempts until the list was read once.
 INITIAL_INTERVAL = 0.1
 
 
@@ -43,13 +43,14 @@
     """One row of the list.
 
     Args:
-        name: unique.
+        name: the unique name of the instance or leaf.
         role: ``leaf`` or ``walkcart``.
-        address: ``IP:port`` that it serves at.
-        peer_address: ``IP:port`` for peers; walkcart instances only.
-        state: ``live``, ``leaving``, or ``gone`` in a list of changes.
-        incarnation: number of its process life; 0 when the platform gives none.
-        labels: as the platform holds them.
+        address: ``IP:port`` of its service.
+        peer_address: ``IP:port`` for peers; only for walkcart instances.
+        state: ``live`` or ``leaving``; ``gone`` in a list of changes.
+        incarnation: the number of its process, raised at each restart; 0 if the
+            platform doesn't provide one.
+        labels: the labels that the platform stores for it.
     """
 
     name: str
@@ -70,21 +71,21 @@
 
 _PAGE = msgspec.json.Decoder(_Page)
 
-#: Called after the set of leaves changed, with all of them.
+#: Called with all listed leaves after each change.
 Listener = Callable[[tuple[ListedInstance, ...]], None]
 
 
 class InstanceList:
-    """Reads the list at intervals.
+    """Polls the list and applies its changes.
 
     Args:
-        address: where the list is served.
+        address: the address of the list's server.
         network: opens connections.
-        view: gets the walkcart instances.
-        marks: gets the leaves' states.
-        events: where failures are logged.
+        view: receives the walkcart instances.
+        marks: receives the states of the leaves.
+        events: log of failures.
         random: source of jitter.
-        interval: between two reads.
+        interval: time between two reads.
     """
 
     def __init__(
@@ -108,7 +109,7 @@
         self._rows: dict[str, ListedInstance] = {}
         self._listeners: list[Listener] = []
         self._failing = False
-        #: Whether it was read at least once; before that no leaf is known.
+        #: Whether the list was read at least once; before that no leaf is known.
         self.known = False
         self._connection: HttpConnection | None = None
 
@@ -117,12 +118,12 @@
         self._listeners.append(listener)
 
     def leaves(self) -> tuple[ListedInstance, ...]:
-        """Return the listed leaves, in the order of the names."""
+        """Return the listed leaves, sorted by name."""
         rows = (self._rows[name] for name in sorted(self._rows))
         return tuple(row for row in rows if row.role == ROLE_LEAF)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Read until cancelled; the first read comes before the start is told."""
+        """Poll until cancelled; reports as started after the first attempt."""
         await self._read_once()
         task_status.started()
         while True:
@@ -144,7 +145,7 @@
                 self._apply(page)
             return
         await self._drop_connection()
-        self._report_failure("no reply in time")
+        self._report_failure(f"no reply within {READ_TIMEOUT.total_seconds()} s")
 
     async def _fetch(self) -> _Page | None:
         if self._connection is None:
@@ -159,7 +160,7 @@
         if reply.status == 304:
             return None
         if reply.status != 200:
-            raise ValueError(f"status {reply.status}")
+            raise ValueError(f"status {reply.status}, expected 200 or 304")
         return _PAGE.decode(reply.body)
 
     async def _drop_connection(self) -> None:
--- a/walkcart/membership/marks.py
+++ b/walkcart/membership/marks.py
@@ -1,9 +1,9 @@
-"""Which leaves are leaving, merged from all sources.
+"""The leaves that are leaving, merged from all sources.
 
-For each leaf two numbers are kept: the highest incarnation that was said to be
-leaving and the highest that was said to be live. It is leaving while the first
-is at least the second, so an old "live" can't undo a newer "leaving", a restart
-does, and the order of the news makes no difference.
+Two numbers are kept for each leaf: the highest incarnation reported as leaving and the
+highest reported as live. The leaf is leaving while the first is at least the second. So
+an old "live" report can't undo a newer "leaving", a restart does, and the order of the
+reports makes no difference.
 
 Examples:
     >>> marks = LeafMarks()
@@ -25,12 +25,12 @@
 
 from walkcart.wire.messages import LeafMark
 
-#: Called with the leaf's address, its incarnation and whether it is leaving.
+#: Called with the address of a leaf, its incarnation, and whether it is leaving.
 Listener = Callable[[str, int, bool], None]
 
 
 class LeafMarks:
-    """Leaving and live incarnations by the leaf's address."""
+    """The highest leaving and live incarnation of each leaf, by its address."""
 
     def __init__(self) -> None:
         self._leaving: dict[str, int] = {}
@@ -38,19 +38,21 @@
         self._listeners: list[Listener] = []
 
     def on_change(self, listener: Listener) -> None:
-        """Call `listener` whenever a leaf starts or stops being leaving."""
+        """Call `listener` whenever a leaf begins to leave or is live again."""
         self._listeners.append(listener)
 
     def is_leaving(self, address: str) -> bool:
-        """Return whether the leaf gets no new work."""
+        """Return whether a leaf is leaving, so that it must get no new work."""
         leaving = self._leaving.get(address)
         return leaving is not None and leaving >= self._live.get(address, 0)
 
     def note_leaving(self, address: str, incarnation: int) -> bool:
-        """Note that this life of the leaf is leaving; return whether that is news.
+        """Record that a leaf is leaving; return whether that changed its state.
 
-        An `incarnation` of 0, from a source that knows none, means the newest
-        one that is known.
+        Args:
+            address: the address of the leaf.
+            incarnation: the incarnation that is leaving; 0, from a source that doesn't
+                know it, stands for the newest known one.
         """
         life = incarnation or self._live.get(address, 0)
         if self._leaving.get(address, -1) >= life:
@@ -61,7 +63,7 @@
         return not was_leaving and self.is_leaving(address)
 
     def note_live(self, address: str, incarnation: int) -> bool:
-        """Note that this life of the leaf is live; return whether that is news."""
+        """Record that an incarnation is live; return whether that changed its state."""
         if self._live.get(address, 0) >= incarnation:
             return False
         was_leaving = self.is_leaving(address)
@@ -70,7 +72,7 @@
         return was_leaving and not self.is_leaving(address)
 
     def mark_of(self, address: str) -> LeafMark | None:
-        """Return the mark to pass on, or None when the leaf isn't leaving."""
+        """Return the mark to spread, or None if the leaf isn't leaving."""
         if not self.is_leaving(address):
             return None
         return LeafMark(address, self._leaving[address])
--- a/walkcart/membership/messageages.py
+++ b/walkcart/membership/messageages.py
@@ -1,14 +1,15 @@
-"""How old a message is, without trusting anybody's time of day.
+"""Upper bounds on the age of messages, without relying on synchronized wall clocks.
 
-Each instance states on its envelopes what its steady clock shows. Whoever gets one
-knows from then on that the sender's clock shows at least that, and goes on with time.
-It states this least reading on its own envelopes to that sender. So the receiver of an
-envelope can tell the most that it can have been on its way: what its own clock shows
-now, less what the sender knew it to show at least when the envelope was packed. The
-bound is above the truth by one way between the two at the most.
+Each instance puts the reading of its monotonic clock on its envelopes. The receiver of
+an envelope knows from then on a lower bound of the sender's clock, which advances with
+time. It puts this bound on its own envelopes to that instance. So the receiver of an
+envelope has an upper bound on its age: the present reading of its own clock, minus the
+lower bound of it that the sender knew when it packed the envelope. The bound exceeds
+the true age by at most the one-way delay between the two instances.
 
-A process that has just started has a clock and a name of its own: what was packed for
-the one before it, or by somebody who hasn't heard of this one yet, has no known age.
+A process that has just started has a new clock and a new identifier. The age is unknown
+for envelopes packed for its predecessor, or by an instance that has not received an
+envelope from the new process yet.
 
 Examples:
     >>> here, there = ClockReadings("here"), ClockReadings("there")
@@ -27,22 +28,23 @@
 
 from dataclasses import dataclass
 
-#: Steady clocks of two machines run apart by less than this share of the time: ten
-#: times what is usual for the crystals that drive them.
+#: Upper bound on the relative drift between the monotonic clocks of two machines: ten
+#: times the usual drift of quartz oscillators.
 MAX_CLOCK_DRIFT = 2e-4
-#: Peers whose readings are kept; the oldest is forgotten past it.
+#: Peers whose clock readings are kept; beyond this, the oldest is dropped.
 MAX_PEERS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class Stamp:
-    """What an envelope says about clocks.
+    """The clock readings on an envelope.
 
     Args:
-        life: names the sender's process life.
-        sent_at: what the sender's steady clock showed when it was packed, in seconds.
-        to_life: names the receiver's life as the sender knows it; empty if it doesn't.
-        least_reading: what that life's clock showed then at least, in seconds.
+        life: identifies the process of the sender.
+        sent_at: the sender's monotonic clock when it packed the envelope, in seconds.
+        to_life: identifies the receiver's process as known to the sender; empty if
+            unknown.
+        least_reading: a lower bound on the receiver's clock at that time, in seconds.
     """
 
     life: str
@@ -53,22 +55,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _OffsetBound:
-    """The least that a peer's clock is ahead of this one's, as of a time here."""
+    """A lower bound on the offset of a peer's clock to this one, as of time `at`."""
 
     life: str
     min_offset: float
     at: float
 
     def find_min_offset(self, now: float) -> float:
-        """Return the least it is ahead by now; the clocks run apart."""
+        """Return the lower bound as of `now`, reduced by the possible drift."""
         return self.min_offset - MAX_CLOCK_DRIFT * (now - self.at)
 
 
 class ClockReadings:
-    """Keeps the least that each peer's clock shows.
+    """Keeps a lower bound on the clock of each peer.
 
     Args:
-        life: names this process life.
+        life: identifies this process.
     """
 
     def __init__(self, life: str) -> None:
@@ -76,12 +78,12 @@
         self._offset_bounds: dict[str, _OffsetBound] = {}
 
     def note(self, peer: str, stamp: Stamp, now: float) -> None:
-        """Take in what an envelope of a peer said.
+        """Record the clock readings on an envelope from a peer.
 
         Args:
-            peer: its name.
-            stamp: of the envelope.
-            now: what this instance's steady clock shows, in seconds.
+            peer: the name of the peer.
+            stamp: the clock readings.
+            now: the monotonic clock of this instance, in seconds.
         """
         min_offset = stamp.sent_at - now
         held = self._offset_bounds.get(peer)
@@ -92,18 +94,18 @@
         self._offset_bounds[peer] = _OffsetBound(stamp.life, min_offset, now)
 
     def has_heard_of(self, peer: str) -> bool:
-        """Return whether a life of the peer was heard of."""
+        """Return whether an envelope of any process of the peer has arrived."""
         return peer in self._offset_bounds
 
     def make_stamp(self, peer: str, now: float) -> Stamp:
-        """Return what an envelope to a peer that is packed now says."""
+        """Return the clock readings for an envelope to a peer that is packed now."""
         held = self._offset_bounds.get(peer)
         if held is None:
             return Stamp(self.life, now)
         return Stamp(self.life, now, held.life, now + held.find_min_offset(now))
 
     def find_age(self, stamp: Stamp, now: float) -> float:
-        """Return the most seconds since an envelope was packed; infinite if unknown."""
+        """Return an envelope's maximum age in seconds; infinite if unknown."""
         if stamp.to_life != self.life:
             return float("inf")
         return max(0.0, now - stamp.least_reading)
--- a/walkcart/membership/outbox.py
+++ b/walkcart/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Messages that wait to be sent to one peer."""
+"""The queue of messages to one peer."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.peers import PeerSender
 
-#: Messages that wait for one peer; more are dropped and counted.
+#: Limit of queued messages per peer; further ones are dropped and counted.
 MAX_QUEUED_MESSAGES = 2000
 MESSAGES_PER_ENVELOPE = 64
-#: A link without messages for this long is closed. A new one costs the first question
-#: some round trips, which at its objective is too long.
+#: A link without messages for this long is closed. Opening a new one costs the first
+#: question some round trips, which is too long for its latency objective.
 IDLE_TIMEOUT = timedelta(minutes=5)
 
 
 class Outbox:
-    """The outbox of one peer.
+    """The message queue of a link to one peer.
 
     Args:
-        opened_at: when it was made, in seconds.
+        opened_at: when the link was created, in seconds.
 
     Attributes:
-        sender: that takes what is queued; None until it is dialled.
+        sender: the connection that sends the messages; None until it is opened.
     """
 
     def __init__(self, opened_at: float) -> None:
@@ -36,7 +36,7 @@
         self._wakeup = trio.Event()
 
     def put(self, message: Message) -> bool:
-        """Queue `message`; False when the outbox is full."""
+        """Queue `message`; return False if the queue is full."""
         if len(self._messages) >= MAX_QUEUED_MESSAGES:
             return False
         self._messages.append((trio.current_time(), message))
@@ -44,11 +44,11 @@
         return True
 
     def holds(self, message: Message) -> bool:
-        """Return whether `message` is queued still."""
+        """Return whether `message` is still queued."""
         return any(queued is message for _, queued in self._messages)
 
     def withdraw(self, message: Message) -> bool:
-        """Take back `message`; False when it isn't queued any longer."""
+        """Remove `message`; return False if it is no longer queued."""
         for place, (_, queued) in enumerate(self._messages):
             if queued is message:
                 del self._messages[place]
@@ -57,16 +57,16 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether the peer can be sent to, as far as is known."""
+        """Whether the connection to the peer is open, as far as is known."""
         return self.sender is not None and self.sender.is_connected
 
     def end(self) -> None:
-        """Send what is queued, and nothing more."""
+        """Close the link once the queued messages are sent."""
         self.ended = True
         self._wakeup.set()
 
     async def wait(self) -> bool:
-        """Wait for a message; False after a long time without one, or at the end."""
+        """Wait for a message; return False at the idle timeout or when ended."""
         if not self._messages and not self.ended:
             self._wakeup = trio.Event()
             with trio.move_on_after(IDLE_TIMEOUT.total_seconds()):
@@ -75,7 +75,7 @@
 
     @property
     def waited(self) -> float:
-        """Seconds that the oldest message has waited; 0 without one."""
+        """Seconds that the oldest message has been queued; 0 if there is none."""
         if not self._messages:
             return 0.0
         return trio.current_time() - self._messages[0][0]
@@ -84,6 +84,6 @@
         return len(self._messages)
 
     def take_batch(self) -> tuple[Message, ...]:
-        """Take what fits into one envelope."""
+        """Remove and return the messages for one envelope."""
         count = min(len(self._messages), MESSAGES_PER_ENVELOPE)
         return tuple(self._messages.popleft()[1] for _ in range(count))
--- a/walkcart/membership/peerbook.py
+++ b/walkcart/membership/peerbook.py
@@ -1,4 +1,4 @@
-"""What links between instances have to know of each of them."""
+"""The directory of instances that links are opened from."""
 
 from __future__ import annotations
 
@@ -7,32 +7,31 @@
 
 from walkcart.kernel.settings import BadValue, HostPort, parse_host_port
 
-#: Addresses that are kept as they were read: those of the largest fleet and as many
-#: that were before.
+#: Parsed addresses that are cached: those of the largest fleet and as many former ones.
 MAX_CACHED_ADDRESSES = 2048
 
 
 class PeerEntry(Protocol):
-    """What a link has to know of an instance."""
+    """What a link needs to know about an instance."""
 
     @property
     def name(self) -> str:
-        """Names the instance."""
+        """Name of the instance."""
         ...
 
     @property
     def incarnation(self) -> int:
-        """Number of its process life; 0 when it doesn't matter."""
+        """Number of its process, raised at each restart; 0 if it doesn't matter."""
         ...
 
     @property
     def peer_address(self) -> str:
-        """``IP:port`` for peers; empty when it takes none."""
+        """``IP:port`` for peers; empty if it accepts none."""
         ...
 
 
 class PeerBook(Protocol):
-    """The instances and their addresses."""
+    """The known instances and their addresses."""
 
     @property
     def own(self) -> PeerEntry:
@@ -46,9 +45,9 @@
 
 @lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def parse_address(text: str) -> HostPort | None:
-    """Return the address that an instance gave, or None.
+    """Return the parsed address of an instance, or None if it is empty or invalid.
 
-    Kept, since it is asked for each second of each link that stands ready: reading one
+    Cached, because it is needed each second for each open link, and parsing an address
     took 18 us on a busy machine.
     """
     try:
--- a/walkcart/membership/quarantinekeys.py
+++ b/walkcart/membership/quarantinekeys.py
@@ -1,11 +1,12 @@
-"""Refused requests in the shared store, for when all instances start anew.
+"""Refused requests in the shared store, which survive a restart of all instances.
 
-Instances tell each other what they know, but it is gone when all of them end at once.
-So whoever refuses a request first stores its fingerprint, on a lease: two calls, and no
-reading of its own, since the keys are read along with those of the instances.
+Instances exchange their quarantine entries, but these are lost if all instances stop at
+once. So the instance that refuses a request first stores its fingerprint, on a lease.
+This takes two calls and no extra read, since the keys are read together with those of
+the instances.
 
 See Also:
-    `walkcart.membership.registration.Registration`, which reads them.
+    `walkcart.membership.registration.Registration`, which reads the keys.
 """
 
 from __future__ import annotations
@@ -30,26 +31,27 @@
 from walkcart.store.items import Committed, Item, Put, SharedStore, Transaction
 from walkcart.wire.fingerprint import SIZE
 
-#: Start of the keys; read with the prefix that it shares with the instances' keys.
+#: Prefix of the keys, below the prefix that is read for the instances' keys.
 QUARANTINE_PREFIX = "walkcart/quarantine/"
-#: For how long the store keeps a key: the longest lease that the platform grants.
+#: Lifetime of a key: the longest lease that the platform grants.
 KEY_TTL = timedelta(minutes=10)
-#: Keys that wait to be stored; requests past it are only told among instances.
+#: Limit of keys queued to be stored; further ones are only exchanged among instances.
 MAX_QUEUED = 32
-#: Between two keys of one instance, so that a flood of them leaves the store alone.
+#: Time between two keys that one instance stores, so that a burst doesn't load the
+#: store.
 STORE_INTERVAL = timedelta(seconds=1)
 
 
 class QuarantineKeys:
-    """Stores what this instance refused first, and takes what is stored.
+    """Stores the requests that this instance refused first, and merges stored ones.
 
     Args:
         store: the shared store.
-        quarantine: what is known here.
+        quarantine: the quarantine entries of this instance.
         clock: source of time.
-        backoff: waits after failures.
-        events: where keys that can't be read are logged.
-        on_news: told the fingerprint of each request of which news came.
+        backoff: delays between retries after failures.
+        events: log of keys that can't be decoded.
+        on_news: called with the fingerprint of each request whose entry changed.
     """
 
     def __init__(
@@ -71,13 +73,13 @@
         self._wakeup = trio.Event()
 
     def keep(self, fingerprint: bytes) -> None:
-        """Store a request that this instance refuses from now on."""
+        """Queue a request that this instance now refuses to be stored."""
         if len(self._queue) < MAX_QUEUED and fingerprint not in self._queue:
             self._queue.append(fingerprint)
             self._wakeup.set()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Store what is to be kept, until cancelled."""
+        """Store the queued requests, until cancelled."""
         task_status.started()
         while True:
             if not self._queue:
@@ -97,7 +99,7 @@
         await trio.sleep(STORE_INTERVAL.total_seconds())
 
     async def _put(self, fingerprint: bytes) -> bool:
-        """Store a request; return whether the store took it."""
+        """Store a request; return whether that succeeded."""
         held = self._quarantine.find(fingerprint)
         assert held is not None
         value = b",".join(b"%d" % strike for strike in sorted(held.strikes))
@@ -107,12 +109,12 @@
             put = Put(key, value, lease.id)
             outcome = await self._store.commit(Transaction(puts=(put,)))
         except StoreUnavailable:
-            # Logged by the calls, which know whether it is the first failure.
+            # `StoreCalls` logs the first failure of a series.
             return False
         return isinstance(outcome, Committed)
 
     def take(self, item: Item) -> None:
-        """Take a stored key, unless its request is known: how old it is isn't."""
+        """Merge a stored key, whose age is unknown, unless its request is known."""
         try:
             fingerprint = bytes.fromhex(item.key.removeprefix(QUARANTINE_PREFIX))
             strikes = frozenset(int(word) for word in item.value.split(b","))
--- a/walkcart/membership/quarantinenews.py
+++ b/walkcart/membership/quarantinenews.py
@@ -1,14 +1,15 @@
-"""News of requests under which leafs ended, among the instances.
+"""Exchange of quarantine entries, for requests that crashed leaves, among instances.
 
-Whoever notes a strike tells all others that it has links to, at once. In a large fleet
-those are the instances that gather, by which nearly all requests to leafs go; they pass
-it on in their data centre. While anything is remembered each instance also tells one
-other at a time what it knows, so that one which was cut off, or has just started,
-learns it too. Nothing is sent while nothing is remembered.
+An instance that records a strike against a request tells all instances that it has
+links to at once. In a large fleet these are the instances that gather answers, which
+send nearly all requests to leaves; they relay the entry within their data centre. While
+there are entries, each instance also sends its own to one other instance at a time, so
+that instances that were cut off or have just started get them too. Nothing is sent
+while there are no entries.
 
 See Also:
-    `walkcart.routing.quarantine.Quarantine`, what they know.
-    `walkcart.membership.quarantinekeys`, for what must outlast all instances.
+    `walkcart.routing.quarantine.Quarantine`, which holds the entries.
+    `walkcart.membership.quarantinekeys`, for entries that outlast all instances.
 """
 
 from __future__ import annotations
@@ -26,23 +27,24 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quarantines import NEVER, QuarantineEntry, QuarantineNews
 
-#: Between two tellings of what is known, each to one other instance. Of seven instances
-#: one that was cut off hears from six others within 3 s, and operators allow four.
+#: Time between two messages with the known entries, each to one other instance. In a
+#: fleet of seven, an instance that was cut off hears from the six others within 3 s;
+#: operators allow four.
 GOSSIP_INTERVAL = timedelta(seconds=0.5)
-#: Entries of one message: 40 bytes each, so at most 1.3 KB.
+#: Entries in one message. Each takes 40 bytes, so a message has at most 1.3 KB.
 MAX_ENTRIES = 32
 
 
 class QuarantineSpread:
-    """Tells other instances, and takes what they tell.
+    """Sends quarantine entries to other instances and merges theirs.
 
     Args:
-        quarantine: what is known here.
-        links: to the other instances.
+        quarantine: the entries of this instance.
+        links: links to the other instances.
         clock: source of time.
-        find_peers: returns the names of those that are told.
-        may_relay: returns whether this instance passes on what it is told.
-        on_news: told the fingerprint of each request of which news came.
+        find_peers: returns the names of the instances to send entries to.
+        may_relay: returns whether this instance relays entries that it receives.
+        on_news: called with the fingerprint of each request whose entry changed.
     """
 
     def __init__(
@@ -64,7 +66,7 @@
         links.on_work(QuarantineNews, self._on_message)
 
     def tell_all(self, fingerprint: bytes, exclude: str = "") -> None:
-        """Tell all that are told what is known of a request."""
+        """Send the entry of a request to all peers except `exclude`."""
         held = self._quarantine.find(fingerprint)
         if held is None:
             return
@@ -74,7 +76,7 @@
                 self._links.send(name, news)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Tell one instance after the other, until cancelled."""
+        """Send the entries to one peer after the other, until cancelled."""
         task_status.started()
         while True:
             await trio.sleep(GOSSIP_INTERVAL.total_seconds())
@@ -82,7 +84,7 @@
                 self._send_to_next_peer()
 
     def _send_to_next_peer(self) -> None:
-        """Tell one other instance the most that fits of what weighs most."""
+        """Send the entries with the greatest weight to the next peer."""
         peers = self._find_peers()
         entries = self._quarantine.entries(self._clock.monotonic())
         if not peers or not entries:
@@ -104,7 +106,7 @@
 
     def _on_message(self, sender: str, message: Message, age: float) -> None:
         assert isinstance(message, QuarantineNews)
-        # Of a sender that this instance hasn't heard of the way's time isn't known.
+        # The delay is unknown until the sender has received an envelope from here.
         delay = age if isfinite(age) else 0.0
         now = self._clock.monotonic()
         for fingerprint, told in _decode_valid(message.entries, now - delay):
@@ -118,7 +120,7 @@
 def _decode_valid(
     entries: Sequence[QuarantineEntry], sent_at: float
 ) -> Iterable[tuple[bytes, Suspicion]]:
-    """Return what a message tells, without what can't be."""
+    """Yield the entries of a message, without invalid ones."""
     for entry in entries[:MAX_ENTRIES]:
         ages = (entry.struck_age, entry.answered_age)
         if len(entry.fingerprint) != SIZE or len(entry.strikes) > REFUSED_STRIKES:
--- a/walkcart/membership/quotaanswers.py
+++ b/walkcart/membership/quotaanswers.py
@@ -1,7 +1,10 @@
-"""Answers to asks for parts of teams' rate limits, by the accountant of a share.
+"""The server side of shared rate limits: an accountant grants tokens from its shares.
+
+The rate limit of a team is divided into shares. The instance that keeps the account of
+a share is its accountant.
 
 See Also:
-    `walkcart.membership.quotaasks`, by which others ask.
+    `walkcart.membership.quotaasks`, the client side.
 """
 
 from __future__ import annotations
@@ -19,19 +22,19 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quotas import QuotaAsk, QuotaElsewhere, QuotaGrant
 
-#: Returns the version of the configuration in force and a team's limit there.
+#: Returns the version of the configuration in force, and a team's limit in it.
 FindLimit = Callable[[str], tuple[int, RateLimit | None]]
 
 
 class QuotaAnswers:
-    """Grants from the shares that this instance accounts.
+    """Answers requests for tokens from the shares that this instance accounts.
 
     Args:
-        links: to the other instances.
-        shares: that this instance accounts.
-        holders: who accounts the others.
-        bounds: by how much limits may be passed.
-        find_limit: tells the limits in force here.
+        links: links to the other instances.
+        shares: the shares that this instance accounts.
+        holders: the accountants of the other shares.
+        bounds: how far limits may be exceeded.
+        find_limit: returns a team's limit in force at this instance.
         clock: source of time.
     """
 
@@ -55,7 +58,7 @@
     def _on_ask(self, sender: str, message: Message, age: float) -> None:
         assert isinstance(message, QuotaAsk)
         if math.isfinite(age) and age > self._bounds.hold:
-            # A grant would have ended when it arrives.
+            # A grant would have expired by the time it arrives.
             return
         if _is_valid(message):
             self._links.send(sender, self._answer(message))
@@ -72,7 +75,7 @@
         )
 
     def _apply_newest_limit(self, ask: QuotaAsk) -> Want:
-        """Return what is asked for under the newer of two configurations."""
+        """Return the request under the newer of the two instances' configurations."""
         limit = RateLimit(ask.rate, ask.burst)
         version = ask.version
         own_version, own_limit = self._find_limit(ask.team)
@@ -82,7 +85,7 @@
 
 
 def _is_valid(ask: QuotaAsk) -> bool:
-    """Return whether the numbers of an ask are usable."""
+    """Return whether the numbers of a request are in range."""
     numbers = (ask.rate, ask.burst)
     finite = all(math.isfinite(number) and number >= 0.0 for number in numbers)
     return finite and ask.rate > 0.0 and ask.wanted > 0 and 0 <= ask.share < SHARES
--- a/walkcart/membership/quotaasks.py
+++ b/walkcart/membership/quotaasks.py
@@ -1,8 +1,8 @@
-"""Asks for parts of teams' rate limits.
+"""The client side of shared rate limits: requests for tokens to the accountants.
 
 See Also:
-    `walkcart.membership.quotaanswers`, the side that is asked.
-    `walkcart.routing.allowances.Allowance`, which decides what is asked for.
+    `walkcart.membership.quotaanswers`, the server side.
+    `walkcart.routing.allowances.Allowance`, which decides how much to request.
 """
 
 from __future__ import annotations
@@ -25,28 +25,29 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quotas import QuotaAsk, QuotaElsewhere, QuotaGrant
 
-#: Seconds for which an instance that didn't answer isn't asked.
+#: Seconds for which an instance that didn't answer isn't asked again.
 SILENT_TTL = 1.0
-#: Instances that are asked for one share in turn at the most: the one that is known to
-#: account it, and one that may know better.
+#: Instances that are asked in turn for tokens of one share: its known accountant, and
+#: one that may know a newer accountant.
 MAX_ASKED = 2
 
-#: Given what was granted after nobody waited any more, and until when it holds.
+#: Called with the team, the tokens and the expiry of a grant that came after its
+#: request had timed out.
 LateGrantListener = Callable[[str, int, float], None]
 
 
 @dataclass(slots=True)
 class _Pending:
-    """An ask that waits for its answer.
+    """A request without an answer yet.
 
     Args:
-        asked: name of the instance that was asked.
-        share: that it was asked for.
-        team: whose requests.
-        sent_at: when, in seconds.
-        done: set with the answer.
-        reply: of the accountant; None if there is none, or it came too late to hold.
-        abandoned: whether nobody waits any more.
+        asked: the name of the instance that was asked.
+        share: the share whose tokens were requested.
+        team: the team that the tokens are for.
+        sent_at: when the request was sent, in seconds.
+        done: set once the answer is there.
+        reply: the accountant's reply; None if there is none or its grant has expired.
+        abandoned: whether the request has timed out.
     """
 
     asked: str
@@ -60,12 +61,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What came of asking for a share.
+    """The answer to a request for tokens of a share.
 
     Args:
-        reply: of the accountant.
-        accountant: its name.
-        until: to when what it granted holds, in seconds.
+        reply: the reply of the accountant.
+        accountant: the name of the accountant.
+        until: when the granted tokens expire, in seconds.
     """
 
     reply: Reply
@@ -74,17 +75,17 @@
 
 
 class QuotaAsks:
-    """Asks the accountants of shares, this instance itself among them.
+    """Requests tokens from the accountants of shares, which may be this instance.
 
     Args:
-        links: to the other instances.
-        registration: knows the others and their regions.
-        shares: that this instance accounts.
-        holders: who accounts the others.
-        bounds: by how much limits may be passed.
+        links: links to the other instances.
+        registration: lists the other instances with their regions.
+        shares: the shares that this instance accounts.
+        holders: the accountants of the other shares.
+        bounds: how far limits may be exceeded.
         clock: source of time.
-        random: chooses among accountants that are as far.
-        metrics: where asks are counted.
+        random: chooses among equally distant accountants.
+        metrics: counts requests.
     """
 
     def __init__(
@@ -116,18 +117,18 @@
         links.on(QuotaElsewhere, self._on_elsewhere)
 
     def follow_late(self, listener: LateGrantListener) -> None:
-        """Give `listener` what is granted after nobody waits for it any more."""
+        """Call `listener` with each grant that comes after its request timed out."""
         self._late_grant_listener = listener
 
     def _open_link(self, name: str) -> None:
-        """Have a link ready to an accountant: a request waits for none to come up."""
+        """Open a link to an accountant, so that requests don't wait for one."""
         if name != self._holders.own and not self._links.has_link(name):
             self._links.send(name, Greeting())
 
     def sort_by_distance(self, shares: list[int]) -> list[int]:
-        """Return shares by how far their accountants are, those unknown last.
+        """Return shares by the distance of their accountants, unknown ones last.
 
-        Those as far as each other come by chance, so that they are used evenly.
+        Equally distant shares come in random order, so that they are used evenly.
         """
         own = self._registration.own
 
@@ -145,12 +146,15 @@
         return sorted(shares, key=rank)
 
     async def ask(self, share: int, want: Want, deadline: float) -> Answer | None:
-        """Ask the accountant of a share; return None if none answered.
+        """Request tokens from the accountant of a share.
 
         Args:
-            share: from which it is to be taken.
-            want: what is asked for.
-            deadline: to when to wait at the latest, in seconds.
+            share: the share to take tokens from.
+            want: the request.
+            deadline: the latest time to wait until, in seconds.
+
+        Returns:
+            The answer, or None if no accountant answered.
         """
         account = self._shares.find_account(share)
         if account is not None:
@@ -172,7 +176,7 @@
         return Answer(account.ask(want, now), self._holders.own, until)
 
     def _choose_instance(self, share: int, asked: set[str]) -> str | None:
-        """Return whom to ask: the accountant, or who may know it."""
+        """Return the instance to ask: the accountant, or one that may know it."""
         names = [self._holders.find(share).name, *self._holders.find_candidates(share)]
         for name in names:
             if name in ("", self._holders.own) or name in asked:
@@ -187,7 +191,7 @@
     async def _ask_other(
         self, name: str, share: int, want: Want, deadline: float
     ) -> Answer | None:
-        """Ask one instance; return None if it has no say or doesn't answer."""
+        """Ask one instance; return None unless it answers as the accountant."""
         now = self._clock.monotonic()
         patience = self._patience.setdefault(name, ReplyPatience()).find()
         pending = _Pending(name, share, want.team, now)
@@ -205,7 +209,7 @@
         return Answer(pending.reply, name, now + self._bounds.hold)
 
     def _send(self, pending: _Pending, want: Want) -> bool:
-        """Send an ask; return False if it will surely not arrive."""
+        """Send a request; return False if it will certainly not arrive."""
         self._drop_expired(pending.sent_at)
         self._last_id += 1
         message = QuotaAsk(
@@ -225,14 +229,14 @@
         return True
 
     def _record_silence(self, name: str) -> None:
-        """Leave an instance out for a while."""
+        """Don't ask an instance for a while, since it didn't answer."""
         if name in self._silent_until:
-            # Silent again: the connection may have gone silent for good.
+            # Silent again: the connection may be dead without having been closed.
             self._links.renew(name)
         self._silent_until[name] = self._clock.monotonic() + SILENT_TTL
 
     def _drop_expired(self, now: float) -> None:
-        """Forget asks whose grants would have ended."""
+        """Drop timed-out requests whose grants would have expired."""
         while self._pending:
             number = next(iter(self._pending))
             pending = self._pending[number]
@@ -267,7 +271,7 @@
         pending.done.set()
 
     def _complete(self, sender: str, number: int) -> _Pending | None:
-        """Return the ask that a message answers; None if it is none of those."""
+        """Remove and return the request that a message answers, or None."""
         pending = self._pending.get(number)
         if pending is None or pending.asked != sender:
             return None
--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -1,7 +1,7 @@
-"""Who accounts the shares of the teams' rate limits, as far as this instance knows.
+"""What this instance knows about the accountants of the shares of teams' rate limits.
 
 See Also:
-    `walkcart.membership.quotashares`, for the shares that it accounts itself.
+    `walkcart.membership.quotashares`, for the shares that this instance accounts.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """Who accounts a share.
+    """The accountant of a share.
 
     Args:
-        name: of the accountant; empty when none is known.
-        revision: of the key that says so.
+        name: the name of the accountant; empty if none is known.
+        revision: the revision of the key that names it.
     """
 
     name: str = ""
@@ -41,17 +41,17 @@
 
 @dataclass(slots=True)
 class _ShareState:
-    """What is known of one share.
+    """What is known about one share.
 
     Args:
-        holder: who accounts it.
-        last: who accounted it last.
-        released: revision of the key that its accountant said it uses no longer.
-        offered: revision of the key that its accountant can't renew.
-        wanted: revision of the key that this instance asked it for.
-        heard_at: when it was last heard of, in seconds; None if it never was.
-        attempts: to take it since then.
-        retry_at: when this instance may try again.
+        holder: the accountant.
+        last: the name of the last known accountant.
+        released: the revision of the key that its accountant announced to be unused.
+        offered: the revision of the key that its accountant can't renew.
+        wanted: the revision of the key that this instance asked its accountant for.
+        heard_at: when the accountant was last heard from, in seconds; None if never.
+        attempts: attempts of this instance to take the share since then.
+        retry_at: when this instance may try again, in seconds.
     """
 
     holder: Holder = Holder()
@@ -65,12 +65,12 @@
 
 
 class QuotaHolders:
-    """Knows who accounts each share, and who would take it.
+    """Tracks the accountant of each share and the candidates to take it over.
 
     Args:
-        registration: knows the instances.
+        registration: lists the instances.
         clock: source of time.
-        events: where keys that can't be read are logged.
+        events: log of keys that can't be decoded.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
 
     @property
     def own(self) -> str:
-        """Name of this instance."""
+        """The name of this instance."""
         return self._registration.own.name
 
     def on_new_holder(self, listener: Callable[[str], None]) -> None:
@@ -94,11 +94,11 @@
         self._listener = listener
 
     def find(self, share: int) -> Holder:
-        """Return who accounts a share."""
+        """Return the known accountant of a share."""
         return self._shares[share].holder
 
     def record(self, share: int, holder: Holder) -> None:
-        """Note who accounts a share, from whoever says so."""
+        """Record the accountant of a share, from any source."""
         known = self._shares[share]
         given_up = not holder.name and holder.revision == known.holder.revision
         if holder.revision > known.holder.revision or given_up:
@@ -110,7 +110,7 @@
                 self._listener(holder.name)
 
     def record_announcement(self, share: int, holder: Holder) -> bool:
-        """Note the accountant's own word; return whether it isn't outdated."""
+        """Record an accountant's own message; return False if it is outdated."""
         self.record(share, holder)
         known = self._shares[share]
         if holder.revision < known.holder.revision:
@@ -120,33 +120,38 @@
         return True
 
     def record_released(self, share: int, revision: int) -> None:
-        """Note the accountant's own word that it uses a key no longer."""
+        """Record the accountant's own message that it no longer uses a key."""
         self._shares[share].released = revision
 
     def is_released(self, share: int, revision: int) -> bool:
-        """Return whether the accountant said that it uses a key no longer."""
+        """Return whether the accountant reported that it no longer uses a key."""
         return self._shares[share].released == revision
 
     def record_offer(self, share: int, revision: int) -> None:
-        """Note that the accountant would give a share up; 0 when it wouldn't."""
+        """Record that the accountant offers a share, since it can't renew the key.
+
+        Args:
+            share: the share.
+            revision: the revision of its key; 0 withdraws the offer.
+        """
         self._shares[share].offered = revision
 
     def pop_offer(self, share: int) -> int:
-        """Return the revision that is offered, once; 0 if none is."""
+        """Return the offered revision and clear the offer; return 0 without one."""
         known = self._shares[share]
         offered, known.offered = known.offered, 0
         return offered
 
     def record_requested(self, share: int, revision: int) -> None:
-        """Note that this instance asked an accountant for its share."""
+        """Record that this instance asked an accountant for its share."""
         self._shares[share].wanted = revision
 
     def record_lost(self, share: int) -> None:
-        """Note that this instance accounts a share no longer."""
+        """Record that this instance no longer accounts a share."""
         self.record_announcement(share, Holder("", self.find(share).revision))
 
     def record_item(self, item: Item) -> tuple[int, StoredKey] | None:
-        """Note a stored key; return its share and what it says."""
+        """Record a stored key; return its share and content, or None if invalid."""
         share = parse_share(item.key)
         if share is None or share >= SHARES:
             return None
@@ -164,7 +169,7 @@
         return share, stored
 
     def find_candidates(self, share: int) -> list[str]:
-        """Return the instances that may take a share, in order."""
+        """Return the names of the instances that may take a share, by rank."""
         if share not in self._candidates:
             records = [*self._registration.others(), self._registration.own]
             sites = {
@@ -176,29 +181,29 @@
         return self._candidates[share]
 
     def should_try(self, share: int, since: float, is_busy: bool) -> bool:
-        """Return whether this instance is to look whether it can take a share.
+        """Return whether this instance should try to take a share now.
 
         Args:
-            share: which one.
-            since: when shares began to be of use, in seconds.
-            is_busy: whether this instance accounts another one.
+            share: the share.
+            since: when shares began to be needed, in seconds.
+            is_busy: whether this instance accounts another share.
         """
         known = self._shares[share]
         now = self._clock.monotonic()
         if now < known.retry_at:
             return False
         if known.holder.name == self.own:
-            # The key of a former life, which nobody else can take yet.
+            # Stored by an earlier process of this instance; no other can take it yet.
             return True
         if known.wanted and known.holder == Holder("", known.wanted):
-            # Given up to this instance, and nobody else has it yet.
+            # Released for this instance, and not taken by another one yet.
             return True
         if not self._registration.is_settled:
             return False
         candidates = self.find_candidates(share)
         if self.own not in candidates:
             return False
-        # Who accounted it last is the least likely to take it.
+        # The last accountant has probably failed, so it comes last.
         order = sorted(candidates, key=lambda name: name == known.last)
         was_heard = bool(known.holder.name) and known.heard_at is not None
         start = max(since, known.heard_at or since)
@@ -206,7 +211,7 @@
         return now >= start + wait
 
     def record_attempt(self, share: int) -> None:
-        """Note that this instance tries to take a share."""
+        """Record that this instance tries to take a share."""
         known = self._shares[share]
         known.attempts += 1
         known.retry_at = self._clock.monotonic() + find_retry(known.attempts)
--- a/walkcart/membership/quotakeys.py
+++ b/walkcart/membership/quotakeys.py
@@ -1,10 +1,10 @@
-"""The keys that name the accountants of the rate limits.
+"""The stored keys that name the accountants of the shares of rate limits.
 
-A key hangs on a lease of its own, so that an instance which lives keeps its share
-whatever becomes of its registration.
+Each key is attached to a lease of its own, so that a running instance keeps its share
+whatever happens to its registration.
 
 See Also:
-    `walkcart.membership.quotashares`, which decides who tries to take one, and when.
+    `walkcart.membership.quotashares`, which decides when to take a share.
 """
 
 from __future__ import annotations
@@ -29,27 +29,30 @@
     Transaction,
 )
 
-#: Start of the keys; the number of a share follows.
+#: Prefix of the keys; the number of the share follows.
 QUOTA_PREFIX = "walkcart/quota/"
-#: Life of the lease: a silent store of several seconds is ridden out, and a lost
-#: accountant's share is unused for as long.
+#: Shortest lease. An accountant survives an outage of the store of several seconds; the
+#: share of an accountant that died is unused for as long.
 MIN_LEASE_TTL = timedelta(seconds=8)
-#: Seconds by which the lease outlasts the window of the limits at the least: a key that
-#: ran out was taken more than a window ago.
+#: Seconds by which a lease is longer than the window of the limits at least, so that an
+#: expired key was taken more than a window ago.
 MIN_LEASE_MARGIN = 3.0
-#: Seconds from the grant of a lease to the key on it at the most, for the same reason.
+#: Longest time in seconds from the grant of a lease until the key is stored, for the
+#: same reason.
 TAKE_TIMEOUT = 2.0
-#: Seconds kept back from a lease: clocks run apart, and a grant takes its time.
+#: Seconds before the end of a lease from which the share isn't used any more, since
+#: clocks drift and a grant takes some time.
 EXPIRY_MARGIN = 0.5
 
 
 class QuotaKey(msgspec.Struct, frozen=True):
-    """What is stored for a share.
+    """The value that is stored for a share.
 
     Args:
-        holder: name of the accountant; empty when it gave the share up.
-        started: names the accountant's process life.
-        starts: takings that followed each other within a window, this one included.
+        holder: the name of the accountant; empty if it released the share.
+        started: identifies the process of the accountant.
+        starts: how many times in a row the share was taken, each within a window of
+            the time before; counts this time too.
     """
 
     holder: str
@@ -59,11 +62,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredKey:
-    """A key as it was read or written.
+    """A key that was read or written.
 
     Args:
-        key: what is stored.
-        revision: of it.
+        key: the stored value.
+        revision: the revision of the key.
     """
 
     key: QuotaKey
@@ -72,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TakenKey:
-    """A key that says that this instance accounts a share.
+    """A key that names this instance as the accountant of a share.
 
     Args:
         stored: the key.
-        lease: that it hangs on.
-        until: to when the lease surely lasts, in seconds.
+        lease: the lease that the key is attached to.
+        until: the time until which the lease certainly lasts, in seconds.
     """
 
     stored: StoredKey
@@ -86,28 +89,28 @@
 
 
 def decode_key(item: Item) -> StoredKey:
-    """Return a stored item as a key.
+    """Return the key in a stored item.
 
     Raises:
-        msgspec.MsgspecError: it isn't one.
+        msgspec.MsgspecError: the value is not a valid key.
     """
     return StoredKey(msgspec.json.decode(item.value, type=QuotaKey), item.revision)
 
 
 def parse_share(key: str) -> int | None:
-    """Return the share that a key stands for, or None."""
+    """Return the number of the share in the name of a key, or None."""
     number = key.removeprefix(QUOTA_PREFIX)
     return int(number) if number.isdecimal() else None
 
 
 class QuotaKeys:
-    """Takes, renews and gives up keys.
+    """Takes, renews and releases the keys of shares.
 
     Args:
         store: the shared store.
-        own: this instance.
+        own: the record of this instance.
         clock: source of time.
-        window: of the limits, in seconds.
+        window: the window of the limits, in seconds.
     """
 
     def __init__(
@@ -120,11 +123,11 @@
         self._lease_ttl = timedelta(seconds=lease_ttl)
 
     async def read(self, share: int) -> StoredKey | None:
-        """Return what is stored for a share now.
+        """Return the stored key of a share, or None.
 
         Raises:
-            StoreUnavailable: the store has no usable reply.
-            msgspec.MsgspecError: what is stored isn't a key.
+            StoreUnavailable: the store gave no usable reply.
+            msgspec.MsgspecError: the value is not a valid key.
         """
         name = QUOTA_PREFIX + str(share)
         page = await self._store.list_items(name, "", fresh=True)
@@ -132,26 +135,29 @@
         return decode_key(found[0]) if found else None
 
     def is_free(self, stored: StoredKey | None) -> bool:
-        """Return whether this instance may take a share with such a key.
+        """Return whether this instance may take a share with the given key.
 
-        The key of a former life of this instance is free: that life has ended.
+        The key of an earlier process of this instance is free: that process has ended.
         """
         return stored is None or stored.key.holder in ("", self._own.name)
 
     def is_own(self, stored: StoredKey) -> bool:
-        """Return whether a key was stored by this life of this instance."""
+        """Return whether a key was stored by this process."""
         own = (self._own.name, self._own.started)
         return (stored.key.holder, stored.key.started) == own
 
     async def take(self, share: int, stored: StoredKey | None) -> TakenKey | None:
-        """Take a share that is free; return None if it wasn't any more.
+        """Take a free share.
 
         Args:
-            share: which one.
-            stored: its present key, if any.
+            share: the share.
+            stored: the present key of the share, if any.
+
+        Returns:
+            The new key, or None if the key had changed or the call took too long.
 
         Raises:
-            StoreUnavailable: the store has no usable reply.
+            StoreUnavailable: the store gave no usable reply.
         """
         sent_at = self._clock.monotonic()
         lease = await self._store.grant_lease(self._lease_ttl)
@@ -164,10 +170,10 @@
         return TakenKey(StoredKey(key, revision), lease, _find_expiry(lease, sent_at))
 
     async def renew(self, taken: TakenKey) -> TakenKey | None:
-        """Renew a key's lease; return None if it is over.
+        """Renew the lease of a key; return None if it has ended.
 
         Raises:
-            StoreUnavailable: the store has no usable reply.
+            StoreUnavailable: the store gave no usable reply.
         """
         sent_at = self._clock.monotonic()
         renewed = await self._store.renew_lease(taken.lease)
@@ -177,10 +183,13 @@
         return TakenKey(taken.stored, renewed, until)
 
     async def settle(self, share: int, taken: TakenKey) -> TakenKey | None:
-        """Store that a share was held for a window; return None if it is lost.
+        """Reset the count of starts of a share that was held for a whole window.
+
+        Returns:
+            The new key, or None if the share is lost.
 
         Raises:
-            StoreUnavailable: the store has no usable reply.
+            StoreUnavailable: the store gave no usable reply.
         """
         key = QuotaKey(self._own.name, self._own.started, 0)
         revision = await self._put(share, key, taken.stored.revision, taken.lease)
@@ -189,21 +198,21 @@
         return TakenKey(StoredKey(key, revision), taken.lease, taken.until)
 
     async def give_up(self, share: int, taken: TakenKey) -> int | None:
-        """Store that a share is free; return the key's revision, None if it failed.
+        """Store that a share is free; return the new revision, None if that failed.
 
-        The key stays until its lease ends, so that whoever takes it knows its starts.
+        The key stays until its lease ends, so that its next holder knows its starts.
         """
         key = QuotaKey("", "", taken.stored.key.starts)
         try:
             return await self._put(share, key, taken.stored.revision, taken.lease)
         except StoreUnavailable:
-            # Logged by the calls. The key runs out with its lease.
+            # Logged by `StoreCalls`. The key expires with its lease.
             return None
 
     async def _put(
         self, share: int, key: QuotaKey, expected: int, lease: Lease
     ) -> int | None:
-        """Store a key in place of a revision; return None if that isn't there."""
+        """Replace the `expected` revision of a key; return None if it has changed."""
         name = QUOTA_PREFIX + str(share)
         put = Put(name, msgspec.json.encode(key), lease.id)
         outcome = await self._store.commit(Transaction(((name, expected),), (put,)))
--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -1,13 +1,13 @@
 """The shares of the teams' rate limits that this instance accounts.
 
-The accountant of a share tells the share's other candidates each second that it lives.
-One that hears nothing reads the key, and takes it once it is free.
+The accountant of a share sends a heartbeat to its other candidates each second. One
+that hears nothing reads the key of the share, and takes the share once it is free.
 
 Nothing is stored, sent or renewed while no team has a limit.
 
 See Also:
-    `walkcart.routing.quotas.ShareAccount`, what an accountant keeps.
-    `walkcart.membership.quotaanswers`, by which it is asked.
+    `walkcart.routing.quotas.ShareAccount`, the account of a share.
+    `walkcart.membership.quotaanswers`, which answers requests for tokens.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quotas import QuotaHolder, QuotaTakeover
 
-#: Seconds between two renewals, and between two words to the other candidates.
+#: Seconds between two renewals, and between two heartbeats to the other candidates.
 REFRESH_INTERVAL = 1.0
-#: Seconds without a renewal after which an accountant gives its share up to somebody
-#: who can reach the store: two tries have failed, and there is time for a few more.
+#: Seconds without a renewal after which an accountant offers its share to an instance
+#: that reaches the store. Two attempts have failed; there is time for a few more.
 WEAK_AFTER = 3.0
 
 
@@ -43,12 +43,12 @@
     """A share that this instance accounts.
 
     Args:
-        taken: its key.
-        account: what was granted of it.
-        since: when it was taken, in seconds.
-        tried_at: when a renewal of its lease was tried last.
-        renewed_at: when one last succeeded.
-        wanted_by: who has reached the store since then and would take the share.
+        taken: the key of the share.
+        account: the tokens granted from the share.
+        since: when the share was taken, in seconds.
+        tried_at: when a renewal of the lease was last attempted, in seconds.
+        renewed_at: when a renewal last succeeded, in seconds.
+        wanted_by: the instance that has since asked for the share; it reaches the store.
     """
 
     taken: TakenKey
@@ -60,17 +60,17 @@
 
 
 class QuotaShares:
-    """Takes, renews and gives up shares.
+    """Takes, renews and releases shares.
 
     Args:
-        keys: of the shares in the store.
-        holders: who accounts the shares, and who would take them.
-        links: to the other instances.
-        bounds: by how much limits may be passed.
+        keys: the keys of the shares in the store.
+        holders: the accountants of the shares and the candidates to take them.
+        links: links to the other instances.
+        bounds: how far limits may be exceeded.
         is_needed: returns whether any team has a limit.
         clock: source of time.
-        events: where shares that come and go are logged.
-        metrics: where the shares of this instance are counted.
+        events: log of shares taken and lost.
+        metrics: counts the shares of this instance.
     """
 
     def __init__(
@@ -100,14 +100,14 @@
         links.on(QuotaTakeover, self._on_takeover)
 
     def find_account(self, share: int) -> ShareAccount | None:
-        """Return the account of a share, if this instance surely holds it now."""
+        """Return the account of a share, or None unless it is certainly held now."""
         held = self._held.get(share)
         if held is None or self._clock.monotonic() >= held.taken.until:
             return None
         return held.account
 
     def take_item(self, item: Item) -> None:
-        """Take a key that was read along with those of the instances."""
+        """Process a key of a share that was read together with the instances' keys."""
         found = self._holders.record_item(item)
         if found is None:
             return
@@ -118,10 +118,10 @@
         if held is None or stored.revision <= held.taken.stored.revision:
             return
         if not self._keys.is_own(stored):
-            self._drop(share, "another process has it")
+            self._drop(share, "another process holds the share")
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Hold what is to be held, until cancelled."""
+        """Hold the shares that this instance should hold, until cancelled."""
         task_status.started()
         while not self._is_stopping:
             self._wakeup = trio.Event()
@@ -130,11 +130,11 @@
                 await self._wakeup.wait()
 
     def wake(self) -> None:
-        """Look at once: what is to be held may have changed."""
+        """Run `look` now, as the shares to be held may have changed."""
         self._wakeup.set()
 
     async def look(self) -> None:
-        """Renew what is held, and take what is free."""
+        """Renew the shares that are held, and take free ones."""
         if not self._is_needed():
             self._needed_since = None
             await self._give_up_all("no team has a limit")
@@ -154,12 +154,12 @@
                 await self._try_take(share)
 
     async def leave(self) -> None:
-        """Account nothing any more: this instance stops."""
+        """Release all shares for good, because this instance stops."""
         self._is_stopping = True
         await self._give_up_all("the instance stops")
 
     async def _give_up_all(self, reason: str) -> None:
-        """Grant nothing from now on, and let others take the shares."""
+        """Stop accounting all shares, and release them to others."""
         held, self._held = self._held, {}
         for share, one in held.items():
             self._report_lost(share, reason)
@@ -172,7 +172,7 @@
             self._send_to_candidates(share, QuotaHolder(share, "", revision))
 
     async def _renew(self, share: int, held: _HeldShare) -> None:
-        """Renew a share's lease, and note in the store that it is held for long."""
+        """Renew the lease of a share, and reset its starts once held for a window."""
         held.tried_at = self._clock.monotonic()
         self._announce(share, held)
         try:
@@ -181,11 +181,11 @@
             if taken is not None and settled and taken.stored.key.starts:
                 taken = await self._keys.settle(share, taken)
         except StoreUnavailable:
-            # Logged by the calls, which know whether it is the first failure.
+            # `StoreCalls` logs the first failure of a series.
             if held.wanted_by:
-                self._drop(share, f"{held.wanted_by} reaches the store")
+                self._drop(share, f"released to {held.wanted_by}: it reaches the store")
             elif self._clock.monotonic() >= held.taken.until:
-                self._drop(share, "the store wasn't reached in time")
+                self._drop(share, "the lease was not renewed in time")
             return
         if taken is None:
             self._drop(share, "the lease or the key is gone")
@@ -197,7 +197,7 @@
         held = self._held.pop(share, None)
         if held is not None:
             self._report_lost(share, reason)
-            # Its key may be stored still: it is free once it has run out.
+            # Its key may still be stored; the share is free once the key has expired.
             self._send_to_candidates(
                 share, QuotaHolder(share, "", held.taken.stored.revision)
             )
@@ -217,8 +217,8 @@
         try:
             stored = await self._keys.read(share)
         except (StoreUnavailable, msgspec.MsgspecError):
-            # The store isn't reached from here either, or the key can't be read: the
-            # accountant keeps it.
+            # The store isn't reached from here either, or the key is invalid: the
+            # accountant keeps the share.
             return
         if stored is not None and stored.revision == revision and not self._is_stopping:
             takeover = QuotaTakeover(share, revision)
@@ -235,7 +235,7 @@
                 return
             taken = await self._keys.take(share, stored)
         except StoreUnavailable:
-            # Logged by the calls. What was stored all the same is read next time.
+            # Logged by `StoreCalls`. A key that was stored nevertheless is read later.
             return
         except msgspec.MsgspecError as error:
             self._events.emit(
@@ -252,7 +252,7 @@
         return released or self._keys.is_free(stored)
 
     def _start_accounting(self, share: int, taken: TakenKey) -> None:
-        """Account a share from now on."""
+        """Begin to account a share that was taken."""
         now = self._clock.monotonic()
         starts = taken.stored.key.starts
         account = ShareAccount(share, self._bounds, now, starts <= MOST_STARTS)
@@ -263,7 +263,7 @@
         self._announce(share, self._held[share])
 
     def _announce(self, share: int, held: _HeldShare) -> None:
-        """Tell the others that would take a share that this instance accounts it."""
+        """Send a heartbeat for a share to the other candidates."""
         revision = held.taken.stored.revision
         weak = self._clock.monotonic() >= held.renewed_at + WEAK_AFTER
         self._send_to_candidates(
@@ -287,11 +287,11 @@
         if message.weak:
             self._holders.record_offer(message.share, message.revision)
         if message.weak or not message.holder:
-            # Given up, or to be: somebody is to take it at once.
+            # Released or offered: a candidate should take it at once.
             self.wake()
 
     def _on_takeover(self, sender: str, message: Message) -> None:
-        """Try to renew a share once more, or give it up to who reaches the store."""
+        """Have a share that can't be renewed tried once more, or else released."""
         assert isinstance(message, QuotaTakeover)
         held = self._held.get(message.share)
         if held is None or held.taken.stored.revision != message.revision:
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -1,11 +1,11 @@
-"""This instance's key in the shared store, and those of the others.
+"""Registration of this instance in the shared store, and discovery of the others.
 
-Each instance stores a key that hangs on a lease of its own and renews the lease; the
-keys tell the instances of each other. The renewals are also what notices a store that
-went silent, since watches wait long.
+Each instance stores a key attached to a lease of its own and renews that lease. The
+instances discover each other by reading these keys. The renewals also detect a store
+that has stopped responding, since a watch may wait a long time for its next event.
 
-The number of instances that divide connections and budgets never shrinks at once: a
-key can vanish while its instance lives on.
+The number of instances that connections and budgets are divided by never shrinks at
+once, because a key can vanish while its instance is still running.
 
 See Also:
     `walkcart.store.items.SharedStore`.
@@ -39,54 +39,53 @@
     Transaction,
 )
 
-#: Life of the lease: an instance that died is forgotten after this. A living one tries
-#: a renewal that failed again for 10 s before it loses its key.
+#: Shortest lease. A dead instance is forgotten after this time; a running one retries a
+#: failed renewal for 10 s before it loses its key.
 MIN_LEASE_TTL = timedelta(seconds=15)
-#: Between two renewals while there are few instances. A silent store is noticed after
-#: this and the time limit of a call.
+#: Time between two renewals in a small fleet. A store that stops responding is noticed
+#: after this time plus the timeout of one call.
 MIN_RENEW_INTERVAL = timedelta(seconds=1)
-#: Renewals a second of all instances together, but for those that watch the store:
-#: past it each renews less often.
+#: Renewals a second of all instances together, not counting those that watch the store.
+#: In a larger fleet each instance renews less often.
 MAX_FLEET_RENEWAL_RATE = 10.0
-#: A lease is replaced when one this many times as long is wanted.
+#: A lease is replaced when the wanted one is more than this many times as long.
 LEASE_REPLACE_FACTOR = 3.0
-#: Seconds that an instance lives before that. A replaced lease costs three calls and a
-#: renewal a tenth of one, so that in a fleet of 195 it pays after 140 s; replaced at
-#: once it took three of the 11.5 calls of each instance at such a fleet's start. All of
-#: these are worked out, but for the 11.5, which were counted.
+#: Seconds that an instance runs before it replaces its lease. Replacing costs three
+#: calls and a renewal a tenth of one, so in a fleet of 195 it pays off after 140 s.
+#: Done at once, it took three of each instance's 11.5 calls when such a fleet started.
 MIN_REPLACE_AGE = 140.0
-#: Leases outlast this many renewals.
+#: Renewals that fit into the life of one lease.
 RENEWALS_PER_LEASE = 3
-#: Longest pause between two tries while the store doesn't serve this instance, times
-#: that of those that watch: it is fed, and only its lease waits, for seconds yet.
+#: Factor on the backoff of an instance that doesn't watch the store: it is fed, so only
+#: its lease needs the store, and that lasts some more seconds.
 FED_BACKOFF_FACTOR = 2.0
-#: Between two readings of the others' keys, in renewals.
+#: Renewals between two reads of the other instances' keys.
 RENEWALS_PER_READ = 3
-#: Seconds from the first reading to the second: instances that start together have
-#: stored their keys by then.
+#: Seconds from the first read to the second. Instances that start together have stored
+#: their keys by then.
 SECOND_READ_DELAY = 0.5
-#: How long an instance that vanished still counts: it may live on, cut off from the
-#: store, with its connections open and its repeats within the budgets' window.
+#: Time for which an instance that vanished still counts. It may still be running, cut
+#: off from the store, with open connections and retries within the budgets' window.
 COUNT_WINDOW = timedelta(seconds=20)
 
 
 @dataclass(frozen=True, slots=True)
 class Registered:
-    """A stored key and the lease that it hangs on."""
+    """The lease that the stored key of this instance is attached to."""
 
     lease: Lease
 
 
 class Registration:
-    """Stores this instance's key and reads the others'.
+    """Stores this instance's key and reads the keys of the others.
 
     Args:
         store: the shared store.
-        calls: tell when the store doesn't serve this instance.
-        own: what to store.
+        calls: the store's calls, which report when the store becomes unavailable.
+        own: the record of this instance.
         clock: source of time.
-        backoff: waits after failures.
-        events: where changes are logged.
+        backoff: delays between retries after failures.
+        events: log of changes and failures.
     """
 
     def __init__(
@@ -116,28 +115,28 @@
         self._keys = KeyReader(store, own.name, events)
 
     def read_along(self, prefix: str, reader: Callable[[Item], None]) -> None:
-        """Give `reader` the items of another prefix below the shared one.
+        """Pass the items of another prefix below the shared one to `reader`.
 
-        They come with the keys of the instances, each time these are read.
+        They are read in the same call as the keys of the instances.
         """
         self._keys.add_prefix_reader(prefix, reader)
 
     @property
     def is_settled(self) -> bool:
-        """Whether the others were read twice: those that start together are known."""
+        """Whether the others were read twice; those started together are known then."""
         return self._cycles > 1
 
     @property
     def lease(self) -> Lease | None:
-        """The lease that this instance's key hangs on; None without one."""
+        """The lease of this instance's key; None while it has none."""
         return self._registered.lease if self._registered else None
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after instances came or went."""
+        """Call `listener` after instances appeared or disappeared."""
         self._listeners.append(listener)
 
     def others(self) -> tuple[InstanceRecord, ...]:
-        """Return the other instances whose keys were read last."""
+        """Return the other instances as of the latest read."""
         return tuple(self._others.values())
 
     def find(self, name: str) -> InstanceRecord | None:
@@ -145,14 +144,14 @@
         return self._others.get(name)
 
     def count(self) -> int:
-        """Return the instances to divide by: the most of late, this one included."""
+        """Return the most instances in the `COUNT_WINDOW`, this one included."""
         limit = self._clock.monotonic() - COUNT_WINDOW.total_seconds()
         while self._counts and self._counts[0][0] < limit:
             self._counts.popleft()
         return max((count for _, count in self._counts), default=len(self._others) + 1)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Keep the key stored until cancelled."""
+        """Keep this instance registered until cancelled."""
         task_status.started()
         while not self._is_stopping:
             try:
@@ -160,17 +159,16 @@
                 self._backoff.reset()
                 await self._wait_for_next_cycle()
             except StoreUnavailable:
-                # Logged by the calls, which know whether it is the first failure.
+                # `StoreCalls` logs the first failure of a series.
                 pause = self._backoff.advance().total_seconds()
                 if not self._is_watching():
                     pause *= FED_BACKOFF_FACTOR
                 await trio.sleep(pause)
 
     async def _wait_for_next_cycle(self) -> None:
-        """Wait until the lease is to be renewed, or the store to be tried.
+        """Wait until the next renewal is due or requested.
 
-        Nothing else tries whether a store that failed is back: a renewal is the
-        cheapest call, and one of each instance is enough.
+        Nothing else probes a failed store: one renewal, the cheapest call, is enough.
         """
         is_starting = self._cycles <= 1
         pause = SECOND_READ_DELAY if is_starting else self._renew_interval()
@@ -179,26 +177,26 @@
         self._renew_requested = trio.Event()
 
     def try_soon(self) -> None:
-        """Renew the lease at once, to see whether the store serves this instance."""
+        """Renew the lease now, to check whether the store is available."""
         self._renew_requested.set()
 
     async def leave(self) -> None:
-        """End the lease, so that the others learn of a planned stop at once."""
+        """Revoke the lease, so that the others learn of a planned stop at once."""
         self._is_stopping = True
         if self._registered is None:
             return
         try:
             await self._store.end_lease(self._registered.lease)
         except StoreUnavailable as error:
-            self._events.emit(Events.STORE_FAILED, detail=f"lease not ended: {error}")
+            self._events.emit(Events.STORE_FAILED, detail=f"lease not revoked: {error}")
         self._registered = None
 
     def follow_watching(self, watches: Callable[[], bool]) -> None:
-        """Renew often while `watches` says that this instance watches the store."""
+        """Renew often while `watches` returns True: this instance watches the store."""
         self._is_watching = watches
 
     def _renew_interval(self) -> float:
-        """Return the seconds between renewals: the fleet's rate stays bounded."""
+        """Return the seconds between renewals; the rate of the fleet stays bounded."""
         shortest = MIN_RENEW_INTERVAL.total_seconds()
         if self._is_watching():
             return shortest
@@ -214,9 +212,9 @@
         return max(MIN_LEASE_TTL, renewals)
 
     async def _maintain(self) -> None:
-        """Renew the lease or store the key anew; read the others now and then."""
+        """Renew the lease, or store the key again; read the others at intervals."""
         if self._registered is None:
-            # The cheapest call goes first, since the store may be away.
+            # The cheapest call goes first, since the store may be unavailable.
             previous = await self._read_others()
             lease = await self._reuse_lease(previous) or await self._grant()
             self._registered = await self._register(lease)
@@ -227,7 +225,7 @@
         self._cycles += 1
 
     async def _renew(self, lease: Lease) -> None:
-        """Renew the lease, or replace it by one that fits a fleet that grew."""
+        """Renew the lease; replace it by a longer one when the fleet has grown."""
         if isinstance(await self._store.renew_lease(lease), LeaseOver):
             self._drop_registration("the lease ended")
         elif self._wants_longer_lease(lease):
@@ -235,9 +233,9 @@
             self._registered = await self._register(await self._grant())
 
     async def _check_key(self) -> None:
-        """Read the others, and whether this instance's own key is still there."""
+        """Read the other instances, and check that the own key still exists."""
         own = await self._read_others()
-        # A fresh key may be missing from a stale reading; not from the second one.
+        # A new key may be missing from the first, possibly stale, read.
         if (
             own is None
             and self._cycles >= RENEWALS_PER_READ
@@ -246,7 +244,7 @@
             self._drop_registration("the key is gone")
 
     def _wants_longer_lease(self, lease: Lease) -> bool:
-        """Return whether renewing seldom is worth the calls of another lease."""
+        """Return whether fewer renewals are worth the calls that a new lease costs."""
         age = self._clock.monotonic() - self._started_at
         is_too_short = self._wanted_ttl() > lease.time_to_live * LEASE_REPLACE_FACTOR
         return is_too_short and age >= MIN_REPLACE_AGE
@@ -255,9 +253,9 @@
         return await self._store.grant_lease(self._wanted_ttl())
 
     async def _reuse_lease(self, previous: Item | None) -> Lease | None:
-        """Return the lease of this instance's former life, if it goes on.
+        """Renew the lease of this instance's previous process; return it if it lasts.
 
-        A renewal costs a tenth of what granting another one does.
+        A renewal costs a tenth of what granting a new lease does.
         """
         if previous is None or previous.lease == NO_LEASE:
             return None
@@ -281,7 +279,7 @@
         self._events.emit(Events.REGISTRATION_LOST, reason=reason)
 
     async def _read_others(self) -> Item | None:
-        """Read the keys of all instances; return this instance's own."""
+        """Read the keys of all instances; return the one of this instance."""
         reading = await self._keys.read()
         self._update_others(reading.others)
         return reading.own
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -1,19 +1,18 @@
-"""What instances read from the shared store, passed on to each other.
+"""Relaying of stored data between instances, so that few of them read the store.
 
-Two uses. In a large fleet a few instances of each data centre watch the store and feed
-the others, so that the store's calls don't grow with the fleet. In any fleet an
-instance that the store turns away while it serves others is fed by one of those.
+This serves two purposes. In a large fleet a few instances of each data centre watch the
+store and feed the others, so that the number of store calls doesn't grow with the
+fleet. In any fleet, an instance that the store rejects is fed by one that it serves.
 
-A feed is a subscription that the receiver renews. The feeder sends what changed, and
-signs of life while the store serves it. Each message says how old its sender's
-knowledge is; with the time that the message was on its way that gives the receiver the
-time at which its copy was surely complete. When that is too long ago, for whatever
-reason, the receiver reads the store itself: a feeder that is late is no better than a
-silent one.
+A feed is a subscription that the receiver renews. The feeder sends changes, and
+heartbeats while the store serves it. Each message states the age of the feeder's copy.
+Adding the time that the message was on its way, the receiver knows when its own copy
+was last confirmed complete. If that is too long ago, for whatever reason, the receiver
+reads the store itself: a late feeder is no better than a silent one.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, whose copies are fed.
-    `walkcart.membership.feeding.Feeder`, which sends.
+    `walkcart.store.following.PrefixFollower`, which holds a copy.
+    `walkcart.membership.feeding.Feeder`, the sender.
 """
 
 from __future__ import annotations
@@ -45,39 +44,40 @@
     RelayUnserved,
 )
 
-#: Between two looks at how old the copies are.
+#: Time between two checks of the copies' age.
 CHECK_INTERVAL = timedelta(seconds=0.35)
-#: Looks between two renewals of the subscription.
+#: Checks between two renewals of the subscription.
 CHECKS_PER_RENEWAL = 2
-#: A receiver whose copy was surely complete longer ago reads the store itself. Signs of
-#: life come each second; with the time between two looks and a reading of some 0.3 s on
-#: a busy machine that stays within the three seconds that operators allow for a change.
+#: A receiver whose copy was last confirmed complete longer ago reads the store itself.
+#: Heartbeats come each second. Together with the time between two checks and a read of
+#: about 0.3 s on a busy machine, this stays within the three seconds that operators
+#: allow for a change to take effect.
 LATE = timedelta(seconds=1.8)
-#: A feeder is taken for good again when the copy is this new, so that one that is just
-#: about late doesn't cost a reading of the store each second.
+#: A feeder is accepted again once the copy is this new. The gap to `LATE` prevents a
+#: feeder that is barely late from causing a read of the store each second.
 GOOD = timedelta(seconds=0.9)
-#: An instance that has just started reads the store itself; only after this is it fed
-#: all of the copies. A reading takes some 50 ms.
+#: Time after the start until an instance subscribes. Before that it reads the store
+#: itself, which takes about 50 ms; a feeder would have to send all of the copies.
 FIRST_READ_DELAY = timedelta(seconds=0.3)
-#: An instance that the store didn't serve for this long sends its subscribers away: a
+#: An instance that the store hasn't served for this long rejects its subscribers. A
 #: single failed call isn't enough.
 MAX_UNSERVED_TIME = timedelta(seconds=0.3)
-#: An instance that need not watch any more, since others joined, feeds on for this long
-#: while it is asked: its subscribers read more seldom which instances there are.
+#: An instance that is no longer a watcher, because others joined, goes on feeding for
+#: this long while it has subscribers: they read the list of instances less often.
 HANDOVER_TIME = timedelta(seconds=20)
 
 
 class Relay:
-    """Feeds the copies of other instances, and has this one's fed.
+    """Feeds other instances, and subscribes this one to a feeder.
 
     Args:
-        followers: the copies.
-        calls: tells whether the store serves this instance.
-        links: to the other instances.
-        registration: knows them.
+        followers: the local copies.
+        calls: the store's calls, which tell whether the store serves this instance.
+        links: links to the other instances.
+        registration: lists the other instances.
         clock: source of time.
-        events: where feeds that begin and end are logged.
-        metrics: where the age of the copies is shown.
+        events: log of feeds that begin and end.
+        metrics: reports the age of the copies.
     """
 
     def __init__(
@@ -102,8 +102,8 @@
             self._watchers, clock, lambda: calls.reachable
         )
         self._last_heard_at = float("-inf")
-        #: When each prefix was surely complete by the feeder's word: one may be up to
-        #: date, another not.
+        #: When the feeder last confirmed each prefix as complete; one may be up to date
+        #: while another isn't.
         self._complete_at = dict.fromkeys(self._followers, float("-inf"))
         self._is_fed = False
         self._last_watcher_at = float("-inf")
@@ -121,7 +121,7 @@
 
     @property
     def watches(self) -> bool:
-        """Whether this instance is one of those that watch the store for others."""
+        """Whether this instance watches the store for others."""
         return (
             self._watchers.is_watcher()
             or self._is_handing_over()
@@ -129,16 +129,16 @@
         )
 
     def _is_handing_over(self) -> bool:
-        """Return whether it was one until lately and is still asked."""
+        """Return whether it was a watcher until recently and has subscribers."""
         age = self._clock.monotonic() - self._last_watcher_at
         return age < HANDOVER_TIME.total_seconds() and self._feeder.has_subscribers()
 
     def _is_substitute(self) -> bool:
-        """Return whether it feeds others because nobody feeds it."""
+        """Return whether it has subscribers and no feeder of its own."""
         return not self._is_fed and self._feeder.has_subscribers()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Subscribe and look at the feed, until cancelled."""
+        """Keep the subscription and check the feed, until cancelled."""
         task_status.started()
         await trio.sleep(FIRST_READ_DELAY.total_seconds())
         checks = 0
@@ -153,9 +153,9 @@
         return self._calls.reachable and self.watches
 
     def _check_feed(self) -> None:
-        """Choose a feeder where one is wanted, and leave one that is late.
+        """Choose a feeder if one is needed, and replace one that is late.
 
-        Another one is tried first; when that doesn't help in time the store is read.
+        Another feeder is tried first. If it doesn't help in time, the store is read.
         """
         now = self._clock.monotonic()
         self._report_age(now)
@@ -168,7 +168,7 @@
         ranked = self._watchers.is_watcher() or self._is_handing_over()
         if ranked and self._calls.reachable:
             self._feeder_choice.clear()
-            self._set_fed(False, "watches itself")
+            self._set_fed(False, "this instance watches the store")
             return
         age = now - min(self._complete_at.values())
         is_late = age > SUSPECT.total_seconds() and self._feeder_choice.is_grace_over()
@@ -180,13 +180,13 @@
 
     def _choose_feeder(self) -> None:
         if self._feeder_choice.feeder is not None:
-            # Should nobody feed this instance it must know whether reading is of use.
+            # Without a feeder this instance must know whether it can read the store.
             self._registration.try_soon()
         self._feeder_choice.switch_to_next()
         self._renew_subscription()
 
     def _on_unserved(self, sender: str, message: Message) -> None:
-        """Ask somebody else at once, who hasn't been found silent just now."""
+        """Switch at once to another feeder that hasn't just failed."""
         if sender != self._feeder_choice.feeder:
             return
         if self._feeder_choice.switch_to_other():
@@ -195,24 +195,24 @@
             self._become_substitute()
 
     def _refresh_soon(self) -> None:
-        """Have a call served now: the copies of those whom this one feeds have aged."""
+        """Call the store now, since the subscribers' copies aged during a pause."""
         if self._feeder.has_subscribers():
             self._registration.try_soon()
 
     def _on_refused(self, sender: str) -> None:
-        """Send away who can't be fed here, or begin to watch for it."""
+        """Reject a subscriber that can't be fed, or begin to read the store for it."""
         if self._calls.unserved_time() > MAX_UNSERVED_TIME.total_seconds():
             self._links.send(sender, RelayUnserved())
         elif self._feeder_choice.find_responsive() is None:
             self._become_substitute()
 
     def _become_substitute(self) -> None:
-        """Read the store at once if others ask and nobody is left to feed this one."""
+        """Read the store for the subscribers, as this instance has no feeder left."""
         if self._calls.reachable and self._feeder.has_subscribers():
-            self._set_fed(False, "stands in")
+            self._set_fed(False, "reads the store for subscribers")
 
     def _renew_subscription(self) -> None:
-        """Renew the subscription; that also acknowledges what came."""
+        """Renew the subscription, which also acknowledges received messages."""
         feeder = self._feeder_choice.feeder
         if feeder is None:
             return
@@ -223,7 +223,7 @@
         self._links.send(feeder, RelaySubscribe(revisions))
 
     def _report_age(self, now: float) -> None:
-        """Show how long ago the older of the copies was surely complete."""
+        """Report how long ago the oldest copy was confirmed complete."""
         ages = [now - follower.current_at for follower in self._followers.values()]
         if isfinite(max(ages)):
             self._metrics.gauge("intent.age", max(ages))
@@ -233,7 +233,7 @@
             return
         self._is_fed = fed
         if fed:
-            # Those whom this instance has fed meanwhile.
+            # Subscribers from the time when this instance had no feeder.
             self._feeder.reject_subscribers()
         self._events.emit(
             Events.FEED,
@@ -306,7 +306,7 @@
     def _record_complete(
         self, follower: PrefixFollower, revision: int, age: float
     ) -> None:
-        """Note that a copy was complete up to a revision not longer ago than `age`."""
+        """Record that a copy was complete to `revision` at most `age` seconds ago."""
         now = self._clock.monotonic()
         follower.note_current(revision, now - age)
         held = self._complete_at[follower.prefix]
--- a/walkcart/membership/view.py
+++ b/walkcart/membership/view.py
@@ -1,9 +1,9 @@
 """One instance's view of all instances, merged from records of any source.
 
-Records of one instance are totally ordered by (incarnation, counter, state,
-revision) and merging keeps the highest, so the order in which news arrives
-makes no difference. Only an instance itself raises its counter, which is how it
-refutes a suspicion.
+The records of an instance are totally ordered by (incarnation, counter, state,
+revision), and merging keeps the highest. So the order in which records arrive makes no
+difference. Only the instance itself raises its counter; that is how it refutes a
+suspicion.
 
 References:
     Das, Gupta, Motivala: SWIM, 2002, for suspicion and incarnations.
@@ -20,7 +20,7 @@
 
 
 class MemberState(IntEnum):
-    """What is held of an instance; of equal counters the higher wins."""
+    """The state of an instance; at equal counters the higher state wins."""
 
     LIVE = 0
     LEAVING = 1
@@ -28,20 +28,20 @@
     DEAD = 3
 
 
-#: Called with the old record, None for a new instance, and the new one.
+#: Called with the old record, which is None for a new instance, and the new record.
 Listener = Callable[[MemberRecord | None, MemberRecord], None]
 
 
 def rank_record(record: MemberRecord) -> tuple[int, int, int, int]:
-    """Return what orders the records of one instance."""
+    """Return the sort key of the records of one instance."""
     return (record.incarnation, record.counter, record.state, record.revision)
 
 
 class MembershipView:
-    """The instances that one instance knows.
+    """The records of all instances known to this one.
 
     Args:
-        own: its own record.
+        own: the record of this instance.
     """
 
     def __init__(self, own: MemberRecord) -> None:
@@ -50,7 +50,7 @@
         self._listed: frozenset[str] = frozenset()
         self._listeners: list[Listener] = []
         self._selections: dict[str, tuple[MemberRecord, ...]] = {}
-        #: Raised by each change of a record or of what is listed.
+        #: Raised at each change of a record or of the listed instances.
         self.version = 0
 
     def on_change(self, listener: Listener) -> None:
@@ -62,11 +62,11 @@
         return self._records.get(name)
 
     def records(self) -> tuple[MemberRecord, ...]:
-        """Return all records, in the order of the names."""
+        """Return all records, sorted by name."""
         return self._select("all", lambda record: True)
 
     def usable_peers(self) -> tuple[MemberRecord, ...]:
-        """Return the other instances that may get forwarded work."""
+        """Return the other instances that work may be forwarded to."""
         usable = (MemberState.LIVE, MemberState.LEAVING)
         own = self.own.name
         return self._select(
@@ -74,14 +74,14 @@
         )
 
     def live(self) -> tuple[MemberRecord, ...]:
-        """Return the live instances, this one included if it isn't leaving."""
+        """Return the live instances, including this one unless it is leaving."""
         return self._select("live", lambda record: record.state == MemberState.LIVE)
 
     def sharing(self) -> tuple[MemberRecord, ...]:
         """Return the instances that may still hold connections to leaves.
 
-        A dead record isn't proof: its instance may be paused or cut off with its
-        connections open. It counts until the instance list drops it as well.
+        A dead record isn't proof: the instance may be paused or cut off with open
+        connections. It counts until the instance list drops it too.
         """
         return self._select(
             "sharing",
@@ -93,10 +93,10 @@
     def _select(
         self, name: str, wanted: Callable[[MemberRecord], bool]
     ) -> tuple[MemberRecord, ...]:
-        """Return the wanted records in the order of the names.
+        """Return the records that `wanted` accepts, sorted by name.
 
-        They are asked for many times a second and change a few times a day, so
-        each selection is kept until something changes.
+        The result is cached under `name` until a record changes: selections are read
+        many times a second and change a few times a day.
         """
         if name not in self._selections:
             found = (self._records[key] for key in sorted(self._records))
@@ -108,7 +108,7 @@
         self._selections.clear()
 
     def set_listed(self, names: frozenset[str]) -> None:
-        """Note which instances the instance list shows as live."""
+        """Set the names that the instance list shows as live."""
         if names != self._listed:
             self._listed = names
             self._invalidate()
@@ -118,12 +118,12 @@
         return name in self._listed
 
     def merge(self, record: MemberRecord) -> bool:
-        """Take `record` if it is newer than what is held; return whether it was."""
+        """Store `record` if it is newer than the known one; return whether it was."""
         if record.name == self.own.name:
             return self._refute(record)
         held = self._records.get(record.name)
         if held is None and record.state == MemberState.DEAD:
-            # Nothing to do for it, and taking it in would pass it round for ever.
+            # There is nothing to do for it, and a stored one would be spread for ever.
             return False
         if held is not None and rank_record(record) <= rank_record(held):
             return False
@@ -152,17 +152,18 @@
         return self.merge(msgspec.structs.replace(held, state=int(state)))
 
     def forget(self, name: str) -> None:
-        """Drop a dead instance that the instance list doesn't show any longer."""
+        """Drop a dead instance that the instance list no longer shows."""
         if name != self.own.name:
             self._records.pop(name, None)
             self._invalidate()
 
     def _refute(self, record: MemberRecord) -> bool:
-        """Refute what others hold of this instance where it is wrong."""
+        """Refute a wrong record of this instance by raising the counter."""
         if rank_record(record) <= rank_record(self.own):
             return False
         if record.incarnation > self.own.incarnation:
-            # A later life with this name: not for this process to argue with.
+            # It belongs to a later process of this instance, which this one must not
+            # contradict.
             return False
         counter = record.counter + 1
         self._store(self.own, msgspec.structs.replace(self.own, counter=counter))
--- a/walkcart/membership/watchers.py
+++ b/walkcart/membership/watchers.py
@@ -1,7 +1,7 @@
-"""Which instances watch the shared store for the others, and whom one asks.
+"""Choice of the instances that watch the shared store, and of each instance's feeder.
 
 See Also:
-    `walkcart.membership.relaying.Relay`, which feeds and is fed.
+    `walkcart.membership.relaying.Relay`, which sends and receives the feeds.
 """
 
 from __future__ import annotations
@@ -13,32 +13,35 @@
 from walkcart.membership.registration import Registration
 from walkcart.routing.shares import rank_rendezvous
 
-#: Fleets up to this size watch the store with every instance: few calls, no detour.
+#: In fleets up to this size every instance watches the store itself: that takes few
+#: calls and avoids the extra hop.
 FEW_INSTANCES = 12
-#: Instances of each data centre that watch the store in a larger fleet: what they pass
-#: on stays inside.
+#: Instances of each data centre that watch the store in a larger fleet. Each feeds only
+#: its own data centre.
 WATCHERS_PER_DATA_CENTRE = 2
-#: Candidates besides these: for an instance whose view of the others is older, and for
-#: when the store turns the watchers away, as it may a third of all instances at once.
+#: Further candidates for feeders, for an instance with an outdated view of the fleet,
+#: and for when the store rejects the watchers: it may reject a third of all instances
+#: at once.
 SPARE_WATCHERS = 2
-#: Seconds for which a feeder that was silent isn't asked again where others are left:
-#: some renewals of its lease, by which it notices that the store serves it again.
+#: Seconds for which a silent feeder isn't asked again while other candidates are left.
+#: This is several renewals of its lease, by which it notices that the store is back.
 SILENT_TTL = 5.0
-#: Seconds after which a feeder of another data centre is left for one that is near.
+#: Seconds after which a feeder in another data centre is dropped for a near one.
 MAX_FAR_TIME = 10.0
 
-#: A receiver whose copy was surely complete longer ago turns to another feeder, which
-#: answers in milliseconds: signs of life come each second, and what is left until
-#: `walkcart.membership.relaying.LATE` covers a look and that answer. So the subscribers
-#: of a feeder that died don't all read the store.
+#: A receiver whose copy was last confirmed complete longer ago switches to another
+#: feeder. Heartbeats come each second, and the time left until
+#: `walkcart.membership.relaying.LATE` covers one check and the reply of the new feeder,
+#: which takes milliseconds. So the subscribers of a dead feeder don't all read the
+#: store.
 SUSPECT = timedelta(seconds=1.3)
 
 
 class Watchers:
-    """Ranks the instances by their names, the same at each of them.
+    """Ranks the instances by a hash of their names, alike at each of them.
 
     Args:
-        registration: knows the instances.
+        registration: lists the instances.
     """
 
     def __init__(self, registration: Registration) -> None:
@@ -47,7 +50,7 @@
         registration.on_change(self._clear_order)
 
     def is_watcher(self) -> bool:
-        """Return whether this instance is one of those that watch."""
+        """Return whether this instance should watch the store."""
         if self._all_watch():
             return True
         return (
@@ -58,15 +61,16 @@
     def choose_feeder(
         self, silent: Mapping[str, float], far_since: float = float("inf")
     ) -> str | None:
-        """Return who is to feed this instance, or None when there is nobody.
+        """Return the instance to be fed by, or None if there is no candidate.
 
-        The subscribers of a data centre divide themselves over its watchers. Those of
-        others are turned to where the store serves neither this instance nor these.
+        The subscribers of a data centre are spread over its watchers. Watchers of other
+        data centres are chosen only if all near ones are silent.
 
         Args:
-            silent: when each instance that didn't feed was found silent or late last;
-                who was so longest ago, or never, goes first.
-            far_since: others are turned to if all near were silent since then.
+            silent: the time at which each instance last failed to feed this one. Those
+                that never failed come first, then those that failed longest ago.
+            far_since: other data centres are considered if all near candidates failed
+                at or after this time.
         """
         own = self._registration.own.name
         near = self._list_near()
@@ -82,17 +86,18 @@
         return min(names, key=rank, default=None)
 
     def is_far(self, name: str) -> bool:
-        """Return whether a feeder stands in another data centre."""
+        """Return whether a feeder is in another data centre."""
         return name not in self._list_near()
 
     def _list_near(self) -> list[str]:
-        """Return those that may feed this instance at any time, in their order."""
+        """Return the feeder candidates in this data centre, by rank."""
         own = self._registration.own.name
         names = self._rank_candidates()
         if not self._all_watch():
             names = names[: WATCHERS_PER_DATA_CENTRE + SPARE_WATCHERS]
             if own in names[WATCHERS_PER_DATA_CENTRE:]:
-                # Spare ones don't wait for each other.
+                # A spare candidate asks only those ranked before it, so that two of
+                # them don't wait for each other.
                 names = names[: names.index(own)]
         return [name for name in names if name != own]
 
@@ -115,7 +120,7 @@
         self._order = None
 
     def _rank_candidates(self) -> list[str]:
-        """Return the instances that may watch, this one included, in their order."""
+        """Return the instances that may watch, this one included, by rank."""
         if self._order is None:
             own = self._registration.own
             names = [
@@ -131,13 +136,14 @@
 
 
 class FeederChoice:
-    """Whom this instance asks to feed it.
+    """Chooses the feeder of this instance, and another one when it fails.
 
     Args:
-        watchers: rank the instances.
+        watchers: ranks the candidates.
         clock: source of time.
-        is_store_reachable: returns whether the store serves this instance; one that it serves
-            reads in time and adds nothing to what feeders elsewhere have to do.
+        is_store_reachable: returns whether this instance can reach the store. If it
+            can, it reads the store in time and doesn't load feeders in other data
+            centres.
     """
 
     def __init__(
@@ -148,32 +154,33 @@
         self._is_store_reachable = is_store_reachable
         self.feeder: str | None = None
         self._chosen_at = float("-inf")
-        #: When each instance was found silent, late or not served last.
+        #: When each instance was last silent, late or unable to feed.
         self._silent: dict[str, float] = {}
 
     def is_grace_over(self) -> bool:
-        """Return whether the present feeder has had its time."""
+        """Return whether the current feeder has had enough time to answer."""
         return self._clock.monotonic() - self._chosen_at > SUSPECT.total_seconds()
 
     def is_far_too_long(self) -> bool:
-        """Return whether a feeder that is near should be tried again."""
+        """Return whether a feeder elsewhere has been in use for `MAX_FAR_TIME`."""
         if self.feeder is None or not self._watchers.is_far(self.feeder):
             return False
         return self._clock.monotonic() - self._chosen_at > MAX_FAR_TIME
 
     def clear(self) -> None:
-        """Ask nobody."""
+        """Have no feeder."""
         self.feeder = None
 
     def switch_to_next(self) -> None:
-        """Turn to who was found silent longest ago, or never."""
+        """Switch to the candidate that never failed or failed longest ago."""
         self._record_silent()
         self._switch_to(self._find_least_recent())
 
     def switch_to_other(self) -> bool:
-        """Turn to one that wasn't found silent just now; return whether there is one.
+        """Switch to a candidate that hasn't just failed; return whether there is one.
 
-        Without one, go back to those that watch first: they are served again first.
+        Without one, switch back to the first-ranked candidate: the watchers are the
+        first to be served again.
         """
         self._record_silent()
         other = self.find_responsive()
@@ -184,7 +191,7 @@
         return True
 
     def find_responsive(self) -> str | None:
-        """Return who is to be asked next, unless it was found silent just now."""
+        """Return the next candidate, or None if it has just failed."""
         name = self._find_least_recent()
         if name is None:
             return None
