--- a/walkcart/membership/listing.py
+++ b/walkcart/membership/listing.py
@@ -145,7 +145,7 @@
                 self._apply(page)
             return
         await self._drop_connection()
-        self._report_failure(f"no reply within {READ_TIMEOUT.total_seconds()} s")
+        self._report_failure(f"no reply in time ({READ_TIMEOUT.total_seconds()} s)")
 
     async def _fetch(self) -> _Page | None:
         if self._connection is None:
--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -203,7 +203,7 @@
         candidates = self.find_candidates(share)
         if self.own not in candidates:
             return False
-        # The last accountant has probably failed, so it comes last.
+        # The last accountant is the least likely to take the share, so it comes last.
         order = sorted(candidates, key=lambda name: name == known.last)
         was_heard = bool(known.holder.name) and known.heard_at is not None
         start = max(since, known.heard_at or since)
--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -2,7 +2,6 @@
 
 The accountant of a share sends a heartbeat to its other candidates each second. One
 that hears nothing reads the key of the share, and takes the share once it is free.
-
 Nothing is stored, sent or renewed while no team has a limit.
 
 See Also:
@@ -48,7 +47,7 @@
         since: when the share was taken, in seconds.
         tried_at: when a renewal of the lease was last attempted, in seconds.
         renewed_at: when a renewal last succeeded, in seconds.
-        wanted_by: the instance that has since asked for the share; it reaches the store.
+        wanted_by: the instance that asked for the share since then, if any.
     """
 
     taken: TakenKey
@@ -235,7 +234,7 @@
                 return
             taken = await self._keys.take(share, stored)
         except StoreUnavailable:
-            # Logged by `StoreCalls`. A key that was stored nevertheless is read later.
+            # Logged by `StoreCalls`. A key stored nevertheless is read next time.
             return
         except msgspec.MsgspecError as error:
             self._events.emit(
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -188,7 +188,7 @@
         try:
             await self._store.end_lease(self._registered.lease)
         except StoreUnavailable as error:
-            self._events.emit(Events.STORE_FAILED, detail=f"lease not revoked: {error}")
+            self._events.emit(Events.STORE_FAILED, detail=f"lease not ended: {error}")
         self._registered = None
 
     def follow_watching(self, watches: Callable[[], bool]) -> None:
