--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -47,7 +47,7 @@
         since: when the share was taken, in seconds.
         tried_at: when a renewal of the lease was last attempted, in seconds.
         renewed_at: when a renewal last succeeded, in seconds.
-        wanted_by: the instance that asked for the share since then, if any.
+        wanted_by: the instance that since reached the store and asked for the share.
     """
 
     taken: TakenKey
@@ -184,7 +184,7 @@
             if held.wanted_by:
                 self._drop(share, f"released to {held.wanted_by}: it reaches the store")
             elif self._clock.monotonic() >= held.taken.until:
-                self._drop(share, "the lease was not renewed in time")
+                self._drop(share, "the store wasn't reached in time")
             return
         if taken is None:
             self._drop(share, "the lease or the key is gone")
