--- a/walkcart/membership/feeding.py
+++ b/walkcart/membership/feeding.py
@@ -74,6 +74,7 @@
         self.renewed_at = float("-inf")
         #: The revision that the subscriber last reported, by prefix.
         self.told: dict[str, int] = {}
+        #: The message of each prefix that is not acknowledged yet.
         self.in_flight: dict[str, _SentMessage] = {}
 
     def record_revision(self, prefix: str, revision: int, now: float) -> None:
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -294,6 +294,7 @@
                 )
 
     def _find_fed_copy(self, sender: str, prefix: str) -> PrefixFollower | None:
+        """Return the copy that the sender feeds; None if it isn't the feeder."""
         if sender != self._feeder_choice.feeder:
             return None
         self._last_heard_at = self._clock.monotonic()
--- a/walkcart/membership/tests/test_cold_shares.py
+++ b/walkcart/membership/tests/test_cold_shares.py
@@ -1,7 +1,7 @@
-"""Shares of cold leafs' bounds, held by instances whose views differ.
+"""Shares of the bounds on cold leaves, held by instances whose views differ.
 
-Two ways are played on the same events: shares as leased keys, which is the one in use,
-and shares by rendezvous hash over each instance's own view.
+Two methods run on the same events: shares as leased keys, which is the one in use, and
+shares by a rendezvous hash over each instance's own view, which exceeds the bound.
 """
 
 from collections import deque
@@ -19,14 +19,14 @@
 from walkcart.store.items import Committed, Item, Lease, Page, Rejected
 
 DATA_CENTRE = "north-a"
-MOST = ColdBound(1.5, 5.0).most(4.0)
-#: Seconds between two steps of a play, each with requests of all instances.
+MAX_REQUESTS = ColdBound(1.5, 5.0).most(4.0)
+#: Seconds between two steps of a run; all instances send requests in each.
 STEP = 0.125
 LEASE_SECONDS = 15.0
 
 
 class LeasedKeys:
-    """A store that holds keys on leases, and may take them away."""
+    """A store with keys on leases, which it may revoke."""
 
     def __init__(self, clock, random):
         self.clock, self.random = clock, random
@@ -76,13 +76,13 @@
 
 
 class Member:
-    """One instance: what it believes, and what it sends to one cold leaf."""
+    """One instance: its view of the fleet, and its requests to one cold leaf."""
 
-    def __init__(self, name, fleet, way):
-        self.name, self.fleet, self.way = name, fleet, way
+    def __init__(self, name, fleet, method):
+        self.name, self.fleet, self.method = name, fleet, method
         self.lives = 0
         self.cut_until = 0.0
-        self.see(fleet.names)
+        self.set_view(fleet.names)
         self.start()
 
     def start(self):
@@ -100,7 +100,7 @@
             SimpleNamespace(emit=lambda *words, **details: None),
         )
 
-    def see(self, view):
+    def set_view(self, view):
         names = {*view, self.name}
         self.ranked = sorted(names, key=lambda n: rank_rendezvous(DATA_CENTRE, n))
 
@@ -110,7 +110,7 @@
     def is_cut(self):
         return self.fleet.clock.time < self.cut_until
 
-    async def look(self):
+    async def refresh(self):
         if self.is_cut():
             return
         store = self.fleet.store
@@ -122,7 +122,7 @@
             return
 
     def find_share(self):
-        if self.way == "leased":
+        if self.method == "leased":
             return self.shares.find_share(DATA_CENTRE)
         ranked = self.ranked[:SHARE_COUNT]
         if self.name not in ranked:
@@ -132,57 +132,57 @@
     def send(self):
         share = self.find_share()
         now = self.fleet.clock.time
-        return share is not None and self.log.take(now, share.of(MOST))
+        return share is not None and self.log.take(now, share.of(MAX_REQUESTS))
 
 
 class Fleet:
-    """Instances under trouble; counts what reaches the leaf."""
+    """Instances with injected faults; counts the requests that reach the leaf."""
 
-    def __init__(self, count, way, seed):
+    def __init__(self, count, method, seed):
         self.random = Random(seed)
         self.clock = ManualClock()
         self.names = [f"instance-{number}" for number in range(count)]
         self.store = LeasedKeys(self.clock, self.random)
         self._leases = 0
-        self.members = [Member(name, self, way) for name in self.names]
+        self.members = [Member(name, self, method) for name in self.names]
         self.sent = deque()
-        self.most_seen = 0
+        self.max_in_window = 0
         self.total = 0
 
     def next_lease(self):
         self._leases += 1
         return self._leases
 
-    def trouble(self):
-        """Bring one trouble about: restarts, cuts, stale views, keys taken away."""
+    def inject_fault(self):
+        """Inject a fault: a restart, a cut, a stale view, revoked keys or an outage."""
         member = self.random.choice(self.members)
         likely = [m for m in self.members if m.shares.find_share(DATA_CENTRE)]
         if likely and self.random.random() < 0.5:
             member = self.random.choice(likely)
         match self.random.choice(["restart", "cut", "view", "revoke", "down"]):
             case "restart":
-                # The store learns of it only when the lease runs out.
-                member.see([])
+                # The store notices it only when the lease expires.
+                member.set_view([])
                 member.start()
             case "cut":
                 member.cut_until = self.clock.time + self.random.uniform(1, 20)
             case "view":
                 count = self.random.randrange(len(self.names) + 1)
-                member.see(self.random.sample(self.names, count))
+                member.set_view(self.random.sample(self.names, count))
             case "revoke":
                 self.store.revoke(member.lease.id)
             case _:
                 self.store.down = not self.store.down
 
-    async def play(self, seconds):
+    async def run_steps(self, seconds):
         for step in range(int(seconds / STEP)):
             self.clock.time += STEP
             self.store.expire()
             if self.random.random() < 0.15:
-                self.trouble()
+                self.inject_fault()
             if step % 4 == 0:
                 for member in self.members:
-                    await member.look()
+                    await member.refresh()
             for member in self.members:
                 for _ in range(3):
                     if member.send():
@@ -190,34 +190,38 @@
                         self.total += 1
             while self.sent and self.sent[0] < self.clock.time - WINDOW:
                 self.sent.popleft()
-            self.most_seen = max(self.most_seen, len(self.sent))
+            self.max_in_window = max(self.max_in_window, len(self.sent))
 
 
-def play(count, way, seed, seconds=60.0):
-    fleet = Fleet(count, way, seed)
-    trio.run(fleet.play, seconds)
+def run_steps(count, method, seed, seconds=60.0):
+    fleet = Fleet(count, method, seed)
+    trio.run(fleet.run_steps, seconds)
     return fleet
 
 
 @pytest.mark.parametrize("count", [7, 60, 300])
 def test_leased_shares_stay_within_the_bound_under_any_views(count):
     for seed in range(12 if count < 300 else 3):
-        fleet = play(count, "leased", seed)
-        assert fleet.most_seen <= MOST, f"seed {seed}"
+        fleet = run_steps(count, "leased", seed)
+        assert fleet.max_in_window <= MAX_REQUESTS, f"seed {seed}"
 
 
 @pytest.mark.parametrize("count", [7, 60, 300])
 def test_shares_by_views_alone_pass_the_bound(count):
-    # Why the other way was built: one instance that has just started is enough.
-    assert max(play(count, "views", seed).most_seen for seed in range(3)) > MOST
+    # The reason for leased keys: one instance that has just started is enough.
+    assert (
+        max(run_steps(count, "views", seed).max_in_window for seed in range(3))
+        > MAX_REQUESTS
+    )
 
 
 @pytest.mark.parametrize("count", [7, 60, 300])
 def test_most_of_the_bound_is_used_in_calm_times_for_few_calls(count):
     fleet = Fleet(count, "leased", 1)
     fleet.random = Random(1)
-    fleet.trouble = lambda: None
-    trio.run(fleet.play, 60.0)
-    assert fleet.total > 0.8 * MOST * (60 - 8)
-    # Three hold a share and read their keys each second; the others never call.
+    fleet.inject_fault = lambda: None
+    trio.run(fleet.run_steps, 60.0)
+    assert fleet.total > 0.8 * MAX_REQUESTS * (60 - 8)
+    # Three instances hold a share and read their keys each second; the others make no
+    # calls.
     assert fleet.store.calls < 3 * (60 + 10)
--- a/walkcart/membership/tests/test_feeder_choice.py
+++ b/walkcart/membership/tests/test_feeder_choice.py
@@ -1,4 +1,4 @@
-"""Whom an instance asks to feed it, without a network."""
+"""The choice of an instance's feeder, without a network."""
 
 from types import SimpleNamespace
 
@@ -30,15 +30,15 @@
     return Watchers(registration)
 
 
-def find_candidates():
-    """Return the numbers of those that watch and of the spare ones, in their order."""
+def find_candidate_numbers():
+    """Return the numbers of the watchers and the spare candidates, by rank."""
     watchers = make_watchers(0)
     names = watchers._rank_candidates()[: WATCHERS_PER_DATA_CENTRE + SPARE_WATCHERS]
     return [int(name[1:]) for name in names]
 
 
-def find_subscriber():
-    return next(n for n in range(COUNT) if n not in find_candidates())
+def find_subscriber_number():
+    return next(n for n in range(COUNT) if n not in find_candidate_numbers())
 
 
 def make_choice(own):
@@ -46,27 +46,27 @@
     return FeederChoice(make_watchers(own), clock, lambda: True), clock
 
 
-def name_of(number):
+def make_name(number):
     return f"w{number:02}"
 
 
-def test_a_subscriber_that_is_sent_away_asks_each_candidate_once():
-    choice, _ = make_choice(find_subscriber())
+def test_rejected_subscriber_asks_each_candidate_once():
+    choice, _ = make_choice(find_subscriber_number())
     choice.switch_to_next()
     asked = [choice.feeder]
     while choice.switch_to_other():
         asked.append(choice.feeder)
-    candidates = [name_of(number) for number in find_candidates()]
+    candidates = [make_name(number) for number in find_candidate_numbers()]
     assert sorted(asked) == sorted(candidates)
     assert set(asked[:WATCHERS_PER_DATA_CENTRE]) == set(
         candidates[:WATCHERS_PER_DATA_CENTRE]
     )
-    # It waits with those that watch, not with a spare one.
+    # In the end it waits for a watcher, not for a spare candidate.
     assert choice.feeder in candidates[:WATCHERS_PER_DATA_CENTRE]
 
 
-def test_one_that_was_silent_is_asked_again_after_a_while():
-    choice, clock = make_choice(find_subscriber())
+def test_silent_candidate_is_asked_again_later():
+    choice, clock = make_choice(find_subscriber_number())
     choice.switch_to_next()
     while choice.switch_to_other():
         pass
@@ -76,8 +76,8 @@
     assert choice.find_responsive() is not None
 
 
-def test_spare_ones_ask_only_those_before_them():
-    candidates = find_candidates()
+def test_spare_candidates_ask_only_those_ranked_before_them():
+    candidates = find_candidate_numbers()
     for place in range(
         WATCHERS_PER_DATA_CENTRE, WATCHERS_PER_DATA_CENTRE + SPARE_WATCHERS
     ):
@@ -86,30 +86,36 @@
         asked = {choice.feeder}
         while choice.switch_to_other():
             asked.add(choice.feeder)
-        assert asked == {name_of(number) for number in candidates[:place]}
+        assert asked == {make_name(number) for number in candidates[:place]}
 
 
-def test_a_watcher_that_is_sent_away_asks_all_others():
-    candidates = find_candidates()
+def test_rejected_watcher_asks_all_other_candidates():
+    candidates = find_candidate_numbers()
     choice, _ = make_choice(candidates[0])
     choice.switch_to_next()
     asked = {choice.feeder}
     while choice.switch_to_other():
         asked.add(choice.feeder)
-    assert asked == {name_of(number) for number in candidates[1:]}
+    assert asked == {make_name(number) for number in candidates[1:]}
 
 
 #: Number of the first instance of each further data centre.
-FAR = (COUNT, 2 * COUNT)
+FIRST_FAR_NUMBERS = (COUNT, 2 * COUNT)
 
 
 def make_far_choice(own, is_served):
-    """Return a choice among three data centres of as many instances."""
+    """Return a choice in a fleet of three data centres of `COUNT` instances each."""
     near = make_watchers(own)._registration
     others = near.others()
     for number, data_centre in enumerate(("south-a", "south-b")):
         others += [
-            InstanceRecord(name_of(FAR[number] + n), "now", data_centre, "south", "a:1")
+            InstanceRecord(
+                make_name(FIRST_FAR_NUMBERS[number] + n),
+                "now",
+                data_centre,
+                "south",
+                "a:1",
+            )
             for n in range(COUNT)
         ]
     near.others = lambda: others
@@ -117,8 +123,8 @@
     return FeederChoice(Watchers(near), clock, lambda: is_served), clock
 
 
-def ask_all(choice):
-    """Return who is asked in turn while each one sends the asker away."""
+def list_asked(choice):
+    """Return the feeders that are asked in turn while each one rejects the request."""
     choice.switch_to_next()
     asked = [choice.feeder]
     while choice.switch_to_other():
@@ -126,24 +132,24 @@
     return asked
 
 
-def test_an_instance_that_the_store_turns_away_asks_elsewhere_after_all_near():
-    choice, _ = make_far_choice(find_subscriber(), is_served=False)
-    asked = ask_all(choice)
-    near = {name_of(number) for number in find_candidates()}
+def test_instance_without_store_asks_far_watchers_after_all_near_ones():
+    choice, _ = make_far_choice(find_subscriber_number(), is_served=False)
+    asked = list_asked(choice)
+    near = {make_name(number) for number in find_candidate_numbers()}
     assert set(asked[: len(near)]) == near
-    assert len(asked) == len(near) + WATCHERS_PER_DATA_CENTRE * len(FAR)
+    assert len(asked) == len(near) + WATCHERS_PER_DATA_CENTRE * len(FIRST_FAR_NUMBERS)
 
 
-def test_an_instance_that_the_store_serves_asks_only_near():
-    choice, _ = make_far_choice(find_subscriber(), is_served=True)
-    near = {name_of(number) for number in find_candidates()}
-    assert set(ask_all(choice)) == near
+def test_instance_with_store_asks_only_near_candidates():
+    choice, _ = make_far_choice(find_subscriber_number(), is_served=True)
+    near = {make_name(number) for number in find_candidate_numbers()}
+    assert set(list_asked(choice)) == near
 
 
-def test_a_far_feeder_is_left_for_a_near_one_after_a_while():
-    choice, clock = make_far_choice(find_subscriber(), is_served=False)
+def test_far_feeder_is_replaced_by_a_near_one_later():
+    choice, clock = make_far_choice(find_subscriber_number(), is_served=False)
     choice.switch_to_next()
-    near = {name_of(number) for number in find_candidates()}
+    near = {make_name(number) for number in find_candidate_numbers()}
     while choice.feeder in near:
         assert choice.switch_to_other()
     assert not choice.is_far_too_long()
--- a/walkcart/membership/tests/test_feeding.py
+++ b/walkcart/membership/tests/test_feeding.py
@@ -1,4 +1,4 @@
-"""What a feeder sends, and what a receiver makes of it, without a network."""
+"""The messages of a feeder and their effect on a receiver, without a network."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -25,8 +25,8 @@
 SUBSCRIBER = "two"
 
 
-class KeptLinks:
-    """Keeps what is sent."""
+class RecordingLinks:
+    """Records the messages that are sent."""
 
     def __init__(self):
         self.handlers = {}
@@ -56,7 +56,7 @@
 
     def __init__(self):
         self.clock = ManualClock()
-        self.links = KeptLinks()
+        self.links = RecordingLinks()
         self.follower = make_follower(self.clock)
         followers = {PREFIX: self.follower}
         self.feeds = True
@@ -68,7 +68,7 @@
         self.follower.note_current(revision, self.clock.time)
         self.follower.apply([Item(key, b"%d" % revision, revision)], revision)
 
-    def tell(self, revision):
+    def subscribe(self, revision):
         self.links.handlers[RelaySubscribe](
             SUBSCRIBER, RelaySubscribe({PREFIX: revision})
         )
@@ -78,51 +78,51 @@
         self.follower.note_current(self.follower.revision, self.clock.time)
 
 
-def test_nothing_follows_a_change_before_it_is_acknowledged_then_only_the_newest():
+def test_next_message_waits_for_acknowledgement_and_has_the_newest_state():
     fixture = FeederFixture()
-    fixture.tell(1)
+    fixture.subscribe(1)
     fixture.links.take()
     for revision in (2, 3, 4, 5):
         fixture.change(revision)
     (first,) = fixture.links.take()
     assert (first.base, first.revision) == (1, 2)
-    fixture.tell(2)
+    fixture.subscribe(2)
     (second,) = fixture.links.take()
     assert (second.base, second.revision) == (2, 5)
     assert unpack_changes(second.packed) == [Item("a", b"5", 5)]
-    fixture.tell(5)
+    fixture.subscribe(5)
     assert fixture.links.take() == []
 
 
-def test_a_message_that_is_not_acknowledged_is_sent_again_after_a_while():
+def test_unacknowledged_message_is_sent_again():
     fixture = FeederFixture()
-    fixture.tell(1)
+    fixture.subscribe(1)
     fixture.change(2)
     fixture.links.take()
-    fixture.tell(1)
+    fixture.subscribe(1)
     assert fixture.links.take() == []
     fixture.pass_time(RESEND_TIMEOUT + timedelta(milliseconds=1))
-    fixture.tell(1)
+    fixture.subscribe(1)
     (again,) = fixture.links.take()
     assert isinstance(again, RelayChanges)
     assert again.revision == 2
 
 
-def test_a_subscriber_that_started_anew_is_sent_all_at_once():
+def test_restarted_subscriber_is_sent_everything_at_once():
     fixture = FeederFixture()
-    fixture.tell(1)
+    fixture.subscribe(1)
     fixture.change(2)
-    fixture.tell(2)
+    fixture.subscribe(2)
     fixture.change(3)
     fixture.links.take()
-    fixture.tell(0)
+    fixture.subscribe(0)
     (copy,) = fixture.links.take()
     assert unpack_changes(copy.packed) == [Item("a", b"3", 3)]
 
 
-def test_a_copy_that_was_not_confirmed_lately_is_neither_sent_nor_vouched_for():
+def test_copy_without_recent_confirmation_is_not_sent():
     fixture = FeederFixture()
-    fixture.tell(1)
+    fixture.subscribe(1)
     fixture.links.take()
     fixture.clock.time += MAX_COPY_AGE.total_seconds() + 0.1
     fixture.follower.apply([Item("a", b"2", 2)], 2)
@@ -130,18 +130,18 @@
     assert fixture.links.take() == []
 
 
-def test_who_does_not_watch_sends_nothing():
+def test_instance_that_does_not_watch_sends_nothing():
     fixture = FeederFixture()
     fixture.feeds = False
-    fixture.tell(1)
+    fixture.subscribe(1)
     fixture.change(2)
     fixture.feeder.send_heartbeats_if_due()
     assert fixture.links.take() == []
 
 
-def test_signs_of_life_state_the_age_and_are_spaced():
+def test_heartbeats_state_the_age_and_are_spaced():
     fixture = FeederFixture()
-    fixture.tell(1)
+    fixture.subscribe(1)
     fixture.links.take()
     fixture.clock.time += 0.4
     fixture.feeder.send_heartbeats_if_due()
@@ -154,9 +154,9 @@
     assert len(fixture.links.take()) == 1
 
 
-def test_a_subscription_that_is_not_renewed_ends():
+def test_subscription_that_is_not_renewed_expires():
     fixture = FeederFixture()
-    fixture.tell(1)
+    fixture.subscribe(1)
     fixture.links.take()
     fixture.pass_time(SUBSCRIPTION_TTL + timedelta(milliseconds=1))
     fixture.feeder.send_heartbeats_if_due()
@@ -164,7 +164,7 @@
     assert fixture.links.take() == []
 
 
-def test_bytes_that_are_no_changes_are_refused():
+def test_undecodable_changes_raise():
     packed = pack_changes([Item("a", b"1", 1), Removal("b", 2)])
     assert unpack_changes(packed) == [Item("a", b"1", 1), Removal("b", 2)]
     for bad in (b"", b"rubbish", packed[:-4]):
@@ -184,43 +184,43 @@
         max_size=40,
     )
 )
-def test_a_subscriber_converges_whatever_is_lost(steps):
+def test_subscriber_converges_whatever_is_lost(steps):
     fixture = FeederFixture()
     receiver = make_follower(fixture.clock)
     revision = 1
-    fixture.tell(0)
-    flight = fixture.links.take()
+    fixture.subscribe(0)
+    in_flight = fixture.links.take()
     for step in steps:
         match step:
             case ("change", key):
                 revision += 1
                 fixture.change(revision, key)
             case ("deliver",):
-                take_all(receiver, flight)
-                flight = []
-                fixture.tell(receiver.revision)
+                apply_all(receiver, in_flight)
+                in_flight = []
+                fixture.subscribe(receiver.revision)
             case ("lose",):
-                flight = []
+                in_flight = []
             case ("wait",):
                 fixture.pass_time(RESEND_TIMEOUT / 4)
-                fixture.tell(receiver.revision if receiver.known else 0)
+                fixture.subscribe(receiver.revision if receiver.known else 0)
             case ("restart",):
                 receiver = make_follower(fixture.clock)
-                flight = []
-                fixture.tell(0)
-        flight += fixture.links.take()
-        # Signs of life aside, one message is on its way at the most, until it is lost.
-        assert sum(not isinstance(item, RelayCurrent) for item in flight) <= 2
+                in_flight = []
+                fixture.subscribe(0)
+        in_flight += fixture.links.take()
+        # Apart from heartbeats, at most one message is on its way until it is lost.
+        assert sum(not isinstance(item, RelayCurrent) for item in in_flight) <= 2
     for _ in range(12):
         fixture.pass_time(RESEND_TIMEOUT / 4)
-        fixture.tell(receiver.revision if receiver.known else 0)
-        take_all(receiver, flight + fixture.links.take())
-        flight = []
-    assert dict(by_key(receiver)) == dict(by_key(fixture.follower))
+        fixture.subscribe(receiver.revision if receiver.known else 0)
+        apply_all(receiver, in_flight + fixture.links.take())
+        in_flight = []
+    assert dict(list_items(receiver)) == dict(list_items(fixture.follower))
 
 
-def take_all(receiver, messages):
-    """Take messages as `walkcart.membership.relaying.Relay` does."""
+def apply_all(receiver, messages):
+    """Apply messages as `walkcart.membership.relaying.Relay` does."""
     for message in messages:
         match message:
             case RelayCurrent():
@@ -235,5 +235,5 @@
                     receiver.replace(found, message.revision)
 
 
-def by_key(follower):
+def list_items(follower):
     return ((item.key, item.value) for item in follower.items())
--- a/walkcart/membership/tests/test_kept_leases.py
+++ b/walkcart/membership/tests/test_kept_leases.py
@@ -1,4 +1,4 @@
-"""Shares of cold leafs' bounds when an instance starts anew on its former lease."""
+"""Shares of the bounds on cold leaves when an instance restarts on its former lease."""
 
 from types import SimpleNamespace
 
@@ -11,12 +11,12 @@
 
 DATA_CENTRE = "north-a"
 LEASE = Lease(7, None)
-#: Seconds from taking a share until it may be used, and a bit.
+#: Seconds from taking a share until it may be used, plus a margin.
 WAIT = KEY_TRUST_TIME + WINDOW + WINDOW_MARGIN + 0.1
 
 
-class Keys:
-    """A store with conditions on revisions."""
+class ConditionalStore:
+    """A store with compare-and-swap on revisions."""
 
     def __init__(self):
         self.items = {}
@@ -36,7 +36,7 @@
         return Committed(self.revision)
 
 
-def start_life(store, clock, started, lease=LEASE):
+def start_process(store, clock, started, lease=LEASE):
     own = SimpleNamespace(name="one", started=started)
     centres = frozenset({DATA_CENTRE})
     return ColdShares(
@@ -48,38 +48,38 @@
     )
 
 
-async def look_for(shares, clock, seconds):
+async def refresh_for(shares, clock, seconds):
     end = clock.time + seconds
     while clock.time < end:
         await shares.look()
         clock.time += KEY_TRUST_TIME / 4
 
 
-def test_a_present_life_has_the_share_of_the_former_which_loses_it():
+def test_restarted_process_takes_over_the_share_of_the_earlier_one():
     async def run():
-        store, clock = Keys(), ManualClock()
-        former = start_life(store, clock, "first")
-        await look_for(former, clock, WAIT)
-        assert former.find_share(DATA_CENTRE) is not None
-        present = start_life(store, clock, "second")
-        await present.look()
+        store, clock = ConditionalStore(), ManualClock()
+        earlier = start_process(store, clock, "first")
+        await refresh_for(earlier, clock, WAIT)
+        assert earlier.find_share(DATA_CENTRE) is not None
+        later = start_process(store, clock, "second")
+        await later.look()
         assert len(store.items) == 1
-        # The former one goes on, as a process that was suspended does.
-        await look_for(former, clock, WAIT - 1.0)
-        assert former.find_share(DATA_CENTRE) is None
-        assert present.find_share(DATA_CENTRE) is None
-        await look_for(present, clock, 2.0)
-        return present.find_share(DATA_CENTRE)
+        # The earlier process continues, as one that was suspended does.
+        await refresh_for(earlier, clock, WAIT - 1.0)
+        assert earlier.find_share(DATA_CENTRE) is None
+        assert later.find_share(DATA_CENTRE) is None
+        await refresh_for(later, clock, 2.0)
+        return later.find_share(DATA_CENTRE)
 
     assert trio.run(run) is not None
 
 
-def test_a_share_on_another_lease_is_left_alone():
+def test_share_on_another_lease_is_not_taken():
     async def run():
-        store, clock = Keys(), ManualClock()
-        await start_life(store, clock, "first").look()
+        store, clock = ConditionalStore(), ManualClock()
+        await start_process(store, clock, "first").look()
         held = dict(store.items)
-        await start_life(store, clock, "second", Lease(8, None)).look()
+        await start_process(store, clock, "second", Lease(8, None)).look()
         return all(store.items[key] == item for key, item in held.items())
 
     assert trio.run(run)
--- a/walkcart/membership/tests/test_leaving_leaf.py
+++ b/walkcart/membership/tests/test_leaving_leaf.py
@@ -1,4 +1,4 @@
-"""A leaf that is leaving gets no new work, whichever source says so."""
+"""A leaf that is leaving gets no new work, whichever source reports it."""
 
 import trio
 
@@ -6,10 +6,10 @@
 from walkcart.membership.marks import LeafMarks
 
 NAME = "parts-l1-1-0"
-BOUND = 3.0
+MAX_DELAY = 3.0
 
 
-async def ask_all(world, seconds):
+async def query_all(world, seconds):
     caller = make_caller(world)
     start = trio.current_time()
     while trio.current_time() < start + seconds:
@@ -19,43 +19,45 @@
             assert asked.content["coverage"]["complete"]
 
 
-def leave(how):
-    """Let the leaf leave; return when, its runs and refusals."""
+def run_report(report):
+    """Let the leaf run_report; return when, its runs and refusals."""
 
     async def run():
         async with open_estate() as world:
             leaf = world.leaves[NAME].leaf
-            await ask_all(world, 1.0)
+            await query_all(world, 1.0)
             start = trio.current_time()
-            how(world, leaf)
-            await ask_all(world, 6.0)
-            late = [item.at - start for item in leaf.runs if item.at > start + BOUND]
+            report(world, leaf)
+            await query_all(world, 6.0)
+            late = [
+                item.at - start for item in leaf.runs if item.at > start + MAX_DELAY
+            ]
             return late, leaf.refused
 
     return run_mocked(run)
 
 
-def test_leaf_that_says_so_itself():
-    def how(world, leaf):
+def test_leaf_reports_itself():
+    def report(world, leaf):
         leaf.faults.leaving = True
 
-    late, refused = leave(how)
+    late, refused = run_report(report)
     assert not late
-    # Each of the three instances may find out once, and most hear it from a peer.
+    # Each of the three instances may be refused once; most learn it from a peer.
     assert refused <= 3
 
 
-def test_lagging_list_alone():
-    def how(world, leaf):
+def test_only_the_lagging_list_reports():
+    def report(world, leaf):
         world.listing.lag = 1.0
         world.listing.set_state(NAME, "leaving")
 
-    late, _ = leave(how)
+    late, _ = run_report(report)
     assert not late
 
 
-def test_peer_alone():
-    """The list is down and only one instance ever asks the leaf."""
+def test_only_a_peer_reports():
+    """The list is unavailable and only one instance ever sends to the leaf."""
 
     async def run():
         async with open_estate() as world:
@@ -66,7 +68,7 @@
             first = world.instances["instance-0"].address
             for _ in range(10):
                 await caller.query(first, "parts", 1)
-            await trio.sleep(BOUND)
+            await trio.sleep(MAX_DELAY)
             return [
                 item.find("marks", LeafMarks).is_leaving(
                     str(world.leaves[NAME].address)
@@ -77,36 +79,36 @@
     assert run_mocked(run) == [True, True, True]
 
 
-def test_old_live_does_not_bring_it_back():
+def test_old_live_report_does_not_undo_leaving():
     async def run():
         async with open_estate() as world:
             leaf = world.leaves[NAME].leaf
             leaf.faults.leaving = True
-            await ask_all(world, 1.0)
+            await query_all(world, 1.0)
             world.listing.set_state(NAME, "live")
             leaf.faults.leaving = False
             start = trio.current_time()
-            await ask_all(world, 3.0)
+            await query_all(world, 3.0)
             return [item for item in leaf.runs if item.at > start]
 
     assert run_mocked(run) == []
 
 
-def test_restart_under_the_same_address_brings_it_back():
+def test_restart_at_the_same_address_gets_work_again():
     async def run():
         async with open_estate() as world:
             world.leaves[NAME].leaf.faults.leaving = True
-            await ask_all(world, 1.0)
+            await query_all(world, 1.0)
             world.kill_leaf(NAME)
             await trio.sleep(0.5)
             again = await world.restart_leaf(NAME)
-            await ask_all(world, 12.0)
+            await query_all(world, 12.0)
             return len(again.leaf.runs)
 
     assert run_mocked(run) > 0
 
 
-def test_list_without_incarnations_can_mark_a_leaf():
+def test_list_without_incarnations_can_report_a_leaf():
     marks = LeafMarks()
     marks.note_live("127.0.0.1:1", 7)
     assert marks.note_leaving("127.0.0.1:1", 0)
@@ -114,16 +116,16 @@
     assert marks.is_leaving("127.0.0.1:1")
 
 
-def test_restart_is_found_out_when_the_list_knows_no_incarnations():
+def test_restart_is_detected_if_the_list_has_no_incarnations():
     async def run():
         async with open_estate() as world:
             world.lists_incarnations = False
             world.leaves[NAME].leaf.faults.leaving = True
-            await ask_all(world, 1.0)
+            await query_all(world, 1.0)
             world.kill_leaf(NAME)
             await trio.sleep(0.5)
             again = await world.restart_leaf(NAME)
-            await ask_all(world, 15.0)
+            await query_all(world, 15.0)
             return len(again.leaf.runs)
 
     assert run_mocked(run) > 0
--- a/walkcart/membership/tests/test_links.py
+++ b/walkcart/membership/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links to peers: what fails there ends a link, not the instance."""
+"""Links to peers: an error ends the link, not the instance."""
 
 import trio
 
@@ -10,13 +10,13 @@
 from walkcart.wire.messages import ConfigurationPull, Envelope
 
 
-def test_sends_that_fail_end_the_link_only():
+def test_failed_send_ends_only_the_link():
     async def run():
         async with open_estate() as world:
             links = world.instances["instance-0"].find("links", PeerLinks)
 
             async def fail(address):
-                raise_soon = type("Sender", (), {"is_connected": True})()
+                sender = type("Sender", (), {"is_connected": True})()
 
                 async def send(data):
                     raise OSError("the socket is closed")
@@ -24,15 +24,18 @@
                 async def close():
                     pass
 
-                raise_soon.send, raise_soon.close = send, close
-                raise_soon.wait_connected = close
-                return raise_soon
+                sender.send, sender.close = send, close
+                sender.wait_connected = close
+                return sender
 
             links._links.clear()
-            good, links._transport = links._transport, type("T", (), {"dial": fail})
+            transport, links._transport = (
+                links._transport,
+                type("T", (), {"dial": fail}),
+            )
             links.send("instance-1", ConfigurationPull(0))
             await trio.sleep(0.1)
-            links._transport = good
+            links._transport = transport
             await trio.sleep(5)
             address = world.instances["instance-0"].address
             return await make_caller(world).query(address, "parts", 1)
@@ -40,7 +43,7 @@
     assert run_mocked(run).status == 200
 
 
-def test_rubbish_and_messages_for_an_earlier_life_are_dropped():
+def test_invalid_data_and_messages_for_an_earlier_process_are_dropped():
     async def run():
         async with open_estate() as world:
             running = world.instances["instance-0"]
@@ -71,8 +74,8 @@
     return Envelope("stranger", 1, "", incarnation, (ConfigurationPull(0),))
 
 
-def test_paused_instance_is_not_flapped():
-    """One that answers nothing for a second and a half is never held dead."""
+def test_briefly_unreachable_instance_is_never_declared_dead():
+    """All instances are cut off from each other for 0.6 s, as in a short pause."""
 
     async def run():
         async with open_estate(instances=4) as world:
--- a/walkcart/membership/tests/test_message_ages.py
+++ b/walkcart/membership/tests/test_message_ages.py
@@ -1,52 +1,54 @@
-"""How old a message is: the bound holds whatever clocks and ways are."""
+"""The upper bound on a message's age holds for any clocks and network delays."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from walkcart.membership.messageages import ClockReadings
 
-WAYS = st.floats(0.0, 5.0)
+DELAYS = st.floats(0.0, 5.0)
 
 
 @settings(deadline=None)
 @given(
-    st.lists(st.tuples(st.floats(0.001, 30.0), WAYS, WAYS, st.booleans()), max_size=20),
+    st.lists(
+        st.tuples(st.floats(0.001, 30.0), DELAYS, DELAYS, st.booleans()), max_size=20
+    ),
     st.floats(-1000.0, 1000.0),
     st.floats(-1e-4, 1e-4),
-    WAYS,
+    DELAYS,
 )
-def test_an_age_is_never_taken_to_be_less_than_it_is(exchanges, ahead, drift, way):
-    """Clocks of two machines differ, run apart, and messages take what they take."""
+def test_age_is_never_underestimated(exchanges, ahead, drift, delay):
+    """The clocks of two machines differ and drift, and message delays vary."""
 
-    def show_other(time):
+    def read_other_clock(time):
         return ahead + time * (1.0 + drift)
 
     own, other = ClockReadings("own"), ClockReadings("other")
     now = 0.0
-    for pause, there, back, comes_back in exchanges:
+    for pause, delay_there, delay_back, is_answered in exchanges:
         now += pause
         stamp = own.make_stamp("other", now)
-        now += there
-        other.note("own", stamp, show_other(now))
-        if comes_back:
-            stamp = other.make_stamp("own", show_other(now))
-            now += back
+        now += delay_there
+        other.note("own", stamp, read_other_clock(now))
+        if is_answered:
+            stamp = other.make_stamp("own", read_other_clock(now))
+            now += delay_back
             own.note("other", stamp, now)
     stamp = own.make_stamp("other", now)
-    age = other.find_age(stamp, show_other(now + way))
-    assert age >= way * (1.0 - 1e-4) - 1e-6
+    age = other.find_age(stamp, read_other_clock(now + delay))
+    assert age >= delay * (1.0 - 1e-4) - 1e-6
 
 
-def test_an_age_is_known_to_within_one_way_after_one_exchange():
+def test_age_is_known_within_one_delay_after_one_exchange():
     own, other = ClockReadings("own"), ClockReadings("other")
     own.note("other", other.make_stamp("own", 500.0), 10.008)
     age = other.find_age(own.make_stamp("other", 12.0), 502.0)
     assert 0.008 <= age < 0.0090 + 0.008
 
 
-def test_a_process_that_has_just_started_knows_no_age():
-    own, former, new = (ClockReadings(name) for name in ("own", "former", "new"))
-    own.note("other", former.make_stamp("own", 500.0), 10.0)
+def test_age_is_unknown_to_a_new_process():
+    own, earlier, new = (ClockReadings(name) for name in ("own", "earlier", "new"))
+    own.note("other", earlier.make_stamp("own", 500.0), 10.0)
     assert new.find_age(own.make_stamp("other", 12.0), 0.5) == float("inf")
     own.note("other", new.make_stamp("own", 0.6), 12.5)
     assert new.find_age(own.make_stamp("other", 13.0), 1.2) < 0.2
--- a/walkcart/membership/tests/test_quarantine_news.py
+++ b/walkcart/membership/tests/test_quarantine_news.py
@@ -1,4 +1,4 @@
-"""How news of requests under which leafs ended reach all instances."""
+"""Quarantine entries, for requests that crashed leaves, reach all instances."""
 
 from io import StringIO
 
@@ -15,15 +15,15 @@
 from walkcart.routing.quarantine import Quarantine, Standing
 from walkcart.standins.memory import MemoryNetwork
 
-REQUEST = b"requestprint"
-#: Seconds within which all are to know; the platform's bounds by size of the fleet.
-CONTACT_TIMES = {7: 4.0, 195: 6.0}
+FINGERPRINT = b"requestprint"
+#: Seconds within which all instances must know; the platform's bounds by fleet size.
+MAX_LEARN_TIMES = {7: 4.0, 195: 6.0}
 DATA_CENTRES = ("north-a", "north-b", "south-a", "south-b", "east-a", "east-b")
 GATHERERS = 3
 
 
 class Member:
-    """One instance, as far as its links and its quarantine go."""
+    """One instance with only its links and its quarantine."""
 
     def __init__(self, number, network, fleet):
         self.name = f"instance-{number:03}"
@@ -83,16 +83,16 @@
     def strike(self, *numbers):
         now = trio.current_time()
         for number in numbers:
-            self.quarantine.note_strike(REQUEST, number, now)
-        self.spread.tell_all(REQUEST)
+            self.quarantine.note_strike(FINGERPRINT, number, now)
+        self.spread.tell_all(FINGERPRINT)
 
     def refuses(self):
         now = trio.current_time()
-        standing = self.quarantine.find_standing(REQUEST, now)
+        standing = self.quarantine.find_standing(FINGERPRINT, now)
         return standing is Standing.REFUSED
 
 
-def play(size, act):
+def run_fleet(size, scenario):
     async def run():
         network = MemoryNetwork(lambda a, b: 0.0005 if a == b else 0.008)
         fleet = {}
@@ -102,36 +102,36 @@
         async with trio.open_nursery() as nursery:
             for member in fleet.values():
                 await member.start(nursery)
-            result = await act(network, list(fleet.values()))
+            result = await scenario(network, list(fleet.values()))
             nursery.cancel_scope.cancel()
         return result
 
     return run_mocked(run)
 
 
-def test_all_know_at_once_in_a_small_and_in_a_large_fleet():
-    async def act(network, members):
+def test_all_instances_learn_at_once_in_small_and_large_fleets():
+    async def scenario(network, members):
         members[-1].strike(1, 2, 3)
         await trio.sleep(0.2)
         return sum(item.refuses() for item in members)
 
-    for size in CONTACT_TIMES:
-        assert play(size, act) == size
+    for size in MAX_LEARN_TIMES:
+        assert run_fleet(size, scenario) == size
 
 
-def test_strikes_that_different_instances_noted_add_up():
-    async def act(network, members):
+def test_strikes_recorded_by_different_instances_add_up():
+    async def scenario(network, members):
         for number, member in enumerate(members[-3:]):
             member.strike(number)
             await trio.sleep(0.5)
         return sum(item.refuses() for item in members)
 
-    for size in CONTACT_TIMES:
-        assert play(size, act) == size
+    for size in MAX_LEARN_TIMES:
+        assert run_fleet(size, scenario) == size
 
 
-def test_who_was_cut_off_knows_within_the_time_after_the_cut():
-    async def act(network, members):
+def test_instances_that_were_cut_off_learn_in_time():
+    async def scenario(network, members):
         cut, others = DATA_CENTRES[-1], DATA_CENTRES[:-1]
         for other in others:
             network.cut(cut, other)
@@ -140,27 +140,27 @@
         before = sum(item.refuses() for item in members)
         for other in others:
             network.heal(cut, other)
-        await trio.sleep(CONTACT_TIMES[len(members)])
+        await trio.sleep(MAX_LEARN_TIMES[len(members)])
         return before, sum(item.refuses() for item in members)
 
-    for size in CONTACT_TIMES:
-        before, after = play(size, act)
+    for size in MAX_LEARN_TIMES:
+        before, after = run_fleet(size, scenario)
         assert before < size
         assert after == size
 
 
-def test_nothing_is_sent_while_nothing_is_remembered():
-    async def act(network, members):
+def test_nothing_is_sent_without_entries():
+    async def scenario(network, members):
         await trio.sleep(30)
         return sum(item.sent for item in members)
 
-    assert play(7, act) == 0
+    assert run_fleet(7, scenario) == 0
 
 
-def test_messages_of_an_instance_do_not_grow_with_the_fleet():
-    """But those of the few that gather, once for each request."""
+def test_messages_per_instance_do_not_grow_with_the_fleet():
+    """The few instances that gather relay more, but only once for each request."""
 
-    async def act(network, members):
+    async def scenario(network, members):
         members[-1].strike(1, 2, 3)
         await trio.sleep(1)
         start = [item.sent for item in members]
@@ -169,4 +169,4 @@
             item.sent - first for item, first in zip(members, start, strict=True)
         )
 
-    assert play(195, act) <= play(7, act) + 1
+    assert run_fleet(195, scenario) <= run_fleet(7, scenario) + 1
--- a/walkcart/membership/tests/test_view.py
+++ b/walkcart/membership/tests/test_view.py
@@ -1,4 +1,4 @@
-"""The view of instances: merging, and detection under failure."""
+"""The view of the instances: merging of records, and failure detection."""
 
 import itertools
 
@@ -26,7 +26,7 @@
 
 
 @given(st.lists(records, max_size=4))
-def test_order_of_news_makes_no_difference(news):
+def test_merge_order_makes_no_difference(news):
     views = []
     for order in itertools.permutations(news):
         view = MembershipView(make_record())
@@ -36,14 +36,14 @@
     assert all(view == views[0] for view in views)
 
 
-def test_instance_refutes_a_suspicion():
+def test_instance_refutes_suspicion():
     view = MembershipView(make_record())
     view.merge(make_record(state=int(MemberState.SUSPECT)))
     assert view.own.state == MemberState.LIVE
     assert view.own.counter == 1
 
 
-def test_dead_but_listed_instance_still_counts_for_shares():
+def test_dead_but_listed_instance_still_counts_as_sharing():
     view = MembershipView(make_record())
     view.merge(make_record("b"))
     view.set_listed(frozenset({"b"}))
@@ -53,12 +53,12 @@
     assert [item.name for item in view.sharing()] == ["a"]
 
 
-def states_at(world, observer, name):
+def find_state(world, observer, name):
     record = world.instances[observer].find("view", MembershipView).find(name)
     return None if record is None else MemberState(record.state)
 
 
-def test_killed_instance_gets_no_forwarded_work_after_three_seconds():
+def test_killed_instance_is_unusable_after_three_seconds():
     async def run():
         async with open_estate(instances=5) as world:
             await world.kill_instance("instance-4", listed=True)
@@ -74,17 +74,17 @@
     assert all("instance-4" not in names for names in run_mocked(run))
 
 
-def test_cut_region_heals_without_operators():
+def test_partitioned_region_recovers_by_itself():
     async def run():
         sites = [("north", "north-a"), ("south", "south-a")]
         async with open_estate(instances=4, sites=sites) as world:
             world.memory.cut("north-a", "south-a")
             await trio.sleep(30)
-            during = states_at(world, "instance-0", "instance-1")
+            during = find_state(world, "instance-0", "instance-1")
             world.memory.heal("north-a", "south-a")
             await trio.sleep(20)
             after = [
-                states_at(world, observer, name)
+                find_state(world, observer, name)
                 for observer in world.instances
                 for name in world.instances
             ]
@@ -95,7 +95,7 @@
     assert set(after) == {MemberState.LIVE}
 
 
-def test_lost_envelopes_kill_nobody():
+def test_lost_envelopes_cause_no_deaths():
     async def run():
         async with open_estate(instances=5) as world:
             world.memory.lose = lambda: world.random.random() < 0.1
@@ -103,7 +103,7 @@
             world.memory.lose = lambda: False
             await trio.sleep(5)
             return [
-                states_at(world, observer, name)
+                find_state(world, observer, name)
                 for observer in world.instances
                 for name in world.instances
             ]
@@ -111,8 +111,8 @@
     assert set(run_mocked(run)) == {MemberState.LIVE}
 
 
-def test_suspect_dies_even_when_whoever_suspected_it_is_gone():
-    """As when a rack takes both: the others only heard of the suspicion."""
+def test_suspect_is_declared_dead_if_the_suspecting_instance_is_gone():
+    """As when a rack fails with both: the others only learned of the suspicion."""
 
     async def run():
         async with open_estate(instances=3) as world:
@@ -121,6 +121,6 @@
             view.mark("instance-2", MemberState.SUSPECT)
             await world.kill_instance("instance-1", listed=True)
             await trio.sleep(15)
-            return states_at(world, "instance-0", "instance-2")
+            return find_state(world, "instance-0", "instance-2")
 
     assert run_mocked(run) == MemberState.DEAD
--- a/walkcart/membership/watchers.py
+++ b/walkcart/membership/watchers.py
@@ -70,7 +70,8 @@
             silent: the time at which each instance last failed to feed this one. Those
                 that never failed come first, then those that failed longest ago.
             far_since: other data centres are considered if all near candidates failed
-                at or after this time.
+                at or after this time; infinite, so that this is never the case, while
+                the store serves this instance.
         """
         own = self._registration.own.name
         near = self._list_near()
@@ -174,7 +175,7 @@
     def switch_to_next(self) -> None:
         """Switch to the candidate that never failed or failed longest ago."""
         self._record_silent()
-        self._switch_to(self._find_least_recent())
+        self._switch_to(self._find_longest_silent())
 
     def switch_to_other(self) -> bool:
         """Switch to a candidate that hasn't just failed; return whether there is one.
@@ -192,13 +193,14 @@
 
     def find_responsive(self) -> str | None:
         """Return the next candidate, or None if it has just failed."""
-        name = self._find_least_recent()
+        name = self._find_longest_silent()
         if name is None:
             return None
         age = self._clock.monotonic() - self._silent.get(name, float("-inf"))
         return name if age >= SUSPECT.total_seconds() else None
 
-    def _find_least_recent(self) -> str | None:
+    def _find_longest_silent(self) -> str | None:
+        """Return the candidate that never failed or failed longest ago."""
         far_since = float("inf")
         if not self._is_store_reachable():
             far_since = self._clock.monotonic() - SILENT_TTL
