--- a/walkcart/membership/tests/test_links.py
+++ b/walkcart/membership/tests/test_links.py
@@ -29,13 +29,10 @@
                 return sender
 
             links._links.clear()
-            transport, links._transport = (
-                links._transport,
-                type("T", (), {"dial": fail}),
-            )
+            good, links._transport = links._transport, type("T", (), {"dial": fail})
             links.send("instance-1", ConfigurationPull(0))
             await trio.sleep(0.1)
-            links._transport = transport
+            links._transport = good
             await trio.sleep(5)
             address = world.instances["instance-0"].address
             return await make_caller(world).query(address, "parts", 1)
@@ -75,7 +72,7 @@
 
 
 def test_briefly_unreachable_instance_is_never_declared_dead():
-    """All instances are cut off from each other for 0.6 s, as in a short pause."""
+    """An instance may be silent for a second and a half; here the cut takes 0.6 s."""
 
     async def run():
         async with open_estate(instances=4) as world:
--- a/walkcart/membership/tests/test_message_ages.py
+++ b/walkcart/membership/tests/test_message_ages.py
@@ -47,8 +47,8 @@
 
 
 def test_age_is_unknown_to_a_new_process():
-    own, earlier, new = (ClockReadings(name) for name in ("own", "earlier", "new"))
-    own.note("other", earlier.make_stamp("own", 500.0), 10.0)
+    own, former, new = (ClockReadings(name) for name in ("own", "former", "new"))
+    own.note("other", former.make_stamp("own", 500.0), 10.0)
     assert new.find_age(own.make_stamp("other", 12.0), 0.5) == float("inf")
     own.note("other", new.make_stamp("own", 0.6), 12.5)
     assert new.find_age(own.make_stamp("other", 13.0), 1.2) < 0.2
