--- a/walkcart/leaves/access.py
+++ b/walkcart/leaves/access.py
@@ -1,7 +1,7 @@
 """Which leafs a request may go to now, by all that bears on it.
 
 See Also:
-    `walkcart.routing.eligibility` and `walkcart.routing.coldleafs`, which decide.
+    `walkcart.routing.eligibility` and `walkcart.routing.coldleaves`, which decide.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from walkcart.leaves.attempts import Attempt
 from walkcart.leaves.leaf import Leaf
 from walkcart.leaves.pooltools import PoolTools
-from walkcart.routing.distance import Place
-from walkcart.routing.eligibility import ANYWHERE, NOWHERE, Obstacle, Regions
+from walkcart.routing.distance import Location
+from walkcart.routing.eligibility import ALL_REGIONS, NO_REGIONS, Obstacle, Regions
 from walkcart.wire.verdicts import NotRun, Reason
 
 
@@ -40,18 +40,20 @@
             grant: by what it was let in; None where that isn't looked at.
         """
         if not self.is_upheld(kind, grant):
-            return NOWHERE
+            return NO_REGIONS
         table = self._tools.keeper.table
         return regions.intersect(table.regions_of(kind, grant.team if grant else ""))
 
-    def leaves_of(self, service: str, regions: Regions = ANYWHERE) -> tuple[Leaf, ...]:
+    def leaves_of(
+        self, service: str, regions: Regions = ALL_REGIONS
+    ) -> tuple[Leaf, ...]:
         """Return the leafs of a service in some regions that may get new work."""
         leaves = self._tools.directory.leaves_of(service)
         if regions.names is None:
             return leaves
         return tuple(leaf for leaf in leaves if regions.allows(leaf.region))
 
-    def leaves_with_room(self, service: str, regions: Regions) -> list[Leaf]:
+    def available_leaves(self, service: str, regions: Regions) -> list[Leaf]:
         """Return those among them that may get a request now, cold ones included."""
         leaves = list(self.leaves_of(service, regions))
         cold = self._tools.cold
@@ -67,7 +69,9 @@
         ]
         return offered or leaves
 
-    def places_of(self, service: str, regions: Regions = ANYWHERE) -> frozenset[Place]:
+    def places_of(
+        self, service: str, regions: Regions = ALL_REGIONS
+    ) -> frozenset[Location]:
         """Return the places in some regions where a service has such leafs."""
         places = self._tools.directory.places_of(service)
         if regions.names is None:
@@ -95,7 +99,7 @@
         regions = self.regions_now(attempt.kind, attempt.regions, attempt.grant)
         return self._tools.directory.find_obstacle(leaf, regions)
 
-    def find_room(self, service: str, regions: Regions) -> timedelta | None:
+    def find_retry_after(self, service: str, regions: Regions) -> timedelta | None:
         """Return when a service's leafs have room again; None where none is cold."""
         cold, now = self._tools.cold, self._tools.link.clock.monotonic()
         if cold is None:
--- a/walkcart/leaves/attempts.py
+++ b/walkcart/leaves/attempts.py
@@ -8,7 +8,7 @@
 
 from walkcart.intent.teams import Grant
 from walkcart.leaves.leaf import UNPINNED, Snapshot
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 from walkcart.wire.http import Headers, HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
@@ -28,15 +28,15 @@
         expires: for a non-repeatable request, the time of day, in seconds since
             1970, after which the leaf must not begin it.
         traceparent: of the trace.
-        routed: the caller's request, which the leaf gets as it came; None for a
+        caller_request: the caller's request, which the leaf gets as it came; None for a
             question of the product's own interface.
         leaf_id: life of the leaf that it is meant for; empty where leaves don't
             name theirs.
         idempotent: whether a second run of the routed request does no harm.
-        whole_part: whether a reply other than a success is of no use, as it is to
+        success_only: whether a reply other than a success is of no use, as it is to
             a question over many shards.
         fingerprint: of the question, the same whenever it is asked again.
-        wary: whether the leaf is first seen to live, so that one which had ended
+        check_alive: whether the leaf is first seen to live, so that one which had ended
             before isn't taken for one that ended under it.
         kind: name of the route that a routed request came by.
         regions: that a routed request may be served in.
@@ -55,14 +55,14 @@
     once_key: str = ""
     expires: float = 0.0
     traceparent: str | None = None
-    routed: HttpRequest | None = None
+    caller_request: HttpRequest | None = None
     leaf_id: str = ""
     idempotent: bool = True
-    whole_part: bool = False
+    success_only: bool = False
     fingerprint: bytes = b""
-    wary: bool = False
+    check_alive: bool = False
     kind: str = ""
-    regions: Regions = ANYWHERE
+    regions: Regions = ALL_REGIONS
     grant: Grant | None = None
     rank: int = 0
     objective_at: float = float("inf")
--- a/walkcart/leaves/coldroom.py
+++ b/walkcart/leaves/coldlimiter.py
@@ -1,7 +1,7 @@
 """What this instance may send to cold leafs now.
 
 See Also:
-    `walkcart.routing.coldleafs`, which decides by plain data.
+    `walkcart.routing.coldleaves`, which decides by plain data.
     `walkcart.membership.coldshares`, which says what share is this instance's.
 """
 
@@ -14,18 +14,18 @@
 from walkcart.kernel.clock import Clock
 from walkcart.leaves.directory import LeafDirectory
 from walkcart.leaves.leaf import Leaf
-from walkcart.routing.coldleafs import (
+from walkcart.routing.coldleaves import (
     ColdBound,
+    ColdShare,
     SendLog,
-    Share,
     find_offered_share,
 )
 
 #: Returns the share of the cold leafs of a data centre that this instance holds now.
-FindShare = Callable[[str], Share | None]
+FindShare = Callable[[str], ColdShare | None]
 
 
-class ColdRoom:
+class ColdLimiter:
     """Keeps what is sent to cold leafs within this instance's share of their bounds.
 
     Args:
@@ -49,7 +49,7 @@
         self._logs: dict[str, SendLog] = {}
         self._find_share: FindShare = lambda data_centre: None
 
-    def follow(self, find_share: FindShare) -> None:
+    def set_share_source(self, find_share: FindShare) -> None:
         """Ask `find_share` for this instance's shares."""
         self._find_share = find_share
 
@@ -62,7 +62,7 @@
         share = self._find_share(leaf.data_centre)
         if share is None:
             return until_warm
-        return min(until_warm, self._log_of(leaf).wait(now, share.of(most)))
+        return min(until_warm, self._log_of(leaf).wait(now, share.find_limit(most)))
 
     def take(self, leaf: Leaf, now: float) -> bool:
         """Take room for a request that is sent now; return False when there is none."""
@@ -71,7 +71,9 @@
             self._logs.pop(leaf.id, None)
             return True
         share = self._find_share(leaf.data_centre)
-        return share is not None and self._log_of(leaf).take(now, share.of(most))
+        return share is not None and self._log_of(leaf).try_send(
+            now, share.find_limit(most)
+        )
 
     def find_offered_share(self, leaf: Leaf, now: float) -> float:
         """Return the share of choices that a leaf takes part in after it was cold."""
@@ -79,12 +81,12 @@
             # It never was cold, or how much it may get is bounded already.
             return 1.0
         spec = self._spec_of(leaf)
-        if spec is None or self._bound.most(spec.cold_rate) is None:
+        if spec is None or self._bound.max_requests(spec.cold_rate) is None:
             return 1.0
         cold_time = spec.cold_time.total_seconds()
         return find_offered_share(now, leaf.cold_until, cold_time)
 
-    def note_returned(self, data_centres: frozenset[str]) -> None:
+    def mark_cold(self, data_centres: frozenset[str]) -> None:
         """Take the leafs of data centres that are taken back for cold."""
         now = self._clock.monotonic()
         for leaf in self._directory.leaves():
@@ -123,7 +125,7 @@
         if now >= leaf.cold_until:
             return None
         spec = self._spec_of(leaf)
-        return None if spec is None else self._bound.most(spec.cold_rate)
+        return None if spec is None else self._bound.max_requests(spec.cold_rate)
 
     def _spec_of(self, leaf: Leaf) -> ServiceSpec | None:
         return self._keeper.table.services.get(leaf.labels["service"])
--- a/walkcart/leaves/leaf.py
+++ b/walkcart/leaves/leaf.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 from walkcart.kernel.numbers import read_number
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.routing.ejection import Ejection
 from walkcart.routing.latency import DecayedLatency
-from walkcart.routing.leafroom import LeafRoom
-from walkcart.routing.replyshare import ReplyShare
+from walkcart.routing.leaflimiter import LeafLimiter
+from walkcart.routing.successrate import SuccessRate
 
 #: Seconds after which half of a leaf's stated load is forgotten.
 STATED_HALF_LIFE = 0.1
@@ -72,10 +72,10 @@
         self.slots = slots
         self.incarnation = 0
         self.outstanding = 0
-        self.room = LeafRoom(slots)
+        self.room = LeafLimiter(slots)
         self.latency = DecayedLatency()
         self.ejection = Ejection()
-        self.replies = ReplyShare()
+        self.replies = SuccessRate()
         self.held: frozenset[int] | None = None
         self.first_used: float | None = None
         #: Until when it is cold, as it said itself or as follows from an evacuation.
@@ -97,11 +97,11 @@
         return self.labels.get("data-centre", "")
 
     @property
-    def place(self) -> Place:
+    def place(self) -> Location:
         """Where it stands."""
-        return Place(self.region, self.data_centre)
+        return Location(self.region, self.data_centre)
 
-    def note_stated(self, now: float, outstanding: int, waiting: int = 0) -> None:
+    def record_load(self, now: float, outstanding: int, waiting: int = 0) -> None:
         """Take in the leaf's word on its load; this instance's part is taken off.
 
         Args:
@@ -113,7 +113,7 @@
         self._stated = max(0.0, float(outstanding - own))
         self._stated_at = now
 
-    def stated_load(self, now: float) -> float:
+    def reported_load(self, now: float) -> float:
         """Return the requests of others that likely are there still."""
         return self._stated * 0.5 ** ((now - self._stated_at) / STATED_HALF_LIFE)
 
--- a/walkcart/leaves/link.py
+++ b/walkcart/leaves/link.py
@@ -20,7 +20,7 @@
 from walkcart.leaves.attempts import Attempt, Deliver, Failed, Outcome
 from walkcart.leaves.exchange import IDLE_TIME, LeafExchanges, LinkTools, Pending
 from walkcart.leaves.leaf import Leaf
-from walkcart.leaves.linkqueue import HasRoom, LinkQueue, has_always_room
+from walkcart.leaves.linkqueue import HasRoom, LinkQueue, always_has_room
 from walkcart.leaves.protocol import REPLY_LIMIT
 from walkcart.wire.http import (
     ExchangeFailed,
@@ -28,7 +28,7 @@
 )
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-CONNECT_TIME = timedelta(seconds=1)
+CONNECT_TIMEOUT = timedelta(seconds=1)
 #: Seconds without a new try after a failure to connect; doubles up to the longest.
 FIRST_BACKOFF = 0.05
 LONGEST_BACKOFF = 2.0
@@ -53,7 +53,7 @@
         share: int,
         tools: LinkTools,
         nursery: trio.Nursery,
-        has_room: HasRoom = has_always_room,
+        has_room: HasRoom = always_has_room,
     ) -> None:
         self.leaf = leaf
         self._share = share
@@ -224,7 +224,7 @@
         """Connect and exchange a status; None when the leaf can't be reached."""
         address = parse_host_port(self.leaf.address)
         try:
-            with trio.fail_after(CONNECT_TIME.total_seconds()):
+            with trio.fail_after(CONNECT_TIMEOUT.total_seconds()):
                 if stream is None:
                     stream = await self._tools.network.connect(address)
                 connection = HttpConnection(stream, self.leaf.address, REPLY_LIMIT)
@@ -253,7 +253,7 @@
             return
         reply = await connection.exchange(request)
         self._tools.on_status(self.leaf, protocol.read_status(dict(reply.headers)))
-        if not connection.renew():
+        if not connection.prepare_next():
             raise OSError("the leaf closes the connection")
 
     async def _carry_all(self, connection: HttpConnection) -> None:
@@ -306,7 +306,7 @@
         if attempt.deadline <= now:
             self._end(pending, Failed(NotRun(Reason.DEADLINE, "it waited too long")))
             return True
-        if attempt.wary and await self._exchanges.has_ended():
+        if attempt.check_alive and await self._exchanges.has_ended():
             detail = f"the leaf at {self.leaf.address} had ended"
             self._end(pending, Failed(NotRun(Reason.UNREACHABLE, detail)))
             return False
@@ -338,7 +338,7 @@
         return refusal is None
 
     async def _is_fresh(self, connection: HttpConnection) -> bool:
-        with trio.move_on_after(CONNECT_TIME.total_seconds()):
+        with trio.move_on_after(CONNECT_TIMEOUT.total_seconds()):
             try:
                 await self._check(connection)
             except (OSError, ExchangeFailed):
@@ -371,12 +371,12 @@
             return True
         request = self._tools.protocol.make_cancel_request(attempt_id)
         assert request is not None
-        with trio.move_on_after(CONNECT_TIME.total_seconds()):
+        with trio.move_on_after(CONNECT_TIMEOUT.total_seconds()):
             try:
                 await connection.exchange(request)
             except ExchangeFailed:
                 return False
-            return connection.renew()
+            return connection.prepare_next()
         return False
 
     def _end(self, pending: Pending, outcome: Outcome) -> None:
--- a/walkcart/leaves/linkqueue.py
+++ b/walkcart/leaves/linkqueue.py
@@ -23,7 +23,7 @@
 HasRoom = Callable[[Leaf, Attempt], bool]
 
 
-def has_always_room(leaf: Leaf, attempt: Attempt) -> bool:
+def always_has_room(leaf: Leaf, attempt: Attempt) -> bool:
     """Return True: the leaf may be sent whatever there are connections for."""
     return True
 
@@ -86,7 +86,7 @@
         if self._first:
             return self._first.popleft()
         now = self._tools.clock.monotonic()
-        pending = self._attempts.take(now, self._fits)
+        pending = self._attempts.pop(now, self._fits)
         if pending is not None and pending.crowded_at is not None:
             waited = now - pending.crowded_at
             self._tools.metrics.time("leaf.wait", waited * 1000)
@@ -133,6 +133,6 @@
             leaf_id=leaf.id,
             outstanding=leaf.outstanding,
             waiting=self.waiting,
-            others=round(leaf.stated_load(now), 1),
+            others=round(leaf.reported_load(now), 1),
             pace=round(leaf.latency.estimate(now, 1.0), 1),
         )
--- a/walkcart/leaves/scopedpool.py
+++ b/walkcart/leaves/scopedpool.py
@@ -12,9 +12,9 @@
 from walkcart.intent.teams import Grant
 from walkcart.leaves.attempts import Attempt, Deliver
 from walkcart.leaves.leaf import Leaf
-from walkcart.routing.distance import Distance, Place
+from walkcart.routing.distance import Distance, Location
 from walkcart.routing.eligibility import Regions
-from walkcart.routing.kindtimes import KindTimes
+from walkcart.routing.requesttimes import RequestTimes
 
 if TYPE_CHECKING:
     from walkcart.leaves.pool import LeafPool
@@ -48,7 +48,7 @@
         return self._access.regions_now(self._kind, self._regions, self._grant)
 
     @property
-    def is_open(self) -> bool:
+    def may_send(self) -> bool:
         """Whether anything more may be sent for the question at all."""
         return self._access.is_upheld(self._kind, self._grant)
 
@@ -56,15 +56,15 @@
         """Return the leafs of a service that may get the question."""
         return self._access.leaves_of(service, self.regions)
 
-    def leaves_with_room(self, service: str) -> list[Leaf]:
+    def available_leaves(self, service: str) -> list[Leaf]:
         """Return those among them that may get a request now, cold ones included."""
-        return self._access.leaves_with_room(service, self.regions)
+        return self._access.available_leaves(service, self.regions)
 
-    def find_room(self, service: str) -> timedelta | None:
+    def find_retry_after(self, service: str) -> timedelta | None:
         """Return when a service's leafs have room again; None where none is cold."""
-        return self._access.find_room(service, self.regions)
+        return self._access.find_retry_after(service, self.regions)
 
-    def places_of(self, service: str) -> frozenset[Place]:
+    def places_of(self, service: str) -> frozenset[Location]:
         """Return the places where a service has such leafs."""
         return self._access.places_of(service, self.regions)
 
@@ -81,7 +81,7 @@
             service, kind, without, objective, now, regions=self.regions
         )
 
-    def times_of(self, kind: str, distance: Distance) -> KindTimes:
+    def times_of(self, kind: str, distance: Distance) -> RequestTimes:
         """Return the learned times of one kind of request at leafs so far away."""
         return self._pool.times_of(kind, distance)
 
@@ -98,9 +98,9 @@
         """Whether any attempt waits inside this instance."""
         return self._pool.room.has_waiting
 
-    def find_delay(self, service: str, rank: int) -> float:
+    def estimate_wait(self, service: str, rank: int) -> float:
         """Return the seconds until the question likely gets its turn at a service."""
-        return self._pool.room.find_delay(self.leaves_of(service), self._kind, rank)
+        return self._pool.room.estimate_wait(self.leaves_of(service), self._kind, rank)
 
     def is_waiting(self, leaf: Leaf, attempt_id: str) -> bool:
         """Return whether an attempt waits inside this instance."""
@@ -114,6 +114,6 @@
         """Nobody waits for this attempt any longer; it had `waited` seconds."""
         self._pool.cancel(leaf, attempt_id, kind, waited)
 
-    def note_waiting(self, leaf: Leaf, kind: str, waited: float) -> None:
+    def record_waiting(self, leaf: Leaf, kind: str, waited: float) -> None:
         """Take in that a request has been waiting at a leaf for some seconds."""
-        self._pool.note_waiting(leaf, kind, waited)
+        self._pool.record_waiting(leaf, kind, waited)
--- a/walkcart/membership/coldshares.py
+++ b/walkcart/membership/coldshares.py
@@ -11,7 +11,7 @@
 cold.
 
 See Also:
-    `walkcart.routing.coldleafs`, which defines the bounds.
+    `walkcart.routing.coldleaves`, which defines the bounds.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.membership.registration import Registration
-from walkcart.routing.coldleafs import WINDOW, WINDOW_MARGIN, Share
+from walkcart.routing.coldleaves import WINDOW, WINDOW_MARGIN, ColdShare
 from walkcart.store.calls import StoreUnavailable
 from walkcart.store.items import (
     ABSENT,
@@ -68,7 +68,7 @@
         usable_from: the time after which no former holder uses the share, in seconds.
     """
 
-    share: Share
+    share: ColdShare
     key: str
     revision: int
     lease: Lease
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdNeeds:
+class ColdShareDemand:
     """Functions that tell which shares are needed and who should hold them.
 
     Args:
@@ -106,7 +106,7 @@
         self,
         store: SharedStore,
         registration: Registration,
-        needs: ColdNeeds,
+        needs: ColdShareDemand,
         clock: Clock,
         events: EventLog,
     ) -> None:
@@ -120,7 +120,7 @@
         self._retry_at: dict[str, float] = {}
         self._retry_intervals: dict[str, float] = {}
 
-    def find_share(self, data_centre: str) -> Share | None:
+    def find_share(self, data_centre: str) -> ColdShare | None:
         """Return the share of a data centre that may be used now, or None."""
         held = self._held.get(data_centre)
         now = self._clock.monotonic()
@@ -136,10 +136,10 @@
         while True:
             with suppress(StoreUnavailable):
                 # `StoreCalls` logs the first failure of a series.
-                await self.look()
+                await self.refresh()
             await trio.sleep(REFRESH_INTERVAL)
 
-    async def look(self) -> None:
+    async def refresh(self) -> None:
         """Take the shares that this instance should hold and check those in use.
 
         Raises:
@@ -191,7 +191,7 @@
         """Take any share of a data centre, beginning at this instance's rank."""
         preferred = self._needs.rank(data_centre).index(self._registration.own.name)
         for step in range(SHARE_COUNT):
-            share = Share((preferred + step) % SHARE_COUNT, SHARE_COUNT)
+            share = ColdShare((preferred + step) % SHARE_COUNT, SHARE_COUNT)
             if await self._take(data_centre, share):
                 self._retry_intervals.pop(data_centre, None)
                 return
@@ -199,7 +199,7 @@
         self._retry_at[data_centre] = self._clock.monotonic() + interval
         self._retry_intervals[data_centre] = min(MAX_RETRY_INTERVAL, interval * 2)
 
-    async def _take(self, data_centre: str, share: Share) -> bool:
+    async def _take(self, data_centre: str, share: ColdShare) -> bool:
         """Try to take a share; return whether this instance holds it now."""
         lease = self._registration.lease
         if lease is None:
@@ -226,7 +226,9 @@
             return True
         return False
 
-    def _hold(self, data_centre: str, share: Share, item: Item, lease: Lease) -> None:
+    def _hold(
+        self, data_centre: str, share: ColdShare, item: Item, lease: Lease
+    ) -> None:
         """Hold a share whose key is stored, unused until no former holder uses it."""
         usable_from = self._clock.monotonic() + KEY_TRUST_TIME + WINDOW + WINDOW_MARGIN
         self._held[data_centre] = HeldShare(
--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -15,7 +15,7 @@
 from walkcart.kernel.taskfaults import note_task_fault
 from walkcart.membership.messageages import ClockReadings, Stamp
 from walkcart.membership.outbox import Outbox
-from walkcart.membership.peerbook import PeerBook, parse_address
+from walkcart.membership.peerdirectory import PeerDirectory, parse_address
 from walkcart.wire.codec import BadMessage, decode_envelope, encode_envelope
 from walkcart.wire.messages import Envelope, Message
 from walkcart.wire.peers import PeerListener, PeerTransport
@@ -34,7 +34,7 @@
 MessageHandler = Callable[[str, Message], None]
 #: The same, with an upper bound on the age of the message in seconds; infinite if
 #: unknown.
-WorkHandler = Callable[[str, Message, float], None]
+AgedMessageHandler = Callable[[str, Message, float], None]
 
 
 class PeerLinks:
@@ -52,7 +52,7 @@
         self,
         listener: PeerListener,
         transport: PeerTransport,
-        view: PeerBook,
+        view: PeerDirectory,
         events: EventLog,
         metrics: Metrics,
     ) -> None:
@@ -62,7 +62,7 @@
         self._events = events
         self._metrics = metrics
         self._handlers: dict[type[Message], MessageHandler] = {}
-        self._aged_handlers: dict[type[Message], WorkHandler] = {}
+        self._aged_handlers: dict[type[Message], AgedMessageHandler] = {}
         self._clock_readings = ClockReadings(secrets.token_hex(LIFE_ID_BYTES))
         self._links: dict[tuple[str, HostPort], Outbox] = {}
         #: The last known address of each instance, from its envelopes or the directory,
@@ -76,16 +76,16 @@
         """Pass messages of type `kind` to `handler`."""
         self._handlers[kind] = handler
 
-    def on_work(self, kind: type[Message], handler: WorkHandler) -> None:
+    def on_with_age(self, kind: type[Message], handler: AgedMessageHandler) -> None:
         """Pass messages of type `kind` to `handler` with their age.
 
         For messages that start work, which is useless if the message is too old.
         """
         self._aged_handlers[kind] = handler
 
-    def has_heard_of(self, name: str) -> bool:
+    def has_received_from(self, name: str) -> bool:
         """Return whether any process of the instance `name` has sent an envelope."""
-        return self._clock_readings.has_heard_of(name)
+        return self._clock_readings.has_received_from(name)
 
     def has_link(self, name: str) -> bool:
         """Return whether a link to an instance is open or being opened."""
@@ -111,10 +111,12 @@
             self._last_addresses[name] = record.peer_address
         return parse_address(self._last_addresses.get(name, ""))
 
-    def is_waiting(self, name: str, message: Message) -> bool:
+    def is_queued(self, name: str, message: Message) -> bool:
         """Return whether a message to an instance is queued and not sent yet."""
         return any(
-            link.holds(message) for key, link in self._links.items() if key[0] == name
+            link.is_queued(message)
+            for key, link in self._links.items()
+            if key[0] == name
         )
 
     def withdraw(self, name: str, message: Message) -> bool:
@@ -148,7 +150,7 @@
             return False
         return True
 
-    def renew(self, name: str) -> None:
+    def reconnect(self, name: str) -> None:
         """Open a new connection to a silent peer with the next message.
 
         The old connection still sends what was queued.
@@ -196,7 +198,7 @@
             envelope.life, envelope.sent_at, envelope.to_life, envelope.least_reading
         )
         if stamp.life:
-            self._clock_readings.note(envelope.sender, stamp, now)
+            self._clock_readings.record_stamp(envelope.sender, stamp, now)
         age = self._clock_readings.find_age(stamp, now)
         self._metrics.count("peer.received", len(envelope.messages))
         for message in envelope.messages:
--- a/walkcart/membership/marks.py
+++ b/walkcart/membership/marks.py
@@ -7,13 +7,13 @@
 
 Examples:
     >>> marks = LeafMarks()
-    >>> marks.note_leaving("127.0.0.1:1", 5)
+    >>> marks.record_leaving("127.0.0.1:1", 5)
     True
-    >>> marks.note_live("127.0.0.1:1", 5)
+    >>> marks.record_live("127.0.0.1:1", 5)
     False
     >>> marks.is_leaving("127.0.0.1:1")
     True
-    >>> marks.note_live("127.0.0.1:1", 6)
+    >>> marks.record_live("127.0.0.1:1", 6)
     True
     >>> marks.is_leaving("127.0.0.1:1")
     False
@@ -46,7 +46,7 @@
         leaving = self._leaving.get(address)
         return leaving is not None and leaving >= self._live.get(address, 0)
 
-    def note_leaving(self, address: str, incarnation: int) -> bool:
+    def record_leaving(self, address: str, incarnation: int) -> bool:
         """Record that a leaf is leaving; return whether that changed its state.
 
         Args:
@@ -62,7 +62,7 @@
         self._notify(address, was_leaving)
         return not was_leaving and self.is_leaving(address)
 
-    def note_live(self, address: str, incarnation: int) -> bool:
+    def record_live(self, address: str, incarnation: int) -> bool:
         """Record that an incarnation is live; return whether that changed its state."""
         if self._live.get(address, 0) >= incarnation:
             return False
@@ -71,7 +71,7 @@
         self._notify(address, was_leaving)
         return was_leaving and not self.is_leaving(address)
 
-    def mark_of(self, address: str) -> LeafMark | None:
+    def find_mark(self, address: str) -> LeafMark | None:
         """Return the mark to spread, or None if the leaf isn't leaving."""
         if not self.is_leaving(address):
             return None
--- a/walkcart/membership/messageages.py
+++ b/walkcart/membership/messageages.py
@@ -13,7 +13,7 @@
 
 Examples:
     >>> here, there = ClockReadings("here"), ClockReadings("there")
-    >>> there.note("a", Stamp("here", 100.0), now=5.0)
+    >>> there.record_stamp("a", Stamp("here", 100.0), now=5.0)
     >>> stamp = there.make_stamp("a", now=6.0)
     >>> round(here.find_age(stamp, now=101.01), 2)
     0.01
@@ -77,7 +77,7 @@
         self.life = life
         self._offset_bounds: dict[str, _OffsetBound] = {}
 
-    def note(self, peer: str, stamp: Stamp, now: float) -> None:
+    def record_stamp(self, peer: str, stamp: Stamp, now: float) -> None:
         """Record the clock readings on an envelope from a peer.
 
         Args:
@@ -93,7 +93,7 @@
             del self._offset_bounds[next(iter(self._offset_bounds))]
         self._offset_bounds[peer] = _OffsetBound(stamp.life, min_offset, now)
 
-    def has_heard_of(self, peer: str) -> bool:
+    def has_received_from(self, peer: str) -> bool:
         """Return whether an envelope of any process of the peer has arrived."""
         return peer in self._offset_bounds
 
--- a/walkcart/membership/peerbook.py
+++ b/walkcart/membership/peerdirectory.py
@@ -30,7 +30,7 @@
         ...
 
 
-class PeerBook(Protocol):
+class PeerDirectory(Protocol):
     """The known instances and their addresses."""
 
     @property
--- a/walkcart/membership/quarantinenews.py
+++ b/walkcart/membership/quarantinegossip.py
@@ -22,8 +22,8 @@
 
 from walkcart.kernel.clock import Clock
 from walkcart.membership.links import PeerLinks
-from walkcart.routing.quarantine import REFUSED_STRIKES, Quarantine, Suspicion
-from walkcart.wire.fingerprint import SIZE
+from walkcart.routing.quarantine import REFUSED_STRIKES, Quarantine, StrikeRecord
+from walkcart.wire.fingerprint import FINGERPRINT_BYTES
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quarantines import NEVER, QuarantineEntry, QuarantineNews
 
@@ -35,7 +35,7 @@
 MAX_ENTRIES = 32
 
 
-class QuarantineSpread:
+class QuarantineGossip:
     """Sends quarantine entries to other instances and merges theirs.
 
     Args:
@@ -63,9 +63,9 @@
         self._may_relay = may_relay
         self._on_news = on_news
         self._round = 0
-        links.on_work(QuarantineNews, self._on_message)
+        links.on_with_age(QuarantineNews, self._on_message)
 
-    def tell_all(self, fingerprint: bytes, exclude: str = "") -> None:
+    def broadcast(self, fingerprint: bytes, exclude: str = "") -> None:
         """Send the entry of a request to all peers except `exclude`."""
         held = self._quarantine.find(fingerprint)
         if held is None:
@@ -94,7 +94,7 @@
         told = tuple(self._encode(*item) for item in chosen)
         self._links.send(peers[self._round % len(peers)], QuarantineNews(told))
 
-    def _encode(self, fingerprint: bytes, held: Suspicion) -> QuarantineEntry:
+    def _encode(self, fingerprint: bytes, held: StrikeRecord) -> QuarantineEntry:
         now = self._clock.monotonic()
         answered = now - held.answered_at
         return QuarantineEntry(
@@ -114,16 +114,19 @@
                 continue
             self._on_news(fingerprint)
             if self._may_relay():
-                self.tell_all(fingerprint, exclude=sender)
+                self.broadcast(fingerprint, exclude=sender)
 
 
 def _decode_valid(
     entries: Sequence[QuarantineEntry], sent_at: float
-) -> Iterable[tuple[bytes, Suspicion]]:
+) -> Iterable[tuple[bytes, StrikeRecord]]:
     """Yield the entries of a message, without invalid ones."""
     for entry in entries[:MAX_ENTRIES]:
         ages = (entry.struck_age, entry.answered_age)
-        if len(entry.fingerprint) != SIZE or len(entry.strikes) > REFUSED_STRIKES:
+        if (
+            len(entry.fingerprint) != FINGERPRINT_BYTES
+            or len(entry.strikes) > REFUSED_STRIKES
+        ):
             continue
         if not all(isfinite(age) and age >= 0.0 for age in ages):
             continue
@@ -131,4 +134,7 @@
         if entry.answered_age < NEVER:
             answered = sent_at - entry.answered_age
         struck = sent_at - entry.struck_age
-        yield entry.fingerprint, Suspicion(frozenset(entry.strikes), struck, answered)
+        yield (
+            entry.fingerprint,
+            StrikeRecord(frozenset(entry.strikes), struck, answered),
+        )
--- a/walkcart/membership/quarantinekeys.py
+++ b/walkcart/membership/quarantinekeys.py
@@ -23,13 +23,13 @@
 from walkcart.routing.quarantine import (
     REFUSED_STRIKES,
     Quarantine,
-    Standing,
-    Suspicion,
+    QuarantineLevel,
+    StrikeRecord,
 )
 from walkcart.store.backoff import Backoff
 from walkcart.store.calls import StoreUnavailable
 from walkcart.store.items import Committed, Item, Put, SharedStore, Transaction
-from walkcart.wire.fingerprint import SIZE
+from walkcart.wire.fingerprint import FINGERPRINT_BYTES
 
 #: Prefix of the keys, below the prefix that is read for the instances' keys.
 QUARANTINE_PREFIX = "walkcart/quarantine/"
@@ -72,7 +72,7 @@
         self._queue: deque[bytes] = deque()
         self._wakeup = trio.Event()
 
-    def keep(self, fingerprint: bytes) -> None:
+    def enqueue(self, fingerprint: bytes) -> None:
         """Queue a request that this instance now refuses to be stored."""
         if len(self._queue) < MAX_QUEUED and fingerprint not in self._queue:
             self._queue.append(fingerprint)
@@ -90,7 +90,9 @@
     async def _store_next(self) -> None:
         fingerprint = self._queue[0]
         now = self._clock.monotonic()
-        wanted = self._quarantine.find_standing(fingerprint, now) is Standing.REFUSED
+        wanted = (
+            self._quarantine.find_level(fingerprint, now) is QuarantineLevel.REFUSED
+        )
         if wanted and not await self._put(fingerprint):
             await trio.sleep(self._backoff.advance().total_seconds())
             return
@@ -113,7 +115,7 @@
             return False
         return isinstance(outcome, Committed)
 
-    def take(self, item: Item) -> None:
+    def merge_item(self, item: Item) -> None:
         """Merge a stored key, whose age is unknown, unless its request is known."""
         try:
             fingerprint = bytes.fromhex(item.key.removeprefix(QUARANTINE_PREFIX))
@@ -123,10 +125,10 @@
                 Events.PEER_BAD_MESSAGE, key=item.key, detail=str(error)[:200]
             )
             return
-        if len(fingerprint) != SIZE or len(strikes) > REFUSED_STRIKES:
+        if len(fingerprint) != FINGERPRINT_BYTES or len(strikes) > REFUSED_STRIKES:
             return
         if self._quarantine.find(fingerprint) is not None:
             return
         now = self._clock.monotonic()
-        if self._quarantine.merge(fingerprint, Suspicion(strikes, now), now):
+        if self._quarantine.merge(fingerprint, StrikeRecord(strikes, now), now):
             self._on_news(fingerprint)
--- a/walkcart/membership/quotaasks.py
+++ b/walkcart/membership/quotaclient.py
@@ -1,7 +1,7 @@
 """The client side of shared rate limits: requests for tokens to the accountants.
 
 See Also:
-    `walkcart.membership.quotaanswers`, the server side.
+    `walkcart.membership.quotaserver`, the server side.
     `walkcart.routing.allowances.Allowance`, which decides how much to request.
 """
 
@@ -19,8 +19,8 @@
 from walkcart.membership.quotaholders import Holder, QuotaHolders
 from walkcart.membership.quotashares import QuotaShares
 from walkcart.membership.registration import Registration
-from walkcart.routing.allowances import ReplyPatience
-from walkcart.routing.quotas import QuotaBounds, Reply, ShareAccount, Want
+from walkcart.routing.allowances import ReplyTimeout
+from walkcart.routing.quotas import QuotaBounds, QuotaReply, QuotaRequest, ShareAccount
 from walkcart.wire.delegations import Greeting
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quotas import QuotaAsk, QuotaElsewhere, QuotaGrant
@@ -55,7 +55,7 @@
     team: str
     sent_at: float
     done: trio.Event = field(default_factory=trio.Event)
-    reply: Reply | None = None
+    reply: QuotaReply | None = None
     abandoned: bool = False
 
 
@@ -69,12 +69,12 @@
         until: when the granted tokens expire, in seconds.
     """
 
-    reply: Reply
+    reply: QuotaReply
     accountant: str
     until: float
 
 
-class QuotaAsks:
+class QuotaClient:
     """Requests tokens from the accountants of shares, which may be this instance.
 
     Args:
@@ -110,13 +110,13 @@
         self._pending: dict[int, _Pending] = {}
         self._last_id = 0
         self._silent_until: dict[str, float] = {}
-        self._patience: dict[str, ReplyPatience] = {}
+        self._patience: dict[str, ReplyTimeout] = {}
         self._late_grant_listener: LateGrantListener = lambda team, amount, until: None
         holders.on_new_holder(self._open_link)
         links.on(QuotaGrant, self._on_grant)
         links.on(QuotaElsewhere, self._on_elsewhere)
 
-    def follow_late(self, listener: LateGrantListener) -> None:
+    def on_late_grant(self, listener: LateGrantListener) -> None:
         """Call `listener` with each grant that comes after its request timed out."""
         self._late_grant_listener = listener
 
@@ -145,7 +145,9 @@
 
         return sorted(shares, key=rank)
 
-    async def ask(self, share: int, want: Want, deadline: float) -> Answer | None:
+    async def ask(
+        self, share: int, want: QuotaRequest, deadline: float
+    ) -> Answer | None:
         """Request tokens from the accountant of a share.
 
         Args:
@@ -170,10 +172,10 @@
                 return answer
         return None
 
-    def _ask_own(self, account: ShareAccount, want: Want) -> Answer:
+    def _ask_own(self, account: ShareAccount, want: QuotaRequest) -> Answer:
         now = self._clock.monotonic()
         until = now + self._bounds.hold
-        return Answer(account.ask(want, now), self._holders.own, until)
+        return Answer(account.grant(want, now), self._holders.own, until)
 
     def _choose_instance(self, share: int, asked: set[str]) -> str | None:
         """Return the instance to ask: the accountant, or one that may know it."""
@@ -189,11 +191,11 @@
         return self._clock.monotonic() < self._silent_until.get(name, 0.0)
 
     async def _ask_other(
-        self, name: str, share: int, want: Want, deadline: float
+        self, name: str, share: int, want: QuotaRequest, deadline: float
     ) -> Answer | None:
         """Ask one instance; return None unless it answers as the accountant."""
         now = self._clock.monotonic()
-        patience = self._patience.setdefault(name, ReplyPatience()).find()
+        patience = self._patience.setdefault(name, ReplyTimeout()).find_timeout()
         pending = _Pending(name, share, want.team, now)
         if not self._send(pending, want):
             self._record_silence(name)
@@ -208,7 +210,7 @@
             return None
         return Answer(pending.reply, name, now + self._bounds.hold)
 
-    def _send(self, pending: _Pending, want: Want) -> bool:
+    def _send(self, pending: _Pending, want: QuotaRequest) -> bool:
         """Send a request; return False if it will certainly not arrive."""
         self._drop_expired(pending.sent_at)
         self._last_id += 1
@@ -232,7 +234,7 @@
         """Don't ask an instance for a while, since it didn't answer."""
         if name in self._silent_until:
             # Silent again: the connection may be dead without having been closed.
-            self._links.renew(name)
+            self._links.reconnect(name)
         self._silent_until[name] = self._clock.monotonic() + SILENT_TTL
 
     def _drop_expired(self, now: float) -> None:
@@ -253,7 +255,7 @@
         if pending.abandoned:
             self._late_grant_listener(pending.team, message.granted, until)
         elif self._clock.monotonic() < until:
-            pending.reply = Reply(
+            pending.reply = QuotaReply(
                 message.granted,
                 message.wait,
                 message.turn,
@@ -278,5 +280,5 @@
         del self._pending[number]
         self._silent_until.pop(sender, None)
         taken = self._clock.monotonic() - pending.sent_at
-        self._patience[sender].note(taken)
+        self._patience[sender].record(taken)
         return pending
--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -18,11 +18,11 @@
 from walkcart.membership.registration import Registration
 from walkcart.routing.accountants import (
     Site,
-    find_retry,
-    find_try_wait,
+    find_attempt_delay,
+    find_retry_delay,
     rank_candidates,
 )
-from walkcart.routing.quotas import SHARES
+from walkcart.routing.quotas import MAX_SHARES
 from walkcart.store.items import Item
 
 
@@ -79,7 +79,7 @@
         self._registration = registration
         self._clock = clock
         self._events = events
-        self._shares = [_ShareState() for _ in range(SHARES)]
+        self._shares = [_ShareState() for _ in range(MAX_SHARES)]
         self._candidates: dict[int, list[str]] = {}
         self._listener: Callable[[str], None] = lambda name: None
         registration.on_change(self._candidates.clear)
@@ -153,7 +153,7 @@
     def record_item(self, item: Item) -> tuple[int, StoredKey] | None:
         """Record a stored key; return its share and content, or None if invalid."""
         share = parse_share(item.key)
-        if share is None or share >= SHARES:
+        if share is None or share >= MAX_SHARES:
             return None
         try:
             stored = decode_key(item)
@@ -207,11 +207,11 @@
         order = sorted(candidates, key=lambda name: name == known.last)
         was_heard = bool(known.holder.name) and known.heard_at is not None
         start = max(since, known.heard_at or since)
-        wait = find_try_wait(order.index(self.own), is_busy, was_heard)
+        wait = find_attempt_delay(order.index(self.own), is_busy, was_heard)
         return now >= start + wait
 
     def record_attempt(self, share: int) -> None:
         """Record that this instance tries to take a share."""
         known = self._shares[share]
         known.attempts += 1
-        known.retry_at = self._clock.monotonic() + find_retry(known.attempts)
+        known.retry_at = self._clock.monotonic() + find_retry_delay(known.attempts)
--- a/walkcart/membership/quotaanswers.py
+++ b/walkcart/membership/quotaserver.py
@@ -4,7 +4,7 @@
 a share is its accountant.
 
 See Also:
-    `walkcart.membership.quotaasks`, the client side.
+    `walkcart.membership.quotaclient`, the client side.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from walkcart.membership.links import PeerLinks
 from walkcart.membership.quotaholders import QuotaHolders
 from walkcart.membership.quotashares import QuotaShares
-from walkcart.routing.quotas import SHARES, QuotaBounds, Want
-from walkcart.routing.tokenbucket import LONGEST_TURN
+from walkcart.routing.quotas import MAX_SHARES, QuotaBounds, QuotaRequest
+from walkcart.routing.tokenbucket import MAX_TURN_WAIT
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quotas import QuotaAsk, QuotaElsewhere, QuotaGrant
 
@@ -26,7 +26,7 @@
 FindLimit = Callable[[str], tuple[int, RateLimit | None]]
 
 
-class QuotaAnswers:
+class QuotaServer:
     """Answers requests for tokens from the shares that this instance accounts.
 
     Args:
@@ -53,7 +53,7 @@
         self._bounds = bounds
         self._find_limit = find_limit
         self._clock = clock
-        links.on_work(QuotaAsk, self._on_ask)
+        links.on_with_age(QuotaAsk, self._on_ask)
 
     def _on_ask(self, sender: str, message: Message, age: float) -> None:
         assert isinstance(message, QuotaAsk)
@@ -68,24 +68,24 @@
         if account is None:
             holder = self._holders.find(ask.share)
             return QuotaElsewhere(ask.id, holder.name, holder.revision)
-        reply = account.ask(self._apply_newest_limit(ask), self._clock.monotonic())
-        wait = min(reply.wait, LONGEST_TURN)
+        reply = account.grant(self._apply_newest_limit(ask), self._clock.monotonic())
+        wait = min(reply.wait, MAX_TURN_WAIT)
         return QuotaGrant(
             ask.id, reply.granted, wait, reply.turn, reply.use, reply.full
         )
 
-    def _apply_newest_limit(self, ask: QuotaAsk) -> Want:
+    def _apply_newest_limit(self, ask: QuotaAsk) -> QuotaRequest:
         """Return the request under the newer of the two instances' configurations."""
         limit = RateLimit(ask.rate, ask.burst)
         version = ask.version
         own_version, own_limit = self._find_limit(ask.team)
         if own_version > version and own_limit is not None:
             version, limit = own_version, own_limit
-        return Want(ask.team, limit, version, ask.wanted, ask.full)
+        return QuotaRequest(ask.team, limit, version, ask.wanted, ask.full)
 
 
 def _is_valid(ask: QuotaAsk) -> bool:
     """Return whether the numbers of a request are in range."""
     numbers = (ask.rate, ask.burst)
     finite = all(math.isfinite(number) and number >= 0.0 for number in numbers)
-    return finite and ask.rate > 0.0 and ask.wanted > 0 and 0 <= ask.share < SHARES
+    return finite and ask.rate > 0.0 and ask.wanted > 0 and 0 <= ask.share < MAX_SHARES
--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -6,7 +6,7 @@
 
 See Also:
     `walkcart.routing.quotas.ShareAccount`, the account of a share.
-    `walkcart.membership.quotaanswers`, which answers requests for tokens.
+    `walkcart.membership.quotaserver`, which answers requests for tokens.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from walkcart.membership.links import PeerLinks
 from walkcart.membership.quotaholders import Holder, QuotaHolders
 from walkcart.membership.quotakeys import QuotaKeys, StoredKey, TakenKey
-from walkcart.routing.quotas import MOST_STARTS, SHARES, QuotaBounds, ShareAccount
+from walkcart.routing.quotas import MAX_SHARES, MAX_STARTS, QuotaBounds, ShareAccount
 from walkcart.store.calls import StoreUnavailable
 from walkcart.store.items import Item
 from walkcart.wire.messagebase import Message
@@ -105,7 +105,7 @@
             return None
         return held.account
 
-    def take_item(self, item: Item) -> None:
+    def handle_item(self, item: Item) -> None:
         """Process a key of a share that was read together with the instances' keys."""
         found = self._holders.record_item(item)
         if found is None:
@@ -124,7 +124,7 @@
         task_status.started()
         while not self._is_stopping:
             self._wakeup = trio.Event()
-            await self.look()
+            await self.refresh()
             with trio.move_on_after(REFRESH_INTERVAL):
                 await self._wakeup.wait()
 
@@ -132,7 +132,7 @@
         """Run `look` now, as the shares to be held may have changed."""
         self._wakeup.set()
 
-    async def look(self) -> None:
+    async def refresh(self) -> None:
         """Renew the shares that are held, and take free ones."""
         if not self._is_needed():
             self._needed_since = None
@@ -144,7 +144,7 @@
             due = self._clock.monotonic() >= held.tried_at + REFRESH_INTERVAL / 2
             if due or held.wanted_by:
                 await self._renew(share, held)
-        for share in range(SHARES):
+        for share in range(MAX_SHARES):
             if share in self._held:
                 continue
             if offered := self._holders.pop_offer(share):
@@ -152,7 +152,7 @@
             if self._should_try(share):
                 await self._try_take(share)
 
-    async def leave(self) -> None:
+    async def release_all(self) -> None:
         """Release all shares for good, because this instance stops."""
         self._is_stopping = True
         await self._give_up_all("the instance stops")
@@ -254,7 +254,7 @@
         """Begin to account a share that was taken."""
         now = self._clock.monotonic()
         starts = taken.stored.key.starts
-        account = ShareAccount(share, self._bounds, now, starts <= MOST_STARTS)
+        account = ShareAccount(share, self._bounds, now, starts <= MAX_STARTS)
         self._held[share] = _HeldShare(taken, account, now, now, now)
         self._holders.record(share, Holder(self._holders.own, taken.stored.revision))
         self._events.emit(Events.QUOTA_SHARE_TAKEN, share=share, starts=starts)
@@ -276,7 +276,7 @@
 
     def _on_holder(self, sender: str, message: Message) -> None:
         assert isinstance(message, QuotaHolder)
-        if not 0 <= message.share < SHARES:
+        if not 0 <= message.share < MAX_SHARES:
             return
         if not message.holder and sender == self._holders.find(message.share).name:
             self._holders.record_released(message.share, message.revision)
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -109,12 +109,12 @@
         self._started_at = clock.monotonic()
         self._is_stopping = False
         self._renew_requested = trio.Event()
-        calls.on_away(self.try_soon)
+        calls.on_away(self.renew_soon)
         self._is_watching: Callable[[], bool] = lambda: True
         self._listeners: list[Callable[[], None]] = []
         self._keys = KeyReader(store, own.name, events)
 
-    def read_along(self, prefix: str, reader: Callable[[Item], None]) -> None:
+    def add_prefix_reader(self, prefix: str, reader: Callable[[Item], None]) -> None:
         """Pass the items of another prefix below the shared one to `reader`.
 
         They are read in the same call as the keys of the instances.
@@ -176,11 +176,11 @@
             await self._renew_requested.wait()
         self._renew_requested = trio.Event()
 
-    def try_soon(self) -> None:
+    def renew_soon(self) -> None:
         """Renew the lease now, to check whether the store is available."""
         self._renew_requested.set()
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Revoke the lease, so that the others learn of a planned stop at once."""
         self._is_stopping = True
         if self._registered is None:
@@ -191,9 +191,9 @@
             self._events.emit(Events.STORE_FAILED, detail=f"lease not ended: {error}")
         self._registered = None
 
-    def follow_watching(self, watches: Callable[[], bool]) -> None:
+    def set_watching_check(self, is_watching: Callable[[], bool]) -> None:
         """Renew often while `watches` returns True: this instance watches the store."""
-        self._is_watching = watches
+        self._is_watching = is_watching
 
     def _renew_interval(self) -> float:
         """Return the seconds between renewals; the rate of the fleet stays bounded."""
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -115,12 +115,12 @@
         for follower in self._followers.values():
             follower.on_resumed = self._refresh_soon
         links.on(RelayUnserved, self._on_unserved)
-        links.on_work(RelayChanges, self._on_changes)
-        links.on_work(RelayCopy, self._on_copy)
-        links.on_work(RelayCurrent, self._on_current)
+        links.on_with_age(RelayChanges, self._on_changes)
+        links.on_with_age(RelayCopy, self._on_copy)
+        links.on_with_age(RelayCurrent, self._on_current)
 
     @property
-    def watches(self) -> bool:
+    def is_watching(self) -> bool:
         """Whether this instance watches the store for others."""
         return (
             self._watchers.is_watcher()
@@ -150,7 +150,7 @@
             await trio.sleep(CHECK_INTERVAL.total_seconds())
 
     def _may_feed(self) -> bool:
-        return self._calls.reachable and self.watches
+        return self._calls.reachable and self.is_watching
 
     def _check_feed(self) -> None:
         """Choose a feeder if one is needed, and replace one that is late.
@@ -181,7 +181,7 @@
     def _choose_feeder(self) -> None:
         if self._feeder_choice.feeder is not None:
             # Without a feeder this instance must know whether it can read the store.
-            self._registration.try_soon()
+            self._registration.renew_soon()
         self._feeder_choice.switch_to_next()
         self._renew_subscription()
 
@@ -197,7 +197,7 @@
     def _refresh_soon(self) -> None:
         """Call the store now, since the subscribers' copies aged during a pause."""
         if self._feeder.has_subscribers():
-            self._registration.try_soon()
+            self._registration.renew_soon()
 
     def _on_refused(self, sender: str) -> None:
         """Reject a subscriber that can't be fed, or begin to read the store for it."""
--- a/walkcart/membership/tests/test_kept_leases.py
+++ b/walkcart/membership/tests/test_kept_leases.py
@@ -5,8 +5,8 @@
 import trio
 
 from walkcart.bench.harness import ManualClock
-from walkcart.membership.coldshares import KEY_TRUST_TIME, ColdNeeds, ColdShares
-from walkcart.routing.coldleafs import WINDOW, WINDOW_MARGIN
+from walkcart.membership.coldshares import KEY_TRUST_TIME, ColdShareDemand, ColdShares
+from walkcart.routing.coldleaves import WINDOW, WINDOW_MARGIN
 from walkcart.store.items import Committed, Item, Lease, Page, Rejected
 
 DATA_CENTRE = "north-a"
@@ -42,7 +42,7 @@
     return ColdShares(
         store,
         SimpleNamespace(own=own, lease=lease),
-        ColdNeeds(lambda: centres, lambda: centres, lambda centre: ["one"]),
+        ColdShareDemand(lambda: centres, lambda: centres, lambda centre: ["one"]),
         clock,
         SimpleNamespace(emit=lambda *words, **details: None),
     )
@@ -62,7 +62,7 @@
         await refresh_for(earlier, clock, WAIT)
         assert earlier.find_share(DATA_CENTRE) is not None
         later = start_process(store, clock, "second")
-        await later.look()
+        await later.refresh()
         assert len(store.items) == 1
         # The earlier process continues, as one that was suspended does.
         await refresh_for(earlier, clock, WAIT - 1.0)
@@ -77,9 +77,9 @@
 def test_share_on_another_lease_is_not_taken():
     async def run():
         store, clock = ConditionalStore(), ManualClock()
-        await start_process(store, clock, "first").look()
+        await start_process(store, clock, "first").refresh()
         held = dict(store.items)
-        await start_process(store, clock, "second", Lease(8, None)).look()
+        await start_process(store, clock, "second", Lease(8, None)).refresh()
         return all(store.items[key] == item for key, item in held.items())
 
     assert trio.run(run)
--- a/walkcart/membership/tests/test_message_ages.py
+++ b/walkcart/membership/tests/test_message_ages.py
@@ -29,11 +29,11 @@
         now += pause
         stamp = own.make_stamp("other", now)
         now += delay_there
-        other.note("own", stamp, read_other_clock(now))
+        other.record_stamp("own", stamp, read_other_clock(now))
         if is_answered:
             stamp = other.make_stamp("own", read_other_clock(now))
             now += delay_back
-            own.note("other", stamp, now)
+            own.record_stamp("other", stamp, now)
     stamp = own.make_stamp("other", now)
     age = other.find_age(stamp, read_other_clock(now + delay))
     assert age >= delay * (1.0 - 1e-4) - 1e-6
@@ -41,14 +41,14 @@
 
 def test_age_is_known_within_one_delay_after_one_exchange():
     own, other = ClockReadings("own"), ClockReadings("other")
-    own.note("other", other.make_stamp("own", 500.0), 10.008)
+    own.record_stamp("other", other.make_stamp("own", 500.0), 10.008)
     age = other.find_age(own.make_stamp("other", 12.0), 502.0)
     assert 0.008 <= age < 0.0090 + 0.008
 
 
 def test_age_is_unknown_to_a_new_process():
     own, former, new = (ClockReadings(name) for name in ("own", "former", "new"))
-    own.note("other", former.make_stamp("own", 500.0), 10.0)
+    own.record_stamp("other", former.make_stamp("own", 500.0), 10.0)
     assert new.find_age(own.make_stamp("other", 12.0), 0.5) == float("inf")
-    own.note("other", new.make_stamp("own", 0.6), 12.5)
+    own.record_stamp("other", new.make_stamp("own", 0.6), 12.5)
     assert new.find_age(own.make_stamp("other", 13.0), 1.2) < 0.2
--- a/walkcart/membership/watchers.py
+++ b/walkcart/membership/watchers.py
@@ -15,7 +15,7 @@
 
 #: In fleets up to this size every instance watches the store itself: that takes few
 #: calls and avoids the extra hop.
-FEW_INSTANCES = 12
+MAX_INSTANCES_ALL_WATCHING = 12
 #: Instances of each data centre that watch the store in a larger fleet. Each feeds only
 #: its own data centre.
 WATCHERS_PER_DATA_CENTRE = 2
@@ -115,7 +115,7 @@
         return found
 
     def _all_watch(self) -> bool:
-        return len(self._registration.others()) + 1 <= FEW_INSTANCES
+        return len(self._registration.others()) + 1 <= MAX_INSTANCES_ALL_WATCHING
 
     def _clear_order(self) -> None:
         self._order = None
--- a/walkcart/wire/fingerprint.py
+++ b/walkcart/wire/fingerprint.py
@@ -18,7 +18,7 @@
 
 #: Bytes of a fingerprint: two of a billion requests share one by chance with a
 #: probability below 1e-10.
-SIZE = 12
+FINGERPRINT_BYTES = 12
 #: Headers that say where a request goes and who sends it. Others may differ from one
 #: try to the next.
 IDENTIFYING_HEADERS = (b"host", b"authorization")
@@ -27,7 +27,7 @@
 
 def make_fingerprint(*parts: bytes) -> bytes:
     """Return the fingerprint of some parts, in this order."""
-    digest = blake2b(digest_size=SIZE)
+    digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for part in parts:
         digest.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(part)
--- a/walkcart/wire/http.py
+++ b/walkcart/wire/http.py
@@ -211,7 +211,7 @@
         """
         return is_quiet(self._stream)
 
-    def renew(self) -> bool:
+    def prepare_next(self) -> bool:
         """Make ready for the next exchange; return whether that can be."""
         if self._h11.our_state is not h11.DONE:
             return False
--- a/walkcart/wire/network.py
+++ b/walkcart/wire/network.py
@@ -19,7 +19,7 @@
 #: peer without power says nothing. Longer than any pause of a peer that lives.
 SILENCE_MS = 10_000
 #: Probes without an answer after which a connection has gone silent for good.
-PROBES = 2
+MAX_PROBES = 2
 
 
 def is_quiet(stream: trio.abc.Stream) -> bool:
@@ -38,15 +38,15 @@
     """Opens and accepts byte streams."""
 
     async def connect(
-        self, address: HostPort, probe: timedelta | None = None
+        self, address: HostPort, probe_interval: timedelta | None = None
     ) -> trio.abc.Stream:
         """Open a stream.
 
         Args:
             address: of the peer.
-            probe: a peer that is quiet for this long is asked whether it is there, and
-                `PROBES` such questions without an answer end the stream, one more
-                `probe` later. None not to ask. Whole seconds, at least one.
+            probe_interval: a peer that is quiet for this long is asked whether it is there, and
+                `MAX_PROBES` such questions without an answer end the stream, one more
+                `probe_interval` later. None not to ask. Whole seconds, at least one.
 
         Raises:
             OSError: nobody listens there, or it can't be reached.
@@ -78,9 +78,9 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(tcp, socket.TCP_KEEPIDLE, seconds)
     sock.setsockopt(tcp, socket.TCP_KEEPINTVL, seconds)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, PROBES)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, MAX_PROBES)
     # The kernel goes by this time in place of the number of probes.
-    silence_ms = (PROBES + 1) * seconds * 1000
+    silence_ms = (MAX_PROBES + 1) * seconds * 1000
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, silence_ms)
 
 
@@ -88,13 +88,13 @@
     """TCP by IP number."""
 
     async def connect(
-        self, address: HostPort, probe: timedelta | None = None
+        self, address: HostPort, probe_interval: timedelta | None = None
     ) -> trio.abc.Stream:
         """Open a TCP connection."""
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         sock = trio.socket.socket(family, socket.SOCK_STREAM)
         try:
-            _limit_silence(sock, probe)
+            _limit_silence(sock, probe_interval)
             await sock.connect((address.host, address.port))
         except BaseException:
             sock.close()
--- a/walkcart/wire/server.py
+++ b/walkcart/wire/server.py
@@ -78,7 +78,7 @@
         limits: what a client may ask.
         on_fault: makes the reply to bytes that are no request.
         on_gone: called when a client closes or breaks half-way.
-        cancel_on_gone: whether a request ends when its client closes.
+        cancel_on_disconnect: whether a request ends when its client closes.
         on_error: told of an error that nobody expected, which ends only its
             connection; without it such an error ends the instance.
     """
@@ -89,12 +89,12 @@
         limits: ServerLimits,
         on_fault: Callable[[Fault], HttpReply],
         on_gone: Callable[[], None] = lambda: None,
-        cancel_on_gone: bool = False,
+        cancel_on_disconnect: bool = False,
         on_error: Callable[[Exception], None] | None = None,
     ) -> None:
         self._handler = handler
         self.limits = limits
-        self.cancel_on_gone = cancel_on_gone
+        self.cancel_on_disconnect = cancel_on_disconnect
         self._on_fault = on_fault
         self._on_gone = on_gone
         self._on_error = on_error
@@ -167,7 +167,7 @@
         self, connection: _Connection, request: HttpRequest
     ) -> HttpReply | None:
         """Make the reply; None when the client left and its request was cancelled."""
-        if not self.cancel_on_gone:
+        if not self.cancel_on_disconnect:
             return await self._handler(request)
         reply: HttpReply | None = None
         async with trio.open_nursery() as nursery:
--- a/walkcart/wire/tests/test_server_errors.py
+++ b/walkcart/wire/tests/test_server_errors.py
@@ -19,7 +19,7 @@
             fail,
             ServerLimits(),
             lambda fault: HttpReply(fault.value),
-            cancel_on_gone=True,
+            cancel_on_disconnect=True,
             on_error=told.append,
         )
         ours, theirs = memory_stream_pair()
