--- a/walkcart/membership/coldshares.py
+++ b/walkcart/membership/coldshares.py
@@ -48,7 +48,7 @@
 #: intervals, so that one slow call to the store does no harm. A share that became free
 #: stays unused for as long.
 KEY_TRUST_TIME = 2.0
-#: Seconds between two calls of `ColdShares.look`.
+#: Seconds between two calls of `ColdShares.refresh`.
 REFRESH_INTERVAL = 0.5
 #: Seconds before the instance tries again to take shares that others hold. Doubles
 #: after each attempt, up to the maximum.
--- a/walkcart/membership/quotaclient.py
+++ b/walkcart/membership/quotaclient.py
@@ -110,7 +110,7 @@
         self._pending: dict[int, _Pending] = {}
         self._last_id = 0
         self._silent_until: dict[str, float] = {}
-        self._patience: dict[str, ReplyTimeout] = {}
+        self._reply_timeouts: dict[str, ReplyTimeout] = {}
         self._late_grant_listener: LateGrantListener = lambda team, amount, until: None
         holders.on_new_holder(self._open_link)
         links.on(QuotaGrant, self._on_grant)
@@ -146,13 +146,13 @@
         return sorted(shares, key=rank)
 
     async def ask(
-        self, share: int, want: QuotaRequest, deadline: float
+        self, share: int, request: QuotaRequest, deadline: float
     ) -> Answer | None:
         """Request tokens from the accountant of a share.
 
         Args:
             share: the share to take tokens from.
-            want: the request.
+            request: the team, its limit and the number of tokens.
             deadline: the latest time to wait until, in seconds.
 
         Returns:
@@ -160,22 +160,22 @@
         """
         account = self._shares.find_account(share)
         if account is not None:
-            return self._ask_own(account, want)
+            return self._ask_own(account, request)
         asked: set[str] = set()
         for _ in range(MAX_ASKED):
             name = self._choose_instance(share, asked)
             if name is None or self._clock.monotonic() >= deadline:
                 return None
             asked.add(name)
-            answer = await self._ask_other(name, share, want, deadline)
+            answer = await self._ask_other(name, share, request, deadline)
             if answer is not None:
                 return answer
         return None
 
-    def _ask_own(self, account: ShareAccount, want: QuotaRequest) -> Answer:
+    def _ask_own(self, account: ShareAccount, request: QuotaRequest) -> Answer:
         now = self._clock.monotonic()
         until = now + self._bounds.hold
-        return Answer(account.grant(want, now), self._holders.own, until)
+        return Answer(account.grant(request, now), self._holders.own, until)
 
     def _choose_instance(self, share: int, asked: set[str]) -> str | None:
         """Return the instance to ask: the accountant, or one that may know it."""
@@ -191,16 +191,16 @@
         return self._clock.monotonic() < self._silent_until.get(name, 0.0)
 
     async def _ask_other(
-        self, name: str, share: int, want: QuotaRequest, deadline: float
+        self, name: str, share: int, request: QuotaRequest, deadline: float
     ) -> Answer | None:
         """Ask one instance; return None unless it answers as the accountant."""
         now = self._clock.monotonic()
-        patience = self._patience.setdefault(name, ReplyTimeout()).find_timeout()
-        pending = _Pending(name, share, want.team, now)
-        if not self._send(pending, want):
+        timeout = self._reply_timeouts.setdefault(name, ReplyTimeout()).find_timeout()
+        pending = _Pending(name, share, request.team, now)
+        if not self._send(pending, request):
             self._record_silence(name)
             return None
-        with trio.move_on_after(min(deadline - now, patience)):
+        with trio.move_on_after(min(deadline - now, timeout)):
             await pending.done.wait()
         pending.abandoned = True
         if not pending.done.is_set():
@@ -210,19 +210,19 @@
             return None
         return Answer(pending.reply, name, now + self._bounds.hold)
 
-    def _send(self, pending: _Pending, want: QuotaRequest) -> bool:
+    def _send(self, pending: _Pending, request: QuotaRequest) -> bool:
         """Send a request; return False if it will certainly not arrive."""
         self._drop_expired(pending.sent_at)
         self._last_id += 1
         message = QuotaAsk(
             self._last_id,
             pending.share,
-            want.team,
-            want.amount,
-            want.version,
-            want.limit.rate,
-            want.limit.burst,
-            want.full,
+            request.team,
+            request.amount,
+            request.version,
+            request.limit.rate,
+            request.limit.burst,
+            request.full,
         )
         self._metrics.count("quota.asked")
         if not self._links.send(pending.asked, message):
@@ -280,5 +280,5 @@
         del self._pending[number]
         self._silent_until.pop(sender, None)
         taken = self._clock.monotonic() - pending.sent_at
-        self._patience[sender].record(taken)
+        self._reply_timeouts[sender].record(taken)
         return pending
--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -49,7 +49,7 @@
         released: the revision of the key that its accountant announced to be unused.
         offered: the revision of the key that its accountant can't renew.
         wanted: the revision of the key that this instance asked its accountant for.
-        heard_at: when the accountant was last heard from, in seconds; None if never.
+        last_heard_at: when the accountant last sent a message, in seconds; None if never.
         attempts: attempts of this instance to take the share since then.
         retry_at: when this instance may try again, in seconds.
     """
@@ -59,7 +59,7 @@
     released: int = 0
     offered: int = 0
     wanted: int = 0
-    heard_at: float | None = None
+    last_heard_at: float | None = None
     attempts: int = 0
     retry_at: float = 0.0
 
@@ -100,8 +100,8 @@
     def record(self, share: int, holder: Holder) -> None:
         """Record the accountant of a share, from any source."""
         known = self._shares[share]
-        given_up = not holder.name and holder.revision == known.holder.revision
-        if holder.revision > known.holder.revision or given_up:
+        was_released = not holder.name and holder.revision == known.holder.revision
+        if holder.revision > known.holder.revision or was_released:
             is_other = holder.name not in ("", known.last)
             known.last = holder.name or known.last
             known.holder = holder
@@ -115,7 +115,7 @@
         known = self._shares[share]
         if holder.revision < known.holder.revision:
             return False
-        known.heard_at = self._clock.monotonic()
+        known.last_heard_at = self._clock.monotonic()
         known.attempts, known.retry_at = 0, 0.0
         return True
 
@@ -164,8 +164,8 @@
             return None
         self.record(share, Holder(stored.key.holder, stored.revision))
         known = self._shares[share]
-        if known.heard_at is None and stored.key.holder:
-            known.heard_at = self._clock.monotonic()
+        if known.last_heard_at is None and stored.key.holder:
+            known.last_heard_at = self._clock.monotonic()
         return share, stored
 
     def find_candidates(self, share: int) -> list[str]:
@@ -205,8 +205,8 @@
             return False
         # The last accountant is the least likely to take the share, so it comes last.
         order = sorted(candidates, key=lambda name: name == known.last)
-        was_heard = bool(known.holder.name) and known.heard_at is not None
-        start = max(since, known.heard_at or since)
+        was_heard = bool(known.holder.name) and known.last_heard_at is not None
+        start = max(since, known.last_heard_at or since)
         wait = find_attempt_delay(order.index(self.own), is_busy, was_heard)
         return now >= start + wait
 
--- a/walkcart/membership/quotakeys.py
+++ b/walkcart/membership/quotakeys.py
@@ -197,7 +197,7 @@
             return None
         return TakenKey(StoredKey(key, revision), taken.lease, taken.until)
 
-    async def give_up(self, share: int, taken: TakenKey) -> int | None:
+    async def release(self, share: int, taken: TakenKey) -> int | None:
         """Store that a share is free; return the new revision, None if that failed.
 
         The key stays until its lease ends, so that its next holder knows its starts.
--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -129,14 +129,14 @@
                 await self._wakeup.wait()
 
     def wake(self) -> None:
-        """Run `look` now, as the shares to be held may have changed."""
+        """Run `refresh` now, as the shares to be held may have changed."""
         self._wakeup.set()
 
     async def refresh(self) -> None:
         """Renew the shares that are held, and take free ones."""
         if not self._is_needed():
             self._needed_since = None
-            await self._give_up_all("no team has a limit")
+            await self._release_held("no team has a limit")
             return
         if self._needed_since is None:
             self._needed_since = self._clock.monotonic()
@@ -155,17 +155,17 @@
     async def release_all(self) -> None:
         """Release all shares for good, because this instance stops."""
         self._is_stopping = True
-        await self._give_up_all("the instance stops")
+        await self._release_held("the instance stops")
 
-    async def _give_up_all(self, reason: str) -> None:
+    async def _release_held(self, reason: str) -> None:
         """Stop accounting all shares, and release them to others."""
         held, self._held = self._held, {}
         for share, one in held.items():
             self._report_lost(share, reason)
-            await self._give_up(share, one.taken)
+            await self._release(share, one.taken)
 
-    async def _give_up(self, share: int, taken: TakenKey) -> None:
-        revision = await self._keys.give_up(share, taken)
+    async def _release(self, share: int, taken: TakenKey) -> None:
+        revision = await self._keys.release(share, taken)
         if revision is not None:
             self._holders.record(share, Holder("", revision))
             self._send_to_candidates(share, QuotaHolder(share, "", revision))
@@ -242,7 +242,7 @@
             )
             return
         if taken is not None and self._is_stopping:
-            await self._give_up(share, taken)
+            await self._release(share, taken)
         elif taken is not None:
             self._start_accounting(share, taken)
 
--- a/walkcart/membership/tests/test_kept_leases.py
+++ b/walkcart/membership/tests/test_kept_leases.py
@@ -51,7 +51,7 @@
 async def refresh_for(shares, clock, seconds):
     end = clock.time + seconds
     while clock.time < end:
-        await shares.look()
+        await shares.refresh()
         clock.time += KEY_TRUST_TIME / 4
 
 
--- a/walkcart/membership/tests/test_view.py
+++ b/walkcart/membership/tests/test_view.py
@@ -118,7 +118,7 @@
         async with open_estate(instances=3) as world:
             view = world.instances["instance-0"].find("view", MembershipView)
             await world.kill_instance("instance-2", listed=True)
-            view.mark("instance-2", MemberState.SUSPECT)
+            view.raise_state("instance-2", MemberState.SUSPECT)
             await world.kill_instance("instance-1", listed=True)
             await trio.sleep(15)
             return find_state(world, "instance-0", "instance-2")
