--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -49,7 +49,7 @@
         released: the revision of the key that its accountant announced to be unused.
         offered: the revision of the key that its accountant can't renew.
         wanted: the revision of the key that this instance asked its accountant for.
-        last_heard_at: when the accountant last sent a message, in seconds; None if never.
+        last_heard_at: when it was last heard of, in seconds; None if it never was.
         attempts: attempts of this instance to take the share since then.
         retry_at: when this instance may try again, in seconds.
     """
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -192,7 +192,7 @@
         self._registered = None
 
     def set_watching_check(self, is_watching: Callable[[], bool]) -> None:
-        """Renew often while `is_watching` tells that this instance watches the store."""
+        """Renew often while `is_watching` returns True: it watches the store."""
         self._is_watching = is_watching
 
     def _renew_interval(self) -> float:
