--- a/walkcart/membership/watchers.py
+++ b/walkcart/membership/watchers.py
@@ -16,8 +16,8 @@
 #: In fleets up to this size every instance watches the store itself: that takes few
 #: calls and avoids the extra hop.
 MAX_INSTANCES_ALL_WATCHING = 12
-#: Instances of each data centre that watch the store in a larger fleet. Each feeds only
-#: its own data centre.
+#: Instances of each data centre that watch the store in a larger fleet. Feeds normally
+#: stay within the data centre.
 WATCHERS_PER_DATA_CENTRE = 2
 #: Further candidates for feeders, for an instance with an outdated view of the fleet,
 #: and for when the store rejects the watchers: it may reject a third of all instances
