--- a/walkcart/membership/detector.py
+++ b/walkcart/membership/detector.py
@@ -1,10 +1,10 @@
-"""Failure detection by heartbeats to a bounded number of peers.
+"""Failure detection by pings to a bounded number of peers, as in SWIM.
 
-Each round an instance pings one other, in a shuffled order that comes round to
-all. Without an answer it asks a few others to ping it too; without an answer to
-those either, the instance is suspected, and dead unless it refutes that in time.
-The cost for one instance doesn't grow with their number. News that matters at
-once (states, marks of leaves, a revision) is pushed to a few peers besides.
+Each round an instance pings one other instance, in a shuffled order that covers all of
+them. If there is no answer, it asks a few others to ping the target too. If these get
+no answer either, the target is suspected, and it is declared dead unless it refutes
+that in time. The cost for one instance doesn't grow with the size of the fleet. Urgent
+news (states, marks of leaves, a revision) is also pushed to a few peers at once.
 
 References:
     Das, Gupta, Motivala: SWIM, 2002.
@@ -34,35 +34,36 @@
 
 INDIRECT_PINGS = 2
 PUSH_PEERS = 3
-#: Share of a round after which a ping without an answer is asked of others.
-DIRECT_SHARE = 0.5
-#: Rounds from a suspicion to death.
+#: Part of a round to wait for an answer before other instances are asked to ping.
+DIRECT_PING_FRACTION = 0.5
+#: Rounds from the suspicion of an instance until it is declared dead.
 SUSPICION_ROUNDS = 2.0
-#: In one of so many rounds a dead instance is pinged, so that a cut heals.
+#: A dead instance is pinged in one of this many rounds, so that the fleet recovers from
+#: a network partition.
 DEAD_PING_ROUNDS = 4
 
 
 @dataclass(slots=True)
 class _Probe:
-    """A ping under way."""
+    """A ping that has not been answered yet."""
 
     target: str
     answered: trio.Event
 
 
 class Detector:
-    """Pings peers, keeps the view and passes news on.
+    """Pings peers, updates the view and spreads news.
 
     Args:
-        view: what is kept.
-        marks: leaves that are leaving.
-        gossip: news to pass on.
-        links: to the peers.
+        view: the view of all instances.
+        marks: the leaves that are leaving.
+        gossip: the news to spread.
+        links: links to the peers.
         clock: source of time.
-        random: source of the order of pings.
-        events: where changes are logged.
-        metrics: where live peers are counted.
-        interval: length of a round.
+        random: source of randomness for targets and jitter.
+        events: log of changes.
+        metrics: counts live instances.
+        interval: the length of a round.
     """
 
     def __init__(
@@ -86,9 +87,9 @@
         self._events = events
         self._metrics = metrics
         self._interval = interval.total_seconds()
-        self._number = 0
+        self._last_number = 0
         self._probes: dict[int, _Probe] = {}
-        self._relayed: dict[int, tuple[str, int]] = {}
+        self._indirect_pings: dict[int, tuple[str, int]] = {}
         self._order: list[str] = []
         self._round = 0
         self._nursery: trio.Nursery | None = None
@@ -118,12 +119,12 @@
 
     def _choose_target(self) -> str | None:
         if self._round % DEAD_PING_ROUNDS == 0:
-            dead = self._dead_but_listed()
+            dead = self._list_dead_but_listed()
             if dead:
                 return self._random.choice(dead)
         while True:
             if not self._order:
-                self._order = self._not_dead()
+                self._order = self._list_not_dead()
                 self._random.shuffle(self._order)
                 if not self._order:
                     return None
@@ -132,14 +133,14 @@
             if record is not None and record.state != MemberState.DEAD:
                 return name
 
-    def _not_dead(self) -> list[str]:
+    def _list_not_dead(self) -> list[str]:
         return [
             record.name
             for record in self._view.records()
             if record.state != MemberState.DEAD and record.name != self._view.own.name
         ]
 
-    def _dead_but_listed(self) -> list[str]:
+    def _list_dead_but_listed(self) -> list[str]:
         return [
             record.name
             for record in self._view.records()
@@ -147,7 +148,7 @@
         ]
 
     async def _probe(self, target: str) -> None:
-        """Ping `target`, then through others; suspect it when nothing answers."""
+        """Ping `target` directly and indirectly; suspect it if there is no answer."""
         number = self._next_number()
         probe = _Probe(target, trio.Event())
         self._probes[number] = probe
@@ -161,11 +162,11 @@
             self._probes.pop(number, None)
 
     async def _is_answered(self, probe: _Probe, number: int) -> bool:
-        """Ping, then ping through others; return whether anything answered."""
+        """Ping directly, then through others; return whether an answer came."""
         target = probe.target
         try:
             self._links.send(target, Ping(number, self._gossip.make_digest(target)))
-            with trio.move_on_after(self._interval * DIRECT_SHARE):
+            with trio.move_on_after(self._interval * DIRECT_PING_FRACTION):
                 await probe.answered.wait()
                 return True
             for helper in self._choose_peers(INDIRECT_PINGS, target):
@@ -179,9 +180,10 @@
             del self._probes[number]
 
     async def _suspect(self, target: str) -> None:
-        """Suspect `target`; hold it dead unless it refutes that in time.
+        """Suspect `target`, and declare it dead unless it refutes that in time.
 
-        Also when another suspected it before: that one may be gone itself.
+        This is also done if another instance suspected it first, as that instance may
+        be gone itself.
         """
         if self._view.raise_state(target, MemberState.SUSPECT):
             self.push_soon()
@@ -194,12 +196,12 @@
             self.push_soon()
 
     def _next_number(self) -> int:
-        self._number += 1
-        return self._number
+        self._last_number += 1
+        return self._last_number
 
-    def _choose_peers(self, count: int, without: str = "") -> list[str]:
+    def _choose_peers(self, count: int, exclude: str = "") -> list[str]:
         names = [item.name for item in self._view.usable_peers()]
-        names = [name for name in names if name != without]
+        names = [name for name in names if name != exclude]
         return self._random.sample(names, min(count, len(names)))
 
     async def _push_news(self) -> None:
@@ -208,22 +210,22 @@
             self._urgent = trio.Event()
             for name in self._choose_peers(PUSH_PEERS):
                 self._links.send(name, Gossip(self._gossip.make_digest()))
-            # Gathers what comes close together into one push.
+            # Combines news that come shortly after each other into one push.
             await trio.sleep(self._interval / 20)
 
     def _on_ping(self, sender: str, message: Message) -> None:
         assert isinstance(message, Ping)
-        self._take_in(message.digest)
+        self._merge_digest(message.digest)
         digest = self._gossip.make_digest()
         self._links.send(sender, Ack(message.number, self._view.own.name, digest))
 
     def _on_ack(self, sender: str, message: Message) -> None:
         assert isinstance(message, Ack)
-        self._take_in(message.digest)
+        self._merge_digest(message.digest)
         probe = self._probes.get(message.number)
         if probe is not None and probe.target == message.target:
             probe.answered.set()
-        asked = self._relayed.pop(message.number, None)
+        asked = self._indirect_pings.pop(message.number, None)
         if asked is not None:
             name, number = asked
             digest = self._gossip.make_digest()
@@ -231,26 +233,26 @@
 
     def _on_ping_request(self, sender: str, message: Message) -> None:
         assert isinstance(message, PingRequest)
-        self._take_in(message.digest)
+        self._merge_digest(message.digest)
         number = self._next_number()
-        self._relayed[number] = (sender, message.number)
-        if len(self._relayed) > 1000:
-            self._relayed.pop(next(iter(self._relayed)))
+        self._indirect_pings[number] = (sender, message.number)
+        if len(self._indirect_pings) > 1000:
+            self._indirect_pings.pop(next(iter(self._indirect_pings)))
         digest = self._gossip.make_digest(message.target)
         self._links.send(message.target, Ping(number, digest))
 
     def _on_gossip(self, sender: str, message: Message) -> None:
         assert isinstance(message, Gossip)
-        self._take_in(message.digest)
+        self._merge_digest(message.digest)
 
-    def _take_in(self, digest: object) -> None:
+    def _merge_digest(self, digest: object) -> None:
         if self._gossip.merge_digest(digest):
             self.push_soon()
 
     def _on_member_change(self, old: MemberRecord | None, new: MemberRecord) -> None:
         if old is None or rank_record(old)[:3] != rank_record(new)[:3]:
-            # A revision alone isn't passed on record by record: that would cost
-            # each instance as much as there are instances, for every change.
+            # A new revision alone isn't spread by records: for every change, the cost
+            # for each instance would grow with the number of instances.
             self._gossip.add_member(new.name)
         self._metrics.gauge("member.live", len(self._view.live()))
         if old is not None and old.state == new.state:
--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -1,4 +1,4 @@
-"""Links to peers: one task for each, batched envelopes, dispatch by type."""
+"""Links to peers: one task per peer, batched envelopes, dispatch by message type."""
 
 from __future__ import annotations
 
@@ -15,35 +15,37 @@
 from walkcart.kernel.taskfaults import note_task_fault
 from walkcart.membership.messageages import ClockReadings, Stamp
 from walkcart.membership.outbox import Outbox
-from walkcart.membership.peerdirectory import PeerDirectory, read_address
+from walkcart.membership.peerdirectory import PeerDirectory, parse_address
 from walkcart.wire.codec import BadMessage, decode_envelope, encode_envelope
 from walkcart.wire.messages import Envelope, Message
 from walkcart.wire.peers import PeerListener, PeerTransport
 
-#: Random bytes that name a process life.
-LIFE_BYTES = 4
-#: Senders outside the book whose addresses are kept.
-STRANGER_LIMIT = 256
-SEND_TIME = timedelta(seconds=2)
-#: A connection may have gone silent for good without an end. Between two new ones to a
-#: peer that seems silent; also how long the old one is kept for what it still carries.
+#: Random bytes that identify a process.
+LIFE_ID_BYTES = 4
+#: Addresses that are kept of senders, for replies to those outside the directory.
+MAX_UNKNOWN_SENDERS = 256
+SEND_TIMEOUT = timedelta(seconds=2)
+#: Shortest time between two new connections to a peer that doesn't answer, since a
+#: connection may be dead without having been closed. The old connection is kept open
+#: for the same time, so that it can still deliver what was sent.
 RENEWAL_INTERVAL = timedelta(seconds=2)
 
-#: Called with the sender's name and the message; must not wait.
+#: Called with the sender's name and the message; must not block.
 MessageHandler = Callable[[str, Message], None]
-#: The same, with the most seconds that the message was on its way; infinite if unknown.
+#: The same, with an upper bound on the age of the message in seconds; infinite if
+#: unknown.
 AgedMessageHandler = Callable[[str, Message, float], None]
 
 
 class PeerLinks:
-    """Sends to and receives from the other instances.
+    """Sends messages to the other instances and receives theirs.
 
     Args:
-        listener: where this instance is reached.
-        transport: makes senders.
-        view: the instances and their addresses.
-        events: where bad messages are logged.
-        metrics: where messages are counted.
+        listener: receives the envelopes sent to this instance.
+        transport: opens connections to peers.
+        view: the known instances and their addresses.
+        events: log of invalid messages and failed connections.
+        metrics: counts messages.
     """
 
     def __init__(
@@ -60,42 +62,45 @@
         self._events = events
         self._metrics = metrics
         self._handlers: dict[type[Message], MessageHandler] = {}
-        self._work_handlers: dict[type[Message], AgedMessageHandler] = {}
-        self._readings = ClockReadings(secrets.token_hex(LIFE_BYTES))
+        self._aged_handlers: dict[type[Message], AgedMessageHandler] = {}
+        self._clock_readings = ClockReadings(secrets.token_hex(LIFE_ID_BYTES))
         self._links: dict[tuple[str, HostPort], Outbox] = {}
-        #: Addresses that senders gave or the book held last, for answers to those that
-        #: aren't in it yet, or any more: the store may turn one away for longer than
-        #: its entry lasts.
-        self._heard: dict[str, str] = {}
+        #: The last known address of each instance, from its envelopes or the directory,
+        #: for replies to those that aren't in the directory yet or any more: the store
+        #: may reject an instance for longer than its entry lasts.
+        self._last_addresses: dict[str, str] = {}
         self._nursery: trio.Nursery | None = None
         self.last_received = trio.current_time()
 
     def on(self, kind: type[Message], handler: MessageHandler) -> None:
-        """Give messages of `kind` to `handler`."""
+        """Pass messages of type `kind` to `handler`."""
         self._handlers[kind] = handler
 
     def on_with_age(self, kind: type[Message], handler: AgedMessageHandler) -> None:
-        """Give messages of `kind`, which start work, to `handler`, with their age."""
-        self._work_handlers[kind] = handler
+        """Pass messages of type `kind` to `handler` with their age.
+
+        For messages that start work, which is useless if the message is too old.
+        """
+        self._aged_handlers[kind] = handler
 
     def has_received_from(self, name: str) -> bool:
-        """Return whether a life of the instance called `name` was heard of."""
-        return self._readings.has_received_from(name)
+        """Return whether any process of the instance `name` has sent an envelope."""
+        return self._clock_readings.has_received_from(name)
 
     def has_link(self, name: str) -> bool:
-        """Return whether there is a link to an instance, or one is being made."""
+        """Return whether a link to an instance is open or being opened."""
         return self._find_link(name) is not None
 
     def is_connected(self, name: str) -> bool:
-        """Return whether a message to an instance would leave at once."""
+        """Return whether a message to an instance would be sent without delay."""
         link = self._find_link(name)
         return link is not None and link.is_connected
 
     def _find_link(self, name: str) -> Outbox | None:
-        """Return the present link to an instance, or None.
+        """Return the current link to an instance, or None.
 
-        Found by its address: looked for among 200 links for each instance that may be
-        asked it would cost a question some milliseconds.
+        The lookup is by address: a search through 200 links for each instance that may
+        be asked would cost a question some milliseconds.
         """
         address = self._find_address(name)
         return self._links.get((name, address)) if address else None
@@ -103,11 +108,11 @@
     def _find_address(self, name: str) -> HostPort | None:
         record = self._view.find(name)
         if record is not None:
-            self._heard[name] = record.peer_address
-        return read_address(self._heard.get(name, ""))
+            self._last_addresses[name] = record.peer_address
+        return parse_address(self._last_addresses.get(name, ""))
 
     def is_queued(self, name: str, message: Message) -> bool:
-        """Return whether a message to an instance wasn't sent yet."""
+        """Return whether a message to an instance is queued and not sent yet."""
         return any(
             link.is_queued(message)
             for key, link in self._links.items()
@@ -115,7 +120,7 @@
         )
 
     def withdraw(self, name: str, message: Message) -> bool:
-        """Take back a message that wasn't sent yet; return whether that was so."""
+        """Remove a message that is not sent yet; return False if it was sent."""
         return any(
             link.withdraw(message)
             for key, link in self._links.items()
@@ -126,7 +131,7 @@
         """Queue `message` for the instance called `name`.
 
         Returns:
-            False when it was not queued and so will surely not be sent.
+            False if it was not queued, so that it will certainly not be sent.
         """
         address = self._find_address(name)
         if self._nursery is None or address is None:
@@ -137,7 +142,7 @@
             try:
                 self._nursery.start_soon(self._run_link, name, address, link)
             except RuntimeError:
-                # The links have just ended, with the instance.
+                # The nursery has just closed, because the instance stops.
                 return False
             self._links[(name, address)] = link
         if not link.put(message):
@@ -146,9 +151,9 @@
         return True
 
     def reconnect(self, name: str) -> None:
-        """Make new connections to a peer that seems silent, with the next message.
+        """Open a new connection to a silent peer with the next message.
 
-        The old ones still send what was queued.
+        The old connection still sends what was queued.
         """
         latest = trio.current_time() - RENEWAL_INTERVAL.total_seconds()
         for key, link in list(self._links.items()):
@@ -158,25 +163,25 @@
                 self._metrics.count("peer.renewed")
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Receive until cancelled."""
+        """Receive envelopes until cancelled."""
         try:
             async with trio.open_nursery() as self._nursery:
                 task_status.started()
                 while True:
-                    self._take_in_safely(await self._listener.receive())
+                    self._receive_safely(await self._listener.receive())
         finally:
             self._nursery = None
             with trio.CancelScope(shield=True, deadline=trio.current_time() + 1):
                 await self._listener.close()
 
-    def _take_in_safely(self, data: bytes) -> None:
-        """Take in an envelope, whose faults must not end the instance."""
+    def _receive_safely(self, data: bytes) -> None:
+        """Receive an envelope; an error in it must not end the instance."""
         try:
-            self._take_in(data)
+            self._receive(data)
         except Exception as error:
             note_task_fault(self._events, "peer envelope", error)
 
-    def _take_in(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         self._metrics.count("peer.bytes", len(data))
         try:
             envelope = decode_envelope(data)
@@ -184,25 +189,25 @@
             self._events.emit(Events.PEER_BAD_MESSAGE, detail=str(error)[:200])
             return
         if envelope.to_incarnation not in (0, self._view.own.incarnation):
-            # Meant for an earlier process at this address.
+            # Sent to an earlier process at this address.
             return
         now = self.last_received = trio.current_time()
         if envelope.address and self._view.find(envelope.sender) is None:
-            self._note_stranger(envelope)
+            self._record_unknown_sender(envelope)
         stamp = Stamp(
             envelope.life, envelope.sent_at, envelope.to_life, envelope.least_reading
         )
         if stamp.life:
-            self._readings.record_stamp(envelope.sender, stamp, now)
-        age = self._readings.find_age(stamp, now)
+            self._clock_readings.record_stamp(envelope.sender, stamp, now)
+        age = self._clock_readings.find_age(stamp, now)
         self._metrics.count("peer.received", len(envelope.messages))
         for message in envelope.messages:
             self._handle(envelope.sender, message, age)
 
     def _handle(self, sender: str, message: Message, age: float) -> None:
-        """Give a message to its handler, whose faults must not end the instance."""
+        """Call the handler of a message; its errors must not end the instance."""
         try:
-            if (work := self._work_handlers.get(type(message))) is not None:
+            if (work := self._aged_handlers.get(type(message))) is not None:
                 work(sender, message, age)
             elif (handler := self._handlers.get(type(message))) is not None:
                 handler(sender, message)
@@ -210,20 +215,20 @@
             task = f"{type(message).__name__} of {sender}"
             note_task_fault(self._events, task, error)
 
-    def _note_stranger(self, envelope: Envelope) -> None:
-        """Keep the address of a sender that the book doesn't know yet."""
-        while len(self._heard) >= STRANGER_LIMIT:
-            del self._heard[next(iter(self._heard))]
-        self._heard[envelope.sender] = envelope.address
+    def _record_unknown_sender(self, envelope: Envelope) -> None:
+        """Keep the address of a sender that is not in the directory."""
+        while len(self._last_addresses) >= MAX_UNKNOWN_SENDERS:
+            del self._last_addresses[next(iter(self._last_addresses))]
+        self._last_addresses[envelope.sender] = envelope.address
 
     async def _run_link(self, name: str, address: HostPort, link: Outbox) -> None:
-        """Send what is queued for one peer until it is idle or unreachable."""
+        """Send the queued messages of one peer until it is idle or unreachable."""
         try:
             sender = await self._transport.dial(address)
         except OSError as error:
             self._links.pop((name, address), None)
             self._events.emit(
-                Events.PEER_BAD_MESSAGE, peer=name, detail=f"not dialled: {error}"
+                Events.PEER_BAD_MESSAGE, peer=name, detail=f"cannot connect: {error}"
             )
             return
         link.sender = sender
@@ -231,22 +236,25 @@
             while await link.wait():
                 self._metrics.time("peer.wait", link.waited * 1000)
                 messages: tuple[Message, ...] = ()
-                with trio.move_on_after(SEND_TIME.total_seconds()) as scope:
-                    # Until then messages can be taken back, and surely weren't sent.
+                with trio.move_on_after(SEND_TIMEOUT.total_seconds()) as scope:
+                    # Until then messages can be withdrawn and certainly weren't sent.
                     await sender.wait_connected()
-                    messages = link.take()
+                    messages = link.take_batch()
                     if messages:
-                        await sender.send(self._pack(name, messages))
+                        await sender.send(self._pack_envelope(name, messages))
                 if scope.cancelled_caught:
                     lost = len(messages) + len(link)
                     self._metrics.count("peer.dropped", lost)
-                    detail = f"not taken in {SEND_TIME.total_seconds()} s: {lost} lost"
+                    detail = (
+                        f"not taken within {SEND_TIMEOUT.total_seconds()} s: "
+                        f"{lost} messages lost"
+                    )
                     self._events.emit(Events.PEER_SLOW, peer=name, detail=detail)
                     break
             if link.ended:
                 await trio.sleep(RENEWAL_INTERVAL.total_seconds())
         except OSError:
-            # The next message dials again; the detector tells whether it lives.
+            # The next message reconnects; the failure detector checks the peer.
             self._metrics.count("peer.dropped")
         except Exception as error:
             note_task_fault(self._events, f"link to {name}", error)
@@ -256,10 +264,10 @@
             with trio.CancelScope(shield=True, deadline=trio.current_time() + 1):
                 await sender.close()
 
-    def _pack(self, name: str, messages: tuple[Message, ...]) -> bytes:
+    def _pack_envelope(self, name: str, messages: tuple[Message, ...]) -> bytes:
         record = self._view.find(name)
         own = self._view.own
-        stamp = self._readings.make_stamp(name, trio.current_time())
+        stamp = self._clock_readings.make_stamp(name, trio.current_time())
         envelope = Envelope(
             own.name,
             own.incarnation,
--- a/walkcart/membership/listing.py
+++ b/walkcart/membership/listing.py
@@ -1,12 +1,12 @@
-"""The platform's list of instances: lagging, so only a hint.
+"""The platform's list of instances. It lags behind, so it is only a hint.
 
-It seeds the view of peers, names the leaves with their labels, and is one of
-three sources that say a leaf is leaving. While it can't be read, what it said
-last stays in use.
+The list seeds the view of the peers, names the leaves with their labels, and is one of
+three sources that report a leaf as leaving. While it can't be read, its last content
+stays in use.
 
-The interface, as the stand-in offers it: ``GET /instances?after=N`` gives JSON
-with ``revision``, ``full`` and ``instances``; only the changed ones when
-``full`` is false; 304 when nothing changed.
+Interface: ``GET /instances?after=N`` returns JSON with ``revision``, ``full`` and
+``instances``. If ``full`` is false, ``instances`` holds only the changed ones. The
+status is 304 if nothing changed.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 ROLE_INSTANCE = "walkcart"
 STATE_LEAVING = "leaving"
 STATE_GONE = "gone"
-BODY_LIMIT = 8 << 20
-READ_TIME = timedelta(seconds=5)
-#: Seconds between two tries until the first read.
-FIRST_INTERVAL = 0.1
+MAX_BODY_BYTES = 8 << 20
+READ_TIMEOUT = timedelta(seconds=5)
+#: Seconds between two attempts until the list was read once.
+INITIAL_INTERVAL = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +43,14 @@
     """One row of the list.
 
     Args:
-        name: unique.
+        name: the unique name of the instance or leaf.
         role: ``leaf`` or ``walkcart``.
-        address: ``IP:port`` that it serves at.
-        peer_address: ``IP:port`` for peers; walkcart instances only.
-        state: ``live``, ``leaving``, or ``gone`` in a list of changes.
-        incarnation: number of its process life; 0 when the platform gives none.
-        labels: as the platform holds them.
+        address: ``IP:port`` of its service.
+        peer_address: ``IP:port`` for peers; only for walkcart instances.
+        state: ``live`` or ``leaving``; ``gone`` in a list of changes.
+        incarnation: the number of its process, raised at each restart; 0 if the
+            platform doesn't provide one.
+        labels: the labels that the platform stores for it.
     """
 
     name: str
@@ -70,21 +71,21 @@
 
 _PAGE = msgspec.json.Decoder(_Page)
 
-#: Called after the set of leaves changed, with all of them.
+#: Called with all listed leaves after each change.
 Listener = Callable[[tuple[ListedInstance, ...]], None]
 
 
 class InstanceList:
-    """Reads the list at intervals.
+    """Polls the list and applies its changes.
 
     Args:
-        address: where the list is served.
+        address: the address of the list's server.
         network: opens connections.
-        view: gets the walkcart instances.
-        marks: gets the leaves' states.
-        events: where failures are logged.
+        view: receives the walkcart instances.
+        marks: receives the states of the leaves.
+        events: log of failures.
         random: source of jitter.
-        interval: between two reads.
+        interval: time between two reads.
     """
 
     def __init__(
@@ -108,7 +109,7 @@
         self._rows: dict[str, ListedInstance] = {}
         self._listeners: list[Listener] = []
         self._failing = False
-        #: Whether it was read at least once; before that no leaf is known.
+        #: Whether the list was read at least once; before that no leaf is known.
         self.known = False
         self._connection: HttpConnection | None = None
 
@@ -117,39 +118,41 @@
         self._listeners.append(listener)
 
     def leaves(self) -> tuple[ListedInstance, ...]:
-        """Return the listed leaves, in the order of the names."""
+        """Return the listed leaves, sorted by name."""
         rows = (self._rows[name] for name in sorted(self._rows))
         return tuple(row for row in rows if row.role == ROLE_LEAF)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Read until cancelled; the first read comes before the start is told."""
+        """Poll until cancelled; reports as started after the first attempt."""
         await self._read_once()
         task_status.started()
         while True:
-            interval = self._interval if self.known else FIRST_INTERVAL
+            interval = self._interval if self.known else INITIAL_INTERVAL
             await trio.sleep(interval * self._random.uniform(0.8, 1.2))
             await self._read_once()
 
     async def _read_once(self) -> None:
-        with trio.move_on_after(READ_TIME.total_seconds()):
+        with trio.move_on_after(READ_TIMEOUT.total_seconds()):
             try:
                 page = await self._fetch()
             except (OSError, ExchangeFailed, msgspec.MsgspecError, ValueError) as error:
                 await self._drop_connection()
-                self._note_failure(str(error))
+                self._report_failure(str(error))
                 return
             self._failing = False
             self.known = True
             if page is not None:
-                self._take_in(page)
+                self._apply(page)
             return
         await self._drop_connection()
-        self._note_failure("no reply in time")
+        self._report_failure(f"no reply in time ({READ_TIMEOUT.total_seconds()} s)")
 
     async def _fetch(self) -> _Page | None:
         if self._connection is None:
             stream = await self._network.connect(self._address)
-            self._connection = HttpConnection(stream, str(self._address), BODY_LIMIT)
+            self._connection = HttpConnection(
+                stream, str(self._address), MAX_BODY_BYTES
+            )
         request = HttpRequest("GET", f"/instances?after={self._revision}")
         reply = await self._connection.exchange(request)
         if not self._connection.prepare_next():
@@ -157,7 +160,7 @@
         if reply.status == 304:
             return None
         if reply.status != 200:
-            raise ValueError(f"status {reply.status}")
+            raise ValueError(f"status {reply.status}, expected 200 or 304")
         return _PAGE.decode(reply.body)
 
     async def _drop_connection(self) -> None:
@@ -166,12 +169,12 @@
             with trio.CancelScope(shield=True):
                 await connection.close()
 
-    def _note_failure(self, detail: str) -> None:
+    def _report_failure(self, detail: str) -> None:
         if not self._failing:
             self._events.emit(Events.LIST_FAILED, detail=detail[:200])
         self._failing = True
 
-    def _take_in(self, page: _Page) -> None:
+    def _apply(self, page: _Page) -> None:
         if page.full:
             self._rows = {}
         self._revision = page.revision
@@ -181,7 +184,7 @@
             else:
                 self._rows[row.name] = row
         self._seed_view()
-        self._note_states()
+        self._record_states()
         leaves = self.leaves()
         for listener in self._listeners:
             listener(leaves)
@@ -197,7 +200,7 @@
             if record.state == MemberState.DEAD and record.name not in live:
                 self._view.forget(record.name)
 
-    def _note_states(self) -> None:
+    def _record_states(self) -> None:
         for row in self.leaves():
             try:
                 address = str(parse_host_port(row.address))
--- a/walkcart/membership/quarantinekeys.py
+++ b/walkcart/membership/quarantinekeys.py
@@ -1,11 +1,12 @@
-"""Refused requests in the shared store, for when all instances start anew.
+"""Refused requests in the shared store, which survive a restart of all instances.
 
-Instances tell each other what they know, but it is gone when all of them end at once.
-So whoever refuses a request first stores its fingerprint, on a lease: two calls, and no
-reading of its own, since the keys are read along with those of the instances.
+Instances exchange their quarantine entries, but these are lost if all instances stop at
+once. So the instance that refuses a request first stores its fingerprint, on a lease.
+This takes two calls and no extra read, since the keys are read together with those of
+the instances.
 
 See Also:
-    `walkcart.membership.registration.Registration`, which reads them.
+    `walkcart.membership.registration.Registration`, which reads the keys.
 """
 
 from __future__ import annotations
@@ -30,26 +31,27 @@
 from walkcart.store.items import Committed, Item, Put, SharedStore, Transaction
 from walkcart.wire.fingerprint import FINGERPRINT_BYTES
 
-#: Start of the keys; read with the prefix that it shares with the instances' keys.
+#: Prefix of the keys, below the prefix that is read for the instances' keys.
 QUARANTINE_PREFIX = "walkcart/quarantine/"
-#: For how long the store keeps a key: the longest lease that the platform grants.
-KEY_TIME = timedelta(minutes=10)
-#: Keys that wait to be stored; requests past it are only told among instances.
-MOST_WAITING = 32
-#: Between two keys of one instance, so that a flood of them leaves the store alone.
+#: Lifetime of a key: the longest lease that the platform grants.
+KEY_TTL = timedelta(minutes=10)
+#: Limit of keys queued to be stored; further ones are only exchanged among instances.
+MAX_QUEUED = 32
+#: Time between two keys that one instance stores, so that a burst doesn't load the
+#: store.
 STORE_INTERVAL = timedelta(seconds=1)
 
 
 class QuarantineKeys:
-    """Stores what this instance refused first, and takes what is stored.
+    """Stores the requests that this instance refused first, and merges stored ones.
 
     Args:
         store: the shared store.
-        quarantine: what is known here.
+        quarantine: the quarantine entries of this instance.
         clock: source of time.
-        backoff: waits after failures.
-        events: where keys that can't be read are logged.
-        on_news: told the fingerprint of each request of which news came.
+        backoff: delays between retries after failures.
+        events: log of keys that can't be decoded.
+        on_news: called with the fingerprint of each request whose entry changed.
     """
 
     def __init__(
@@ -67,26 +69,26 @@
         self._backoff = backoff
         self._events = events
         self._on_news = on_news
-        self._waiting: deque[bytes] = deque()
+        self._queue: deque[bytes] = deque()
         self._wakeup = trio.Event()
 
     def enqueue(self, fingerprint: bytes) -> None:
-        """Store a request that this instance refuses from now on."""
-        if len(self._waiting) < MOST_WAITING and fingerprint not in self._waiting:
-            self._waiting.append(fingerprint)
+        """Queue a request that this instance now refuses to be stored."""
+        if len(self._queue) < MAX_QUEUED and fingerprint not in self._queue:
+            self._queue.append(fingerprint)
             self._wakeup.set()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Store what is to be kept, until cancelled."""
+        """Store the queued requests, until cancelled."""
         task_status.started()
         while True:
-            if not self._waiting:
+            if not self._queue:
                 self._wakeup = trio.Event()
                 await self._wakeup.wait()
             await self._store_next()
 
     async def _store_next(self) -> None:
-        fingerprint = self._waiting[0]
+        fingerprint = self._queue[0]
         now = self._clock.monotonic()
         wanted = (
             self._quarantine.find_level(fingerprint, now) is QuarantineLevel.REFUSED
@@ -95,26 +97,26 @@
             await trio.sleep(self._backoff.advance().total_seconds())
             return
         self._backoff.reset()
-        self._waiting.popleft()
+        self._queue.popleft()
         await trio.sleep(STORE_INTERVAL.total_seconds())
 
     async def _put(self, fingerprint: bytes) -> bool:
-        """Store a request; return whether the store took it."""
+        """Store a request; return whether that succeeded."""
         held = self._quarantine.find(fingerprint)
         assert held is not None
         value = b",".join(b"%d" % strike for strike in sorted(held.strikes))
         key = QUARANTINE_PREFIX + fingerprint.hex()
         try:
-            lease = await self._store.grant_lease(KEY_TIME)
+            lease = await self._store.grant_lease(KEY_TTL)
             put = Put(key, value, lease.id)
             outcome = await self._store.commit(Transaction(puts=(put,)))
         except StoreUnavailable:
-            # Logged by the calls, which know whether it is the first failure.
+            # `StoreCalls` logs the first failure of a series.
             return False
         return isinstance(outcome, Committed)
 
     def merge_item(self, item: Item) -> None:
-        """Take a stored key, unless its request is known: how old it is isn't."""
+        """Merge a stored key, whose age is unknown, unless its request is known."""
         try:
             fingerprint = bytes.fromhex(item.key.removeprefix(QUARANTINE_PREFIX))
             strikes = frozenset(int(word) for word in item.value.split(b","))
--- a/walkcart/membership/quotaclient.py
+++ b/walkcart/membership/quotaclient.py
@@ -1,8 +1,8 @@
-"""Asks for parts of teams' rate limits.
+"""The client side of shared rate limits: requests for tokens to the accountants.
 
 See Also:
-    `walkcart.membership.quotaserver`, the side that is asked.
-    `walkcart.routing.allowances.Allowance`, which decides what is asked for.
+    `walkcart.membership.quotaserver`, the server side.
+    `walkcart.routing.allowances.Allowance`, which decides how much to request.
 """
 
 from __future__ import annotations
@@ -25,28 +25,29 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quotas import QuotaAsk, QuotaElsewhere, QuotaGrant
 
-#: Seconds for which an instance that didn't answer isn't asked.
-SILENCE_TIME = 1.0
-#: Instances that are asked for one share in turn at the most: the one that is known to
-#: account it, and one that may know better.
-MOST_ASKED = 2
+#: Seconds for which an instance that didn't answer isn't asked again.
+SILENT_TTL = 1.0
+#: Instances that are asked in turn for tokens of one share: its known accountant, and
+#: one that may know a newer accountant.
+MAX_ASKED = 2
 
-#: Given what was granted after nobody waited any more, and until when it holds.
-LateGrant = Callable[[str, int, float], None]
+#: Called with the team, the tokens and the expiry of a grant that came after its
+#: request had timed out.
+LateGrantListener = Callable[[str, int, float], None]
 
 
 @dataclass(slots=True)
 class _Pending:
-    """An ask that waits for its answer.
+    """A request without an answer yet.
 
     Args:
-        asked: name of the instance that was asked.
-        share: that it was asked for.
-        team: whose requests.
-        sent_at: when, in seconds.
-        done: set with the answer.
-        reply: of the accountant; None if there is none, or it came too late to hold.
-        left: whether nobody waits any more.
+        asked: the name of the instance that was asked.
+        share: the share whose tokens were requested.
+        team: the team that the tokens are for.
+        sent_at: when the request was sent, in seconds.
+        done: set once the answer is there.
+        reply: the accountant's reply; None if there is none or its grant has expired.
+        abandoned: whether the request has timed out.
     """
 
     asked: str
@@ -55,17 +56,17 @@
     sent_at: float
     done: trio.Event = field(default_factory=trio.Event)
     reply: QuotaReply | None = None
-    left: bool = False
+    abandoned: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What came of asking for a share.
+    """The answer to a request for tokens of a share.
 
     Args:
-        reply: of the accountant.
-        accountant: its name.
-        until: to when what it granted holds, in seconds.
+        reply: the reply of the accountant.
+        accountant: the name of the accountant.
+        until: when the granted tokens expire, in seconds.
     """
 
     reply: QuotaReply
@@ -74,17 +75,17 @@
 
 
 class QuotaClient:
-    """Asks the accountants of shares, this instance itself among them.
+    """Requests tokens from the accountants of shares, which may be this instance.
 
     Args:
-        links: to the other instances.
-        registration: knows the others and their regions.
-        shares: that this instance accounts.
-        holders: who accounts the others.
-        bounds: by how much limits may be passed.
+        links: links to the other instances.
+        registration: lists the other instances with their regions.
+        shares: the shares that this instance accounts.
+        holders: the accountants of the other shares.
+        bounds: how far limits may be exceeded.
         clock: source of time.
-        random: chooses among accountants that are as far.
-        metrics: where asks are counted.
+        random: chooses among equally distant accountants.
+        metrics: counts requests.
     """
 
     def __init__(
@@ -109,25 +110,25 @@
         self._pending: dict[int, _Pending] = {}
         self._last_id = 0
         self._silent_until: dict[str, float] = {}
-        self._patience: dict[str, ReplyTimeout] = {}
-        self._on_late: LateGrant = lambda team, amount, until: None
-        holders.follow(self._open_link)
+        self._reply_timeouts: dict[str, ReplyTimeout] = {}
+        self._late_grant_listener: LateGrantListener = lambda team, amount, until: None
+        holders.on_new_holder(self._open_link)
         links.on(QuotaGrant, self._on_grant)
         links.on(QuotaElsewhere, self._on_elsewhere)
 
-    def on_late_grant(self, listener: LateGrant) -> None:
-        """Give `listener` what is granted after nobody waits for it any more."""
-        self._on_late = listener
+    def on_late_grant(self, listener: LateGrantListener) -> None:
+        """Call `listener` with each grant that comes after its request timed out."""
+        self._late_grant_listener = listener
 
     def _open_link(self, name: str) -> None:
-        """Have a link ready to an accountant: a request waits for none to come up."""
+        """Open a link to an accountant, so that requests don't wait for one."""
         if name != self._holders.own and not self._links.has_link(name):
             self._links.send(name, Greeting())
 
     def sort_by_distance(self, shares: list[int]) -> list[int]:
-        """Return shares by how far their accountants are, those unknown last.
+        """Return shares by the distance of their accountants, unknown ones last.
 
-        Those as far as each other come by chance, so that they are used evenly.
+        Equally distant shares come in random order, so that they are used evenly.
         """
         own = self._registration.own
 
@@ -145,36 +146,39 @@
         return sorted(shares, key=rank)
 
     async def ask(
-        self, share: int, want: QuotaRequest, deadline: float
+        self, share: int, request: QuotaRequest, deadline: float
     ) -> Answer | None:
-        """Ask the accountant of a share; return None if none answered.
+        """Request tokens from the accountant of a share.
 
         Args:
-            share: from which it is to be taken.
-            want: what is asked for.
-            deadline: to when to wait at the latest, in seconds.
+            share: the share to take tokens from.
+            request: the team, its limit and the number of tokens.
+            deadline: the latest time to wait until, in seconds.
+
+        Returns:
+            The answer, or None if no accountant answered.
         """
         account = self._shares.find_account(share)
         if account is not None:
-            return self._ask_own(account, want)
+            return self._ask_own(account, request)
         asked: set[str] = set()
-        for _ in range(MOST_ASKED):
-            name = self._choose(share, asked)
+        for _ in range(MAX_ASKED):
+            name = self._choose_instance(share, asked)
             if name is None or self._clock.monotonic() >= deadline:
                 return None
             asked.add(name)
-            answer = await self._ask_other(name, share, want, deadline)
+            answer = await self._ask_other(name, share, request, deadline)
             if answer is not None:
                 return answer
         return None
 
-    def _ask_own(self, account: ShareAccount, want: QuotaRequest) -> Answer:
+    def _ask_own(self, account: ShareAccount, request: QuotaRequest) -> Answer:
         now = self._clock.monotonic()
         until = now + self._bounds.hold
-        return Answer(account.grant(want, now), self._holders.own, until)
+        return Answer(account.grant(request, now), self._holders.own, until)
 
-    def _choose(self, share: int, asked: set[str]) -> str | None:
-        """Return whom to ask: the accountant, or who may know it."""
+    def _choose_instance(self, share: int, asked: set[str]) -> str | None:
+        """Return the instance to ask: the accountant, or one that may know it."""
         names = [self._holders.find(share).name, *self._holders.find_candidates(share)]
         for name in names:
             if name in ("", self._holders.own) or name in asked:
@@ -187,38 +191,38 @@
         return self._clock.monotonic() < self._silent_until.get(name, 0.0)
 
     async def _ask_other(
-        self, name: str, share: int, want: QuotaRequest, deadline: float
+        self, name: str, share: int, request: QuotaRequest, deadline: float
     ) -> Answer | None:
-        """Ask one instance; return None if it has no say or doesn't answer."""
+        """Ask one instance; return None unless it answers as the accountant."""
         now = self._clock.monotonic()
-        patience = self._patience.setdefault(name, ReplyTimeout()).find_timeout()
-        pending = _Pending(name, share, want.team, now)
-        if not self._send(pending, want):
-            self._note_silence(name)
+        timeout = self._reply_timeouts.setdefault(name, ReplyTimeout()).find_timeout()
+        pending = _Pending(name, share, request.team, now)
+        if not self._send(pending, request):
+            self._record_silence(name)
             return None
-        with trio.move_on_after(min(deadline - now, patience)):
+        with trio.move_on_after(min(deadline - now, timeout)):
             await pending.done.wait()
-        pending.left = True
+        pending.abandoned = True
         if not pending.done.is_set():
-            self._note_silence(name)
+            self._record_silence(name)
             return None
         if pending.reply is None:
             return None
         return Answer(pending.reply, name, now + self._bounds.hold)
 
-    def _send(self, pending: _Pending, want: QuotaRequest) -> bool:
-        """Send an ask; return False if it will surely not arrive."""
-        self._forget_old(pending.sent_at)
+    def _send(self, pending: _Pending, request: QuotaRequest) -> bool:
+        """Send a request; return False if it will certainly not arrive."""
+        self._drop_expired(pending.sent_at)
         self._last_id += 1
         message = QuotaAsk(
             self._last_id,
             pending.share,
-            want.team,
-            want.amount,
-            want.version,
-            want.limit.rate,
-            want.limit.burst,
-            want.full,
+            request.team,
+            request.amount,
+            request.version,
+            request.limit.rate,
+            request.limit.burst,
+            request.full,
         )
         self._metrics.count("quota.asked")
         if not self._links.send(pending.asked, message):
@@ -226,30 +230,30 @@
         self._pending[self._last_id] = pending
         return True
 
-    def _note_silence(self, name: str) -> None:
-        """Leave an instance out for a while."""
+    def _record_silence(self, name: str) -> None:
+        """Don't ask an instance for a while, since it didn't answer."""
         if name in self._silent_until:
-            # Silent again: the connection may have gone silent for good.
+            # Silent again: the connection may be dead without having been closed.
             self._links.reconnect(name)
-        self._silent_until[name] = self._clock.monotonic() + SILENCE_TIME
+        self._silent_until[name] = self._clock.monotonic() + SILENT_TTL
 
-    def _forget_old(self, now: float) -> None:
-        """Forget asks whose grants would have ended."""
+    def _drop_expired(self, now: float) -> None:
+        """Drop timed-out requests whose grants would have expired."""
         while self._pending:
             number = next(iter(self._pending))
             pending = self._pending[number]
-            if not pending.left or now < pending.sent_at + self._bounds.hold:
+            if not pending.abandoned or now < pending.sent_at + self._bounds.hold:
                 return
             del self._pending[number]
 
     def _on_grant(self, sender: str, message: Message) -> None:
         assert isinstance(message, QuotaGrant)
-        pending = self._finish(sender, message.id)
+        pending = self._complete(sender, message.id)
         if pending is None:
             return
         until = pending.sent_at + self._bounds.hold
-        if pending.left:
-            self._on_late(pending.team, message.granted, until)
+        if pending.abandoned:
+            self._late_grant_listener(pending.team, message.granted, until)
         elif self._clock.monotonic() < until:
             pending.reply = QuotaReply(
                 message.granted,
@@ -262,19 +266,19 @@
 
     def _on_elsewhere(self, sender: str, message: Message) -> None:
         assert isinstance(message, QuotaElsewhere)
-        pending = self._finish(sender, message.id)
+        pending = self._complete(sender, message.id)
         if pending is None:
             return
-        self._holders.note(pending.share, Holder(message.holder, message.revision))
+        self._holders.record(pending.share, Holder(message.holder, message.revision))
         pending.done.set()
 
-    def _finish(self, sender: str, number: int) -> _Pending | None:
-        """Return the ask that a message answers; None if it is none of those."""
+    def _complete(self, sender: str, number: int) -> _Pending | None:
+        """Remove and return the request that a message answers, or None."""
         pending = self._pending.get(number)
         if pending is None or pending.asked != sender:
             return None
         del self._pending[number]
         self._silent_until.pop(sender, None)
         taken = self._clock.monotonic() - pending.sent_at
-        self._patience[sender].record(taken)
+        self._reply_timeouts[sender].record(taken)
         return pending
--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -1,7 +1,7 @@
-"""Who accounts the shares of the teams' rate limits, as far as this instance knows.
+"""What this instance knows about the accountants of the shares of teams' rate limits.
 
 See Also:
-    `walkcart.membership.quotashares`, for the shares that it accounts itself.
+    `walkcart.membership.quotashares`, for the shares that this instance accounts.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from walkcart.kernel.clock import Clock
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
-from walkcart.membership.quotakeys import StoredKey, read_key, read_share
+from walkcart.membership.quotakeys import StoredKey, decode_key, parse_share
 from walkcart.membership.registration import Registration
 from walkcart.routing.accountants import (
     Site,
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """Who accounts a share.
+    """The accountant of a share.
 
     Args:
-        name: of the accountant; empty when none is known.
-        revision: of the key that says so.
+        name: the name of the accountant; empty if none is known.
+        revision: the revision of the key that names it.
     """
 
     name: str = ""
@@ -40,18 +40,18 @@
 
 
 @dataclass(slots=True)
-class _Known:
-    """What is known of one share.
+class _ShareState:
+    """What is known about one share.
 
     Args:
-        holder: who accounts it.
-        last: who accounted it last.
-        released: revision of the key that its accountant said it uses no longer.
-        offered: revision of the key that its accountant can't renew.
-        wanted: revision of the key that this instance asked it for.
-        heard_at: when it was last heard of, in seconds; None if it never was.
-        tries: to take it since then.
-        retry_at: when this instance may try again.
+        holder: the accountant.
+        last: the name of the last known accountant.
+        released: the revision of the key that its accountant announced to be unused.
+        offered: the revision of the key that its accountant can't renew.
+        wanted: the revision of the key that this instance asked its accountant for.
+        last_heard_at: when it was last heard of, in seconds; None if it never was.
+        attempts: attempts of this instance to take the share since then.
+        retry_at: when this instance may try again, in seconds.
     """
 
     holder: Holder = Holder()
@@ -59,18 +59,18 @@
     released: int = 0
     offered: int = 0
     wanted: int = 0
-    heard_at: float | None = None
-    tries: int = 0
+    last_heard_at: float | None = None
+    attempts: int = 0
     retry_at: float = 0.0
 
 
 class QuotaHolders:
-    """Knows who accounts each share, and who would take it.
+    """Tracks the accountant of each share and the candidates to take it over.
 
     Args:
-        registration: knows the instances.
+        registration: lists the instances.
         clock: source of time.
-        events: where keys that can't be read are logged.
+        events: log of keys that can't be decoded.
     """
 
     def __init__(
@@ -79,92 +79,97 @@
         self._registration = registration
         self._clock = clock
         self._events = events
-        self._known = [_Known() for _ in range(MAX_SHARES)]
+        self._shares = [_ShareState() for _ in range(MAX_SHARES)]
         self._candidates: dict[int, list[str]] = {}
-        self._on_holder: Callable[[str], None] = lambda name: None
+        self._listener: Callable[[str], None] = lambda name: None
         registration.on_change(self._candidates.clear)
 
     @property
     def own(self) -> str:
-        """Name of this instance."""
+        """The name of this instance."""
         return self._registration.own.name
 
-    def follow(self, listener: Callable[[str], None]) -> None:
+    def on_new_holder(self, listener: Callable[[str], None]) -> None:
         """Call `listener` with the name of each new accountant."""
-        self._on_holder = listener
+        self._listener = listener
 
     def find(self, share: int) -> Holder:
-        """Return who accounts a share."""
-        return self._known[share].holder
-
-    def note(self, share: int, holder: Holder) -> None:
-        """Note who accounts a share, from whoever says so."""
-        known = self._known[share]
-        given_up = not holder.name and holder.revision == known.holder.revision
-        if holder.revision > known.holder.revision or given_up:
+        """Return the known accountant of a share."""
+        return self._shares[share].holder
+
+    def record(self, share: int, holder: Holder) -> None:
+        """Record the accountant of a share, from any source."""
+        known = self._shares[share]
+        was_released = not holder.name and holder.revision == known.holder.revision
+        if holder.revision > known.holder.revision or was_released:
             is_other = holder.name not in ("", known.last)
             known.last = holder.name or known.last
             known.holder = holder
-            known.tries, known.retry_at = 0, 0.0
+            known.attempts, known.retry_at = 0, 0.0
             if is_other:
-                self._on_holder(holder.name)
+                self._listener(holder.name)
 
-    def note_heard(self, share: int, holder: Holder) -> bool:
-        """Note the accountant's own word; return whether it isn't outdated."""
-        self.note(share, holder)
-        known = self._known[share]
+    def record_announcement(self, share: int, holder: Holder) -> bool:
+        """Record an accountant's own message; return False if it is outdated."""
+        self.record(share, holder)
+        known = self._shares[share]
         if holder.revision < known.holder.revision:
             return False
-        known.heard_at = self._clock.monotonic()
-        known.tries, known.retry_at = 0, 0.0
+        known.last_heard_at = self._clock.monotonic()
+        known.attempts, known.retry_at = 0, 0.0
         return True
 
-    def note_released(self, share: int, revision: int) -> None:
-        """Note the accountant's own word that it uses a key no longer."""
-        self._known[share].released = revision
+    def record_released(self, share: int, revision: int) -> None:
+        """Record the accountant's own message that it no longer uses a key."""
+        self._shares[share].released = revision
 
     def is_released(self, share: int, revision: int) -> bool:
-        """Return whether the accountant said that it uses a key no longer."""
-        return self._known[share].released == revision
+        """Return whether the accountant reported that it no longer uses a key."""
+        return self._shares[share].released == revision
 
-    def note_offer(self, share: int, revision: int) -> None:
-        """Note that the accountant would give a share up; 0 when it wouldn't."""
-        self._known[share].offered = revision
+    def record_offer(self, share: int, revision: int) -> None:
+        """Record that the accountant offers a share, since it can't renew the key.
 
-    def take_offer(self, share: int) -> int:
-        """Return the revision that is offered, once; 0 if none is."""
-        known = self._known[share]
+        Args:
+            share: the share.
+            revision: the revision of its key; 0 withdraws the offer.
+        """
+        self._shares[share].offered = revision
+
+    def pop_offer(self, share: int) -> int:
+        """Return the offered revision and clear the offer; return 0 without one."""
+        known = self._shares[share]
         offered, known.offered = known.offered, 0
         return offered
 
-    def note_wanted(self, share: int, revision: int) -> None:
-        """Note that this instance asked an accountant for its share."""
-        self._known[share].wanted = revision
+    def record_requested(self, share: int, revision: int) -> None:
+        """Record that this instance asked an accountant for its share."""
+        self._shares[share].wanted = revision
 
-    def note_lost(self, share: int) -> None:
-        """Note that this instance accounts a share no longer."""
-        self.note_heard(share, Holder("", self.find(share).revision))
+    def record_lost(self, share: int) -> None:
+        """Record that this instance no longer accounts a share."""
+        self.record_announcement(share, Holder("", self.find(share).revision))
 
-    def read_item(self, item: Item) -> tuple[int, StoredKey] | None:
-        """Note a stored key; return its share and what it says."""
-        share = read_share(item.key)
+    def record_item(self, item: Item) -> tuple[int, StoredKey] | None:
+        """Record a stored key; return its share and content, or None if invalid."""
+        share = parse_share(item.key)
         if share is None or share >= MAX_SHARES:
             return None
         try:
-            stored = read_key(item)
+            stored = decode_key(item)
         except msgspec.MsgspecError as error:
             self._events.emit(
                 Events.PEER_BAD_MESSAGE, key=item.key, detail=str(error)[:200]
             )
             return None
-        self.note(share, Holder(stored.key.holder, stored.revision))
-        known = self._known[share]
-        if known.heard_at is None and stored.key.holder:
-            known.heard_at = self._clock.monotonic()
+        self.record(share, Holder(stored.key.holder, stored.revision))
+        known = self._shares[share]
+        if known.last_heard_at is None and stored.key.holder:
+            known.last_heard_at = self._clock.monotonic()
         return share, stored
 
     def find_candidates(self, share: int) -> list[str]:
-        """Return the instances that may take a share, in order."""
+        """Return the names of the instances that may take a share, by rank."""
         if share not in self._candidates:
             records = [*self._registration.others(), self._registration.own]
             sites = {
@@ -175,38 +180,38 @@
             self._candidates[share] = rank_candidates(share, sites)
         return self._candidates[share]
 
-    def may_try(self, share: int, since: float, is_busy: bool) -> bool:
-        """Return whether this instance is to look whether it can take a share.
+    def should_try(self, share: int, since: float, is_busy: bool) -> bool:
+        """Return whether this instance should try to take a share now.
 
         Args:
-            share: which one.
-            since: when shares began to be of use, in seconds.
-            is_busy: whether this instance accounts another one.
+            share: the share.
+            since: when shares began to be needed, in seconds.
+            is_busy: whether this instance accounts another share.
         """
-        known = self._known[share]
+        known = self._shares[share]
         now = self._clock.monotonic()
         if now < known.retry_at:
             return False
         if known.holder.name == self.own:
-            # The key of a former life, which nobody else can take yet.
+            # Stored by an earlier process of this instance; no other can take it yet.
             return True
         if known.wanted and known.holder == Holder("", known.wanted):
-            # Given up to this instance, and nobody else has it yet.
+            # Released for this instance, and not taken by another one yet.
             return True
         if not self._registration.is_settled:
             return False
         candidates = self.find_candidates(share)
         if self.own not in candidates:
             return False
-        # Who accounted it last is the least likely to take it.
+        # The last accountant is the least likely to take the share, so it comes last.
         order = sorted(candidates, key=lambda name: name == known.last)
-        was_heard = bool(known.holder.name) and known.heard_at is not None
-        begun = max(since, known.heard_at or since)
+        was_heard = bool(known.holder.name) and known.last_heard_at is not None
+        start = max(since, known.last_heard_at or since)
         wait = find_attempt_delay(order.index(self.own), is_busy, was_heard)
-        return now >= begun + wait
+        return now >= start + wait
 
-    def note_try(self, share: int) -> None:
-        """Note that this instance tries to take a share."""
-        known = self._known[share]
-        known.tries += 1
-        known.retry_at = self._clock.monotonic() + find_retry_delay(known.tries)
+    def record_attempt(self, share: int) -> None:
+        """Record that this instance tries to take a share."""
+        known = self._shares[share]
+        known.attempts += 1
+        known.retry_at = self._clock.monotonic() + find_retry_delay(known.attempts)
