--- a/walkcart/leaves/access.py
+++ b/walkcart/leaves/access.py
@@ -27,11 +27,13 @@
     def __init__(self, tools: PoolTools) -> None:
         self._tools = tools
 
-    def is_upheld(self, kind: str, grant: Grant | None) -> bool:
+    def is_grant_valid(self, kind: str, grant: Grant | None) -> bool:
         """Return whether what let a request in is still in force."""
         return grant is None or self._tools.keeper.table.upholds(kind, grant)
 
-    def regions_now(self, kind: str, regions: Regions, grant: Grant | None) -> Regions:
+    def current_regions(
+        self, kind: str, regions: Regions, grant: Grant | None
+    ) -> Regions:
         """Return the regions among some that the document in force allows still.
 
         Args:
@@ -39,7 +41,7 @@
             regions: that whoever admitted it allowed.
             grant: by what it was let in; None where that isn't looked at.
         """
-        if not self.is_upheld(kind, grant):
+        if not self.is_grant_valid(kind, grant):
             return NOWHERE
         table = self._tools.keeper.table
         return regions.intersect(table.regions_of(kind, grant.team if grant else ""))
@@ -90,9 +92,9 @@
         return NotRun(Reason.NO_LEAF, f"leaf {leaf.id}: {obstacle.value}")
 
     def _find_obstacle(self, leaf: Leaf, attempt: Attempt) -> Obstacle | None:
-        if not self.is_upheld(attempt.kind, attempt.grant):
+        if not self.is_grant_valid(attempt.kind, attempt.grant):
             return Obstacle.ACCESS_GONE
-        regions = self.regions_now(attempt.kind, attempt.regions, attempt.grant)
+        regions = self.current_regions(attempt.kind, attempt.regions, attempt.grant)
         return self._tools.directory.find_obstacle(leaf, regions)
 
     def find_room(self, service: str, regions: Regions) -> timedelta | None:
--- a/walkcart/leaves/coldroom.py
+++ b/walkcart/leaves/coldroom.py
@@ -55,23 +55,27 @@
 
     def wait(self, leaf: Leaf, now: float) -> float:
         """Return the seconds until a request may go to a leaf; 0 when it may now."""
-        most = self._find_most(leaf, now)
-        if most is None:
+        max_requests = self._find_max_requests(leaf, now)
+        if max_requests is None:
             return 0.0
         until_warm = leaf.cold_until - now
         share = self._find_share(leaf.data_centre)
         if share is None:
             return until_warm
-        return min(until_warm, self._log_of(leaf).wait(now, share.of(most)))
+        return min(
+            until_warm, self._send_log_of(leaf).wait(now, share.of(max_requests))
+        )
 
-    def take(self, leaf: Leaf, now: float) -> bool:
+    def try_acquire(self, leaf: Leaf, now: float) -> bool:
         """Take room for a request that is sent now; return False when there is none."""
-        most = self._find_most(leaf, now)
-        if most is None:
+        max_requests = self._find_max_requests(leaf, now)
+        if max_requests is None:
             self._logs.pop(leaf.id, None)
             return True
         share = self._find_share(leaf.data_centre)
-        return share is not None and self._log_of(leaf).take(now, share.of(most))
+        return share is not None and self._send_log_of(leaf).take(
+            now, share.of(max_requests)
+        )
 
     def find_offered_share(self, leaf: Leaf, now: float) -> float:
         """Return the share of choices that a leaf takes part in after it was cold."""
@@ -90,7 +94,7 @@
         for leaf in self._directory.leaves():
             spec = self._spec_of(leaf)
             if spec is not None and leaf.data_centre in data_centres:
-                leaf.note_cold(now + spec.cold_time.total_seconds())
+                leaf.extend_cold(now + spec.cold_time.total_seconds())
 
     def find_bounded(self) -> frozenset[str]:
         """Return the data centres with leafs that have a bound while they are cold."""
@@ -110,7 +114,7 @@
         return frozenset(
             leaf.data_centre
             for leaf in self._directory.leaves()
-            if self._find_most(leaf, now) is not None
+            if self._find_max_requests(leaf, now) is not None
         )
 
     def _has_bounds(self) -> bool:
@@ -118,7 +122,7 @@
         services = self._keeper.table.services.values()
         return any(spec.cold_rate > 0.0 for spec in services)
 
-    def _find_most(self, leaf: Leaf, now: float) -> int | None:
+    def _find_max_requests(self, leaf: Leaf, now: float) -> int | None:
         """Return what a leaf may get of all instances; None when it isn't bounded."""
         if now >= leaf.cold_until:
             return None
@@ -128,7 +132,7 @@
     def _spec_of(self, leaf: Leaf) -> ServiceSpec | None:
         return self._keeper.table.services.get(leaf.labels["service"])
 
-    def _log_of(self, leaf: Leaf) -> SendLog:
+    def _send_log_of(self, leaf: Leaf) -> SendLog:
         if leaf.id not in self._logs:
             self._logs[leaf.id] = SendLog()
         return self._logs[leaf.id]
--- a/walkcart/leaves/directory.py
+++ b/walkcart/leaves/directory.py
@@ -30,9 +30,9 @@
 
 #: How long after the store's return a lapsed entry is kept: living leafs have stored
 #: theirs again by then, as the platform's operators state.
-LAPSE_TIME = timedelta(seconds=2.2)
+LAPSE_GRACE = timedelta(seconds=2.2)
 #: Lives that answered for another one are remembered; bounds their number.
-REPLACED_LIMIT = 4096
+MAX_REPLACED = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,7 +142,7 @@
             return
         if entry.life in self._replaced:
             return
-        while len(self._replaced) >= REPLACED_LIMIT:
+        while len(self._replaced) >= MAX_REPLACED:
             del self._replaced[next(iter(self._replaced))]
         self._replaced[entry.life] = None
         self._events.emit(Events.LEAF_REMOVED, leaf=leaf.id, reason="replaced")
@@ -160,7 +160,7 @@
         for id in found:
             self._lapsed.pop(id, None)
         now = self._clock.monotonic()
-        lapsing = now - self._store_back_at() < LAPSE_TIME.total_seconds()
+        lapsing = now - self._store_back_at() < LAPSE_GRACE.total_seconds()
         for id in [id for id in self._entries if id not in found]:
             if lapsing and not self._entries[id].leaving:
                 if id not in self._lapsed:
@@ -170,25 +170,25 @@
             else:
                 self._lapsed.pop(id, None)
                 self._events.emit(Events.LEAF_REMOVED, leaf=id, reason="entry gone")
-        self._note_news(found)
+        self._log_changes(found)
         before, self._entries = self._entries, found
         self._rebuild()
         for id, entry in found.items():
             if before.get(id) is not entry and entry.cold_time:
                 # A leaf may become cold again at any moment of its life.
                 until = now + entry.cold_time.total_seconds()
-                self._leaves[id].note_cold(until)
+                self._leaves[id].extend_cold(until)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Drop entries that stay lapsed, until cancelled."""
         task_status.started()
         while True:
-            await trio.sleep(LAPSE_TIME.total_seconds() / 8)
+            await trio.sleep(LAPSE_GRACE.total_seconds() / 8)
             self._drop_lapsed()
 
     def _drop_lapsed(self) -> None:
         now = self._clock.monotonic()
-        if now - self._store_back_at() < LAPSE_TIME.total_seconds():
+        if now - self._store_back_at() < LAPSE_GRACE.total_seconds():
             return
         gone = [id for id in self._lapsed if id in self._entries]
         if not gone:
@@ -199,7 +199,7 @@
             self._events.emit(Events.LEAF_REMOVED, leaf=id, reason="lapsed")
         self._rebuild()
 
-    def _note_news(self, found: dict[str, LeafEntry]) -> None:
+    def _log_changes(self, found: dict[str, LeafEntry]) -> None:
         for id, entry in found.items():
             held = self._entries.get(id)
             if held is None or held.life != entry.life:
@@ -220,7 +220,7 @@
         now = self._clock.monotonic()
         for id, entry in self._entries.items():
             leaf = self._leaves.get(id)
-            if leaf is None or not _is_life_of(leaf, entry):
+            if leaf is None or not _is_same_process(leaf, entry):
                 leaf = self._make_leaf(entry, now)
             leaves[id] = leaf
             standing = self._describe(entry)
@@ -244,12 +244,12 @@
         }
         leaf = Leaf(entry.address, labels, entry.slots, id=entry.id)
         if entry.cold_time:
-            leaf.note_cold(now + entry.cold_time.total_seconds())
+            leaf.extend_cold(now + entry.cold_time.total_seconds())
         leaf.incarnation = entry.incarnation
         return leaf
 
 
-def _is_life_of(leaf: Leaf, entry: LeafEntry) -> bool:
+def _is_same_process(leaf: Leaf, entry: LeafEntry) -> bool:
     """Return whether an entry is of the life of a leaf that an account is kept of.
 
     One that started again knows nothing of before: what was learned of it, and the
--- a/walkcart/leaves/endcheck.py
+++ b/walkcart/leaves/endcheck.py
@@ -16,7 +16,7 @@
 #: Seconds for which the leaf's machine may take to refuse a connection: two round trips
 #: between the users' farthest regions, and as much again for a busy machine here. Past
 #: it nothing is known of the leaf's process.
-CHECK_TIME = 0.1
+CHECK_TIMEOUT = 0.1
 
 #: Takes a stream that was opened to a leaf that lives.
 Adopt = Callable[[trio.abc.Stream], None]
@@ -45,7 +45,7 @@
         the check that is under way.
         """
         if self._running is not None:
-            with trio.move_on_after(CHECK_TIME):
+            with trio.move_on_after(CHECK_TIMEOUT):
                 await self._running.wait()
             return self._ended
         self._running = trio.Event()
@@ -57,7 +57,7 @@
             self._running = None
 
     async def _check(self) -> bool:
-        with trio.move_on_after(CHECK_TIME):
+        with trio.move_on_after(CHECK_TIMEOUT):
             try:
                 stream = await self._network.connect(parse_host_port(self._address))
             except ConnectionRefusedError:
--- a/walkcart/leaves/exchange.py
+++ b/walkcart/leaves/exchange.py
@@ -34,17 +34,17 @@
 from walkcart.wire.network import Network
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-IDLE_TIME = timedelta(seconds=30)
+IDLE_TIMEOUT = timedelta(seconds=30)
 #: A reply that comes this long after its deadline is still read to the end, so
 #: that the connection can be kept.
-DRAIN_TIME = timedelta(milliseconds=500)
+DRAIN_TIMEOUT = timedelta(milliseconds=500)
 
 
 @dataclass(slots=True)
 class Pending:
     """An attempt with its receiver; without one a cancel, or else a check.
 
-    `crowded_at` is when it began to wait for room at the leaf, if it had to.
+    `blocked_since` is when it began to wait for room at the leaf, if it had to.
     """
 
     attempt: Attempt | None
@@ -52,7 +52,7 @@
     cancel_id: str = ""
     abandoned: bool = False
     scope: trio.CancelScope | None = None
-    crowded_at: float | None = None
+    blocked_since: float | None = None
 
 
 #: Returns why an attempt may not be sent to a leaf now; None when it may.
@@ -90,13 +90,13 @@
     def __init__(self, leaf: Leaf, tools: LinkTools, adopt: Adopt) -> None:
         self._leaf = leaf
         self._tools = tools
-        self._ends = EndCheck(leaf.address, tools.network, adopt)
+        self._end_check = EndCheck(leaf.address, tools.network, adopt)
         #: Seconds that the leaf keeps an idle connection, as it said last.
-        self.idle_time = IDLE_TIME.total_seconds()
+        self.idle_timeout = IDLE_TIMEOUT.total_seconds()
 
     async def has_ended(self) -> bool:
         """Return whether the leaf's process has surely ended."""
-        return await self._ends.has_ended()
+        return await self._end_check.has_ended()
 
     async def run(
         self,
@@ -127,13 +127,13 @@
             shard=attempt.shard,
         )
         with tools.tracer.hold(span):
-            limit = remaining + DRAIN_TIME.total_seconds()
+            limit = remaining + DRAIN_TIMEOUT.total_seconds()
             with trio.move_on_after(limit) as pending.scope:
                 tools.metrics.count("leaf.sent")
                 try:
                     reply = await self._send_and_read(connection, attempt, remaining)
                 except ExchangeFailed as error:
-                    return False, await self._judge_failure(error, attempt)
+                    return False, await self._classify_failure(error, attempt)
                 elapsed = tools.clock.monotonic() - start
                 found = dict(reply.headers)
                 if not tools.protocol.is_ours(attempt, found):
@@ -142,7 +142,7 @@
                     )
                     detail = "the reply isn't this attempt's"
                     return False, Failed(MayHaveRun(Reason.LEAF_FAILED, detail))
-                self._note_reply(found)
+                self._record_reply(found)
                 outcome = tools.protocol.read_outcome(attempt, reply, found, elapsed)
                 return connection.renew(), outcome
         if pending.abandoned:
@@ -160,15 +160,17 @@
             request, lambda reply: protocol.is_ours(attempt, dict(reply.headers))
         )
 
-    def _note_reply(self, found: Mapping[bytes, bytes]) -> None:
+    def _record_reply(self, found: Mapping[bytes, bytes]) -> None:
         """Take in what the leaf says on a reply beside the reply itself."""
         protocol = self._tools.protocol
         self._tools.on_status(self._leaf, protocol.read_status(found))
-        idle_time = protocol.read_idle_time(found)
-        if idle_time is not None:
-            self.idle_time = min(idle_time, IDLE_TIME.total_seconds())
+        idle_timeout = protocol.read_idle_time(found)
+        if idle_timeout is not None:
+            self.idle_timeout = min(idle_timeout, IDLE_TIMEOUT.total_seconds())
 
-    async def _judge_failure(self, error: ExchangeFailed, attempt: Attempt) -> Failed:
+    async def _classify_failure(
+        self, error: ExchangeFailed, attempt: Attempt
+    ) -> Failed:
         """Return what a failed exchange means."""
         if not error.sent:
             return Failed(NotRun(Reason.UNREACHABLE, str(error)))
--- a/walkcart/leaves/forwarding.py
+++ b/walkcart/leaves/forwarding.py
@@ -46,7 +46,7 @@
 ANSWER_GRACE = 1.0
 #: Seconds after which an attempt that was on its way to its holder isn't sent on: its
 #: question may have been answered, or its caller gone, half a second before.
-MOST_AGE = 0.2
+MAX_ASK_AGE = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,9 +92,9 @@
         self._cancel_here: Callable[[str, str], None] | None = None
         self._find_leaf: Callable[[str], Leaf | None] | None = None
         self._sent: dict[str, _Sent] = {}
-        self._at_holder: Counter[str] = Counter()
+        self._count_by_holder: Counter[str] = Counter()
         #: Attempts of others that are in progress, by id: the sender and the leaf.
-        self._carried: dict[str, tuple[str, str]] = {}
+        self._accepted: dict[str, tuple[str, str]] = {}
         self._asks: dict[str, list[ForwardedAttempt]] = {}
         self._replies: dict[str, list[ForwardedOutcome]] = {}
         self._wakeup = trio.Event()
@@ -103,7 +103,7 @@
         links.on(ForwardCancel, self._on_cancel)
         view.on_change(self._on_member_change)
 
-    def connect(
+    def set_local_access(
         self,
         submit_here: SubmitHere,
         cancel_here: Callable[[str, str], None],
@@ -117,11 +117,11 @@
     @property
     def carrying(self) -> int:
         """Attempts of other instances that are in progress here."""
-        return len(self._carried)
+        return len(self._accepted)
 
     def in_progress_at(self, holder: str) -> int:
         """Return the attempts that `holder` has of this instance."""
-        return self._at_holder[holder]
+        return self._count_by_holder[holder]
 
     def submit(
         self, holder: str, leaf: Leaf, attempt: Attempt, deliver: Deliver
@@ -143,7 +143,7 @@
             attempt.repeatable,
         )
         self._sent[attempt.id] = _Sent(holder, attempt, leaf, deliver, span)
-        self._at_holder[holder] += 1
+        self._count_by_holder[holder] += 1
         self._asks.setdefault(holder, []).append(forwarded)
         self._wakeup.set()
 
@@ -174,7 +174,7 @@
                 continue
             for forwarded in attempts:
                 detail = f"no message could be queued for {holder}"
-                self._end(forwarded.id, Failed(NotRun(Reason.UNREACHABLE, detail)))
+                self._finish(forwarded.id, Failed(NotRun(Reason.UNREACHABLE, detail)))
         replies, self._replies = self._replies, {}
         for asker, outcomes in replies.items():
             self._links.send(asker, ForwardReply(tuple(outcomes)))
@@ -188,12 +188,12 @@
             ]
             for id in late:
                 verdict = MayHaveRun(Reason.DEADLINE, "the holder didn't answer")
-                self._end(id, Failed(verdict))
+                self._finish(id, Failed(verdict))
 
-    def _end(self, id: str, outcome: Outcome) -> None:
+    def _finish(self, id: str, outcome: Outcome) -> None:
         sent = self._sent.pop(id, None)
         if sent is not None:
-            self._at_holder[sent.holder] -= 1
+            self._count_by_holder[sent.holder] -= 1
             if sent.span is not None:
                 sent.span.end()
             sent.deliver(sent.attempt, outcome)
@@ -206,7 +206,7 @@
         lost = [id for id, sent in self._sent.items() if sent.holder == new.name]
         for id in lost:
             detail = f"the holder {new.name} doesn't answer"
-            self._end(id, Failed(MayHaveRun(Reason.UNREACHABLE, detail)))
+            self._finish(id, Failed(MayHaveRun(Reason.UNREACHABLE, detail)))
 
     def _on_reply(self, sender: str, message: Message) -> None:
         assert isinstance(message, ForwardReply)
@@ -216,25 +216,25 @@
                 continue
             if outcome.headers:
                 self._on_status(sent.leaf, read_status(dict(outcome.headers)))
-            self._end(outcome.id, _read_forwarded(sent.attempt, outcome))
+            self._finish(outcome.id, _read_forwarded(sent.attempt, outcome))
 
     def _on_ask(self, sender: str, message: Message, age: float) -> None:
         assert isinstance(message, ForwardAsk)
         for forwarded in message.attempts:
-            if age > MOST_AGE:
+            if age > MAX_ASK_AGE:
                 verdict = NotRun(Reason.UNREACHABLE, "it was on its way for too long")
                 self._answer(sender, forwarded, Failed(verdict))
             else:
-                self._carry(sender, forwarded)
+                self._submit_for(sender, forwarded)
 
-    def _carry(self, sender: str, forwarded: ForwardedAttempt) -> None:
+    def _submit_for(self, sender: str, forwarded: ForwardedAttempt) -> None:
         """Send another instance's attempt over this one's connections."""
 
         def answer(attempt: Attempt, outcome: Outcome) -> None:
-            self._carried.pop(attempt.id, None)
+            self._accepted.pop(attempt.id, None)
             self._answer(sender, forwarded, outcome)
 
-        held = self._carried.get(forwarded.id)
+        held = self._accepted.get(forwarded.id)
         if held is not None:
             if held[0] != sender:
                 verdict = NotRun(Reason.INTERNAL, "the attempt's id is in use")
@@ -249,7 +249,7 @@
             self._answer(sender, forwarded, Failed(verdict))
             return
         attempt = replace(attempt, body=forwarded.body)
-        self._carried[attempt.id] = (sender, forwarded.leaf)
+        self._accepted[attempt.id] = (sender, forwarded.leaf)
         assert self._submit_here is not None
         if not self._submit_here(forwarded.leaf, attempt, answer):
             verdict = NotRun(Reason.NO_LEAF, "this instance holds no connection")
@@ -258,7 +258,7 @@
     def _on_cancel(self, sender: str, message: Message) -> None:
         assert isinstance(message, ForwardCancel)
         for id in message.ids:
-            owner, address = self._carried.get(id, ("", ""))
+            owner, address = self._accepted.get(id, ("", ""))
             if owner == sender and self._cancel_here is not None:
                 self._cancel_here(address, id)
 
--- a/walkcart/leaves/gateway.py
+++ b/walkcart/leaves/gateway.py
@@ -86,7 +86,7 @@
         self._shares: dict[str, int] = {}
         self._wanted_since: dict[str, tuple[int, float]] = {}
         self._nursery: trio.Nursery | None = None
-        forwarder.connect(self._submit_here, self._cancel_here, table.find)
+        forwarder.set_local_access(self._submit_here, self._cancel_here, table.find)
 
     def delay_of(self, group: str) -> HedgeDelay:
         """Return the learned latencies of a shard group."""
@@ -103,7 +103,7 @@
         for resolved in (*self._previous, *groups):
             for leaf in resolved.leaves:
                 self._caps[leaf.address] = resolved.group.connections
-        self._note_groups()
+        self._apply_groups()
 
     def submit(
         self, leaf: Leaf, attempt: Attempt, group: str, deliver: Deliver
@@ -111,19 +111,19 @@
         """Send `attempt` to `leaf`; `deliver` is told once how it ended."""
         leaf.outstanding += 1
 
-        def account(attempt: Attempt, outcome: Outcome) -> None:
+        def finish(attempt: Attempt, outcome: Outcome) -> None:
             leaf.outstanding -= 1
-            self._account(leaf, attempt, group, outcome)
+            self._record_outcome(leaf, attempt, group, outcome)
             deliver(attempt, outcome)
 
-        if self._submit_here(leaf.address, attempt, account):
+        if self._submit_here(leaf.address, attempt, finish):
             return
         holder = self._choose_holder(leaf)
         if holder is None:
             detail = f"no instance that holds {leaf.address} is reached"
-            account(attempt, Failed(NotRun(Reason.UNREACHABLE, detail)))
+            finish(attempt, Failed(NotRun(Reason.UNREACHABLE, detail)))
             return
-        self._forwarder.submit(holder, leaf, attempt, account)
+        self._forwarder.submit(holder, leaf, attempt, finish)
 
     def cancel(self, leaf: Leaf, attempt_id: str, waited: float) -> None:
         """Nobody waits for this attempt any longer; it had `waited` seconds."""
@@ -138,7 +138,7 @@
     def note_status(self, leaf: Leaf, status: LeafStatus) -> None:
         """Take in what a leaf said about itself."""
         if status.incarnation:
-            leaf.note_incarnation(status.incarnation)
+            leaf.update_incarnation(status.incarnation)
         if status.leaving:
             self._marks.note_leaving(leaf.address, status.incarnation)
         elif status.incarnation:
@@ -157,15 +157,15 @@
         """Keep the shares of connections until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
-            self._note_groups()
+            self._apply_groups()
             while True:
-                self._look_at_instances()
+                self._update_instances()
                 self._check_leaving()
                 total = sum(link.connections for link in self._links.values())
                 self._metrics.gauge("leaf.connections", total)
                 await trio.sleep(SHARE_INTERVAL)
 
-    def _note_groups(self) -> None:
+    def _apply_groups(self) -> None:
         """Take the leaves of all groups; close the links to those that went."""
         held = {
             leaf.address: HeldLeaf(
@@ -181,12 +181,12 @@
             # What is in progress there still ends.
             self._links.pop(address).close()
             self._shares.pop(address, None)
-        self._divide()
+        self._update_shares()
 
-    def _look_at_instances(self) -> None:
+    def _update_instances(self) -> None:
         """Divide anew after instances came or went; let shares grow when due."""
         for address in list(self._wanted_since):
-            self._divide_leaf(address)
+            self._update_share(address)
         if self._view.version == self._view_version:
             return
         self._view_version = self._view.version
@@ -194,7 +194,7 @@
         instances = {item.name: item.region for item in self._view.sharing()}
         instances.setdefault(own.name, own.region)
         if self._holders.set_instances(instances):
-            self._divide()
+            self._update_shares()
 
     def _check_leaving(self) -> None:
         """Ask leaving leaves now and then whether they started again.
@@ -211,13 +211,13 @@
             else:
                 link.close_idle()
 
-    def _divide(self) -> None:
+    def _update_shares(self) -> None:
         """Work out this instance's share of each leaf's connections."""
         if self._nursery is not None:
             for leaf in self._holders.leaves():
-                self._divide_leaf(leaf.address)
+                self._update_share(leaf.address)
 
-    def _divide_leaf(self, address: str) -> None:
+    def _update_share(self, address: str) -> None:
         leaf = self._table.find(address)
         if leaf is None or address not in self._caps:
             self._wanted_since.pop(address, None)
@@ -225,9 +225,9 @@
         holders = self._holders.holders(address)
         shares = ConnectionShares(self._caps[address])
         holds = self._view.own.name in holders
-        self._settle(leaf, shares.share_of(len(holders)) if holds else 0)
+        self._apply_share(leaf, shares.share_of(len(holders)) if holds else 0)
 
-    def _settle(self, leaf: Leaf, wanted: int) -> None:
+    def _apply_share(self, leaf: Leaf, wanted: int) -> None:
         """Shrink at once, but grow only after the division has stood a while."""
         address = leaf.address
         now = self._clock.monotonic()
@@ -287,13 +287,13 @@
             default=None,
         )
 
-    def _account(
+    def _record_outcome(
         self, leaf: Leaf, attempt: Attempt, group: str, outcome: Outcome
     ) -> None:
         now = self._clock.monotonic()
         match outcome:
             case Replied(elapsed=elapsed):
-                self._note_reply(leaf, group, now, elapsed)
+                self._record_reply(leaf, group, now, elapsed)
             case Refused():
                 pass
             case Failed(NotRun(Reason.CANCELLED | Reason.DEADLINE)):
@@ -301,16 +301,16 @@
             case Failed(MayHaveRun(Reason.CANCELLED)):
                 pass
             case Failed():
-                self._note_failure(leaf, group, now)
+                self._record_failure(leaf, group, now)
 
-    def _note_reply(self, leaf: Leaf, group: str, now: float, elapsed: float) -> None:
+    def _record_reply(self, leaf: Leaf, group: str, now: float, elapsed: float) -> None:
         delay = self.delay_of(group)
         leaf.latency.observe(now, elapsed)
         delay.observe(now, elapsed)
         if leaf.ejection.note_success():
             self._events.emit(Events.LEAF_RETURNED, leaf=leaf.address)
 
-    def _note_failure(self, leaf: Leaf, group: str, now: float) -> None:
+    def _record_failure(self, leaf: Leaf, group: str, now: float) -> None:
         self._metrics.count("leaf.failed")
         resolved = self._groups.get(group)
         leaves = resolved.leaves if resolved else ()
--- a/walkcart/leaves/leaf.py
+++ b/walkcart/leaves/leaf.py
@@ -12,7 +12,7 @@
 from walkcart.routing.replyshare import ReplyShare
 
 #: Seconds after which half of a leaf's stated load is forgotten.
-STATED_HALF_LIFE = 0.1
+LOAD_HALF_LIFE = 0.1
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -81,10 +81,10 @@
         #: Until when it is cold, as it said itself or as follows from an evacuation.
         self.cold_until = 0.0
         #: When the oldest requests under way there were sent, by attempt.
-        self.under_way: dict[str, float] = {}
-        self.replied_at = 0.0
-        self._stated = 0.0
-        self._stated_at = 0.0
+        self.in_flight: dict[str, float] = {}
+        self.last_reply_at = 0.0
+        self._reported = 0.0
+        self._reported_at = 0.0
 
     @property
     def region(self) -> str:
@@ -110,14 +110,14 @@
             waiting: requests that wait inside this instance for the leaf.
         """
         own = self.outstanding - waiting
-        self._stated = max(0.0, float(outstanding - own))
-        self._stated_at = now
+        self._reported = max(0.0, float(outstanding - own))
+        self._reported_at = now
 
     def stated_load(self, now: float) -> float:
         """Return the requests of others that likely are there still."""
-        return self._stated * 0.5 ** ((now - self._stated_at) / STATED_HALF_LIFE)
+        return self._reported * 0.5 ** ((now - self._reported_at) / LOAD_HALF_LIFE)
 
-    def note_cold(self, until: float) -> None:
+    def extend_cold(self, until: float) -> None:
         """Take in until when it is cold; it never becomes warm sooner than it said."""
         self.cold_until = max(self.cold_until, until)
 
@@ -127,7 +127,7 @@
             self.first_used = now
         return now - self.first_used
 
-    def note_incarnation(self, incarnation: int) -> None:
+    def update_incarnation(self, incarnation: int) -> None:
         """Take in the life that the leaf stated; a new one starts cold."""
         if incarnation <= self.incarnation:
             return
--- a/walkcart/leaves/link.py
+++ b/walkcart/leaves/link.py
@@ -18,10 +18,10 @@
 from walkcart.kernel.settings import parse_host_port
 from walkcart.kernel.taskfaults import note_task_fault
 from walkcart.leaves.attempts import Attempt, Deliver, Failed, Outcome
-from walkcart.leaves.exchange import IDLE_TIME, LeafExchanges, LinkTools, Pending
+from walkcart.leaves.exchange import IDLE_TIMEOUT, LeafExchanges, LinkTools, Pending
 from walkcart.leaves.leaf import Leaf
 from walkcart.leaves.linkqueue import HasRoom, LinkQueue, has_always_room
-from walkcart.leaves.protocol import REPLY_LIMIT
+from walkcart.leaves.protocol import MAX_REPLY_BYTES
 from walkcart.wire.http import (
     ExchangeFailed,
     HttpConnection,
@@ -30,10 +30,10 @@
 
 CONNECT_TIME = timedelta(seconds=1)
 #: Seconds without a new try after a failure to connect; doubles up to the longest.
-FIRST_BACKOFF = 0.05
-LONGEST_BACKOFF = 2.0
+INITIAL_BACKOFF = 0.05
+MAX_BACKOFF = 2.0
 #: A connection idle for longer is checked before a non-repeatable request.
-FRESH_TIME = timedelta(seconds=1)
+MAX_UNCHECKED_IDLE = timedelta(seconds=1)
 
 
 class LeafLink:
@@ -64,7 +64,7 @@
         self._idle = trio.lowlevel.ParkingLot()
         self._connections = 0
         self._closed = False
-        self._backoff = FIRST_BACKOFF
+        self._backoff = INITIAL_BACKOFF
         self._connect_after = float("-inf")
         self._exchanges = LeafExchanges(leaf, tools, self._adopt)
 
@@ -84,12 +84,12 @@
 
     def submit(self, attempt: Attempt, deliver: Deliver) -> None:
         """Queue `attempt`; `deliver` is told once how it ended."""
-        if self._closed or not self._can_carry():
+        if self._closed or not self._can_send():
             detail = f"no connection to {self.leaf.address}"
             deliver(attempt, Failed(NotRun(Reason.UNREACHABLE, detail)))
             return
         if self._queue.add(attempt, deliver):
-            self._call_worker()
+            self._wake_connection()
 
     def is_waiting(self, attempt_id: str) -> bool:
         """Return whether an attempt waits still."""
@@ -101,15 +101,15 @@
         Nothing of it was sent; its outcome tells that the leaf had no room, or else
         couldn't be reached.
         """
-        pending = self._queue.take_out(attempt_id)
+        pending = self._queue.remove(attempt_id)
         if pending is None:
             return False
         detail = f"no connection to {self.leaf.address} in time"
         verdict = NotRun(Reason.UNREACHABLE, detail)
-        if pending.crowded_at is not None:
+        if pending.blocked_since is not None:
             detail = f"the leaf at {self.leaf.address} has enough to do"
             verdict = NotRun(Reason.NO_ROOM, detail)
-        self._end(pending, Failed(verdict))
+        self._finish(pending, Failed(verdict))
         return True
 
     def cancel(self, attempt_id: str) -> bool:
@@ -118,9 +118,9 @@
         Returns:
             Whether the leaf may have it.
         """
-        waiting = self._queue.take_out(attempt_id)
+        waiting = self._queue.remove(attempt_id)
         if waiting is not None:
-            self._end(waiting, Failed(NotRun(Reason.CANCELLED)))
+            self._finish(waiting, Failed(NotRun(Reason.CANCELLED)))
             return False
         pending = self._running.get(attempt_id)
         if pending is None or pending.abandoned:
@@ -132,8 +132,8 @@
         else:
             # Worth a new connection: until then a slot of the leaf is lost.
             if len(self._idle) or self._connections < self._share:
-                self._queue.add_first(Pending(None, None, cancel_id=attempt_id))
-                self._call_worker()
+                self._queue.add_front(Pending(None, None, cancel_id=attempt_id))
+                self._wake_connection()
         return True
 
     def set_share(self, share: int) -> None:
@@ -149,7 +149,7 @@
     def check(self) -> None:
         """Ask the leaf what it says of itself, over an idle connection or a new one."""
         if len(self._idle):
-            self._queue.add_first(Pending(None, None))
+            self._queue.add_front(Pending(None, None))
             self._idle.unpark()
         elif self._connections == 0 and self._may_connect():
             self.warm_up()
@@ -159,14 +159,14 @@
         self._closed = True
         self._idle.unpark_all()
 
-    def _can_carry(self) -> bool:
+    def _can_send(self) -> bool:
         """Return whether there is a connection or one may be opened now."""
         return self._connections > 0 or (self._share > 0 and self._may_connect())
 
     def _may_connect(self) -> bool:
         return self._tools.clock.monotonic() >= self._connect_after
 
-    def _call_worker(self) -> None:
+    def _wake_connection(self) -> None:
         if len(self._idle):
             self._idle.unpark()
         elif self._connections < self._share and self._may_connect():
@@ -190,7 +190,7 @@
         try:
             connection = await self._open(stream)
             if connection is not None:
-                await self._carry_all(connection)
+                await self._process_queue(connection)
         except Exception as error:
             # A fault of one connection must not end the instance.
             task = f"connection to {self.leaf.address}"
@@ -209,16 +209,16 @@
         gone or full must not be met with a storm of connections.
         """
         if opened:
-            self._backoff = FIRST_BACKOFF
+            self._backoff = INITIAL_BACKOFF
         else:
             self._connect_after = self._tools.clock.monotonic() + self._backoff
-            self._backoff = min(LONGEST_BACKOFF, self._backoff * 2)
-        if not self._can_carry() or (self._closed and self._connections == 0):
+            self._backoff = min(MAX_BACKOFF, self._backoff * 2)
+        if not self._can_send() or (self._closed and self._connections == 0):
             detail = f"no connection to {self.leaf.address}"
-            for pending in self._queue.take_all():
-                self._end(pending, Failed(NotRun(Reason.UNREACHABLE, detail)))
-        elif self._queue.may_take():
-            self._call_worker()
+            for pending in self._queue.remove_all():
+                self._finish(pending, Failed(NotRun(Reason.UNREACHABLE, detail)))
+        elif self._queue.has_sendable():
+            self._wake_connection()
 
     async def _open(self, stream: trio.abc.Stream | None) -> HttpConnection | None:
         """Connect and exchange a status; None when the leaf can't be reached."""
@@ -227,7 +227,7 @@
             with trio.fail_after(CONNECT_TIME.total_seconds()):
                 if stream is None:
                     stream = await self._tools.network.connect(address)
-                connection = HttpConnection(stream, self.leaf.address, REPLY_LIMIT)
+                connection = HttpConnection(stream, self.leaf.address, MAX_REPLY_BYTES)
                 try:
                     await self._check(connection)
                 except BaseException:
@@ -256,23 +256,23 @@
         if not connection.renew():
             raise OSError("the leaf closes the connection")
 
-    async def _carry_all(self, connection: HttpConnection) -> None:
+    async def _process_queue(self, connection: HttpConnection) -> None:
         last_used = self._tools.clock.monotonic()
         while True:
-            pending = await self._next()
+            pending = await self._wait_for_next()
             if pending is None:
                 return
-            if not await self._carry(connection, pending, last_used):
+            if not await self._process(connection, pending, last_used):
                 return
             last_used = self._tools.clock.monotonic()
 
-    async def _next(self) -> Pending | None:
+    async def _wait_for_next(self) -> Pending | None:
         """Wait for something to carry; None when the connection should close."""
         since = self._tools.clock.monotonic()
         while True:
             if self._connections > self._share or (self._closed and not self._queue):
                 return None
-            pending = self._queue.take()
+            pending = self._queue.pop()
             if pending is not None:
                 return pending
             await self._idle.park()
@@ -290,36 +290,38 @@
 
     def _was_idle_too_long(self, since: float) -> bool:
         idle = self._tools.clock.monotonic() - since
-        told = self._exchanges.idle_time < IDLE_TIME.total_seconds()
-        return idle >= self._exchanges.idle_time and (told or self._connections > 1)
+        told = self._exchanges.idle_timeout < IDLE_TIMEOUT.total_seconds()
+        return idle >= self._exchanges.idle_timeout and (told or self._connections > 1)
 
-    async def _carry(
+    async def _process(
         self, connection: HttpConnection, pending: Pending, last_used: float
     ) -> bool:
         """Carry one attempt or cancel; return whether the connection goes on."""
         if pending.attempt is None and pending.cancel_id:
             return await self._send_cancel(connection, pending.cancel_id)
         if pending.attempt is None:
-            return await self._is_fresh(connection)
+            return await self._still_serves(connection)
         attempt = pending.attempt
         now = self._tools.clock.monotonic()
         if attempt.deadline <= now:
-            self._end(pending, Failed(NotRun(Reason.DEADLINE, "it waited too long")))
+            self._finish(pending, Failed(NotRun(Reason.DEADLINE, "it waited too long")))
             return True
         if attempt.wary and await self._exchanges.has_ended():
             detail = f"the leaf at {self.leaf.address} had ended"
-            self._end(pending, Failed(NotRun(Reason.UNREACHABLE, detail)))
+            self._finish(pending, Failed(NotRun(Reason.UNREACHABLE, detail)))
             return False
-        stale = now - last_used > FRESH_TIME.total_seconds()
-        usable = connection.is_quiet() and now - last_used < self._exchanges.idle_time
+        stale = now - last_used > MAX_UNCHECKED_IDLE.total_seconds()
+        usable = (
+            connection.is_quiet() and now - last_used < self._exchanges.idle_timeout
+        )
         if usable and not attempt.repeatable and stale:
             # The leaf may have dropped it without a word; where it can't be asked,
             # a new connection costs less than a request that may have run.
             can_ask = self._tools.protocol.make_status_request() is not None
-            usable = can_ask and await self._is_fresh(connection)
+            usable = can_ask and await self._still_serves(connection)
         if not usable:
             # Nothing of the attempt was sent: it goes on over another one.
-            self._queue.add_first(pending)
+            self._queue.add_front(pending)
             return False
         if not self._admit(pending, attempt):
             return True
@@ -334,10 +336,10 @@
             # Also after a fault: an attempt that is never ended keeps its question
             # waiting until the deadline, and its leaf out of use for good.
             if refusal is not None:
-                self._end(pending, Failed(refusal))
+                self._finish(pending, Failed(refusal))
         return refusal is None
 
-    async def _is_fresh(self, connection: HttpConnection) -> bool:
+    async def _still_serves(self, connection: HttpConnection) -> bool:
         with trio.move_on_after(CONNECT_TIME.total_seconds()):
             try:
                 await self._check(connection)
@@ -361,8 +363,8 @@
             raise
         finally:
             del self._running[attempt.id]
-            self._end(pending, outcome)
-        if len(self._idle) and self._queue.may_take():
+            self._finish(pending, outcome)
+        if len(self._idle) and self._queue.has_sendable():
             self._idle.unpark()
         return clean
 
@@ -379,7 +381,7 @@
             return connection.renew()
         return False
 
-    def _end(self, pending: Pending, outcome: Outcome) -> None:
+    def _finish(self, pending: Pending, outcome: Outcome) -> None:
         if pending.attempt is None or pending.deliver is None:
             return
         if pending.abandoned:
--- a/walkcart/leaves/linkqueue.py
+++ b/walkcart/leaves/linkqueue.py
@@ -17,7 +17,7 @@
 from walkcart.routing.urgency import Urgency, UrgencyQueue
 
 #: Seconds between two lines about one leaf that has enough to do.
-TOLD_INTERVAL = 2.0
+LOG_INTERVAL = 2.0
 
 #: Returns whether a leaf has room for an attempt now.
 HasRoom = Callable[[Leaf, Attempt], bool]
@@ -41,15 +41,15 @@
         self._leaf = leaf
         self._tools = tools
         self._has_room = has_room
-        self._first: deque[Pending] = deque()
+        self._front: deque[Pending] = deque()
         self._attempts: UrgencyQueue[Pending] = UrgencyQueue()
-        self._told_at = float("-inf")
+        self._logged_at = float("-inf")
 
     def __len__(self) -> int:
-        return len(self._first) + len(self._attempts)
+        return len(self._front) + len(self._attempts)
 
     def __iter__(self) -> Iterator[Pending]:
-        yield from self._first
+        yield from self._front
         yield from self._attempts
 
     @property
@@ -67,28 +67,28 @@
         pending = Pending(attempt, deliver)
         urgency = Urgency(attempt.rank, attempt.objective_at, since=now)
         self._attempts.add(pending, urgency)
-        if self._fits(pending):
+        if self._is_sendable(pending):
             return True
-        pending.crowded_at = now
-        self._tell_crowded(now)
+        pending.blocked_since = now
+        self._report_crowded(now)
         return False
 
-    def add_first(self, pending: Pending) -> None:
+    def add_front(self, pending: Pending) -> None:
         """Queue what goes before all attempts that wait."""
-        self._first.appendleft(pending)
+        self._front.appendleft(pending)
 
-    def may_take(self) -> bool:
+    def has_sendable(self) -> bool:
         """Return whether something waits that may be carried now."""
-        return bool(self._first) or any(map(self._fits, self._attempts))
+        return bool(self._front) or any(map(self._is_sendable, self._attempts))
 
-    def take(self) -> Pending | None:
+    def pop(self) -> Pending | None:
         """Take what goes next; None when nothing may."""
-        if self._first:
-            return self._first.popleft()
+        if self._front:
+            return self._front.popleft()
         now = self._tools.clock.monotonic()
-        pending = self._attempts.take(now, self._fits)
-        if pending is not None and pending.crowded_at is not None:
-            waited = now - pending.crowded_at
+        pending = self._attempts.take(now, self._is_sendable)
+        if pending is not None and pending.blocked_since is not None:
+            waited = now - pending.blocked_since
             self._tools.metrics.time("leaf.wait", waited * 1000)
         return pending
 
@@ -99,33 +99,33 @@
                 return pending
         return None
 
-    def take_out(self, attempt_id: str) -> Pending | None:
+    def remove(self, attempt_id: str) -> Pending | None:
         """Take out an attempt that waits; None when it doesn't."""
         pending = self.find(attempt_id)
         if pending is None:
             return None
-        if pending in self._first:
-            self._first.remove(pending)
+        if pending in self._front:
+            self._front.remove(pending)
         else:
             self._attempts.remove(pending)
         return pending
 
-    def take_all(self) -> list[Pending]:
+    def remove_all(self) -> list[Pending]:
         """Take out all that waits."""
-        waiting = [*self._first, *self._attempts.clear()]
-        self._first.clear()
+        waiting = [*self._front, *self._attempts.clear()]
+        self._front.clear()
         return waiting
 
-    def _fits(self, pending: Pending) -> bool:
+    def _is_sendable(self, pending: Pending) -> bool:
         attempt = pending.attempt
         return attempt is None or self._has_room(self._leaf, attempt)
 
-    def _tell_crowded(self, now: float) -> None:
+    def _report_crowded(self, now: float) -> None:
         """Count an attempt that waits for room, and log it now and then."""
         self._tools.metrics.count("leaf.crowded")
-        if now < self._told_at + TOLD_INTERVAL:
+        if now < self._logged_at + LOG_INTERVAL:
             return
-        self._told_at = now
+        self._logged_at = now
         leaf = self._leaf
         self._tools.events.emit(
             Events.LEAF_CROWDED,
--- a/walkcart/leaves/pool.py
+++ b/walkcart/leaves/pool.py
@@ -32,17 +32,17 @@
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: Connections to a leaf whose service the routing document doesn't describe.
-UNKNOWN_CONNECTIONS = 8
+DEFAULT_CONNECTIONS = 8
 #: Seconds between two looks at links that nobody needs any longer, and at the shares.
 TIDY_INTERVAL = 1.0
 #: Such looks between two at idle connections, each of which wakes their tasks.
-IDLE_LOOKS = 4
+TIDY_ROUNDS_PER_IDLE_CHECK = 4
 #: Why attempts end that say nothing about their leaf.
-NOT_TRIED = frozenset(
+UNINFORMATIVE_REASONS = frozenset(
     (Reason.CANCELLED, Reason.DEADLINE, Reason.NO_LEAF, Reason.NO_ROOM)
 )
 #: Seconds that a request is taken to need before any was observed, by distance.
-FIRST_TIMES = {
+INITIAL_TIMES = {
     Distance.SAME_DATA_CENTRE: 0.03,
     Distance.SAME_REGION: 0.032,
     Distance.OTHER_REGION: 0.05,
@@ -61,20 +61,20 @@
         self._links: dict[str, LeafLink] = {}
         self._times: dict[tuple[str, Distance], KindTimes] = {}
         self._nursery: trio.Nursery | None = None
-        self.room = PoolRoom(self._links, self.usual_time, tools.link.clock)
+        self.room = PoolRoom(self._links, self.median_time, tools.link.clock)
 
     def times_of(self, kind: str, distance: Distance) -> KindTimes:
         """Return the learned times of one kind of request at leafs so far away."""
         key = (kind, distance)
         if key not in self._times:
-            self._times[key] = KindTimes(FIRST_TIMES[distance])
+            self._times[key] = KindTimes(INITIAL_TIMES[distance])
         return self._times[key]
 
     def distance_to(self, leaf: Leaf) -> Distance:
         """Return how far away a leaf is."""
         return measure_distance(leaf.place, self._tools.place)
 
-    def usual_time(self, leaf: Leaf, kind: str, now: float) -> float:
+    def median_time(self, leaf: Leaf, kind: str, now: float) -> float:
         """Return the seconds that such a request usually takes at such a leaf."""
         return self.times_of(kind, self.distance_to(leaf)).median(now)
 
@@ -130,20 +130,20 @@
         """Send `attempt` to `leaf`; `deliver` is told once how it ended."""
         now = self._tools.link.clock.monotonic()
         leaf.outstanding += 1
-        leaf.under_way[attempt.id] = now
+        leaf.in_flight[attempt.id] = now
         leaf.room.note_urgent(attempt.rank, attempt.objective_at - now, now)
 
-        def account(attempt: Attempt, outcome: Outcome) -> None:
+        def finish(attempt: Attempt, outcome: Outcome) -> None:
             leaf.outstanding -= 1
-            leaf.under_way.pop(attempt.id, None)
+            leaf.in_flight.pop(attempt.id, None)
             self._account(leaf, attempt, kind, outcome)
             deliver(attempt, outcome)
 
         link = self._find_link(leaf)
         if link is None:
-            account(attempt, Failed(NotRun(Reason.STOPPING, "the pool has stopped")))
+            finish(attempt, Failed(NotRun(Reason.STOPPING, "the pool has stopped")))
             return
-        link.submit(attempt, account)
+        link.submit(attempt, finish)
 
     def has_room(self, leaf: Leaf, attempt: Attempt) -> bool:
         """Return whether a leaf may be sent an attempt now, or else it waits here."""
@@ -172,7 +172,7 @@
     def note_waiting(self, leaf: Leaf, kind: str, waited: float) -> None:
         """Take in that a request has been waiting at a leaf for some seconds."""
         now = self._tools.link.clock.monotonic()
-        slowness = waited / self.usual_time(leaf, kind, now)
+        slowness = waited / self.median_time(leaf, kind, now)
         leaf.latency.observe_at_least(now, slowness)
 
     def note_status(self, leaf: Leaf, status: LeafStatus) -> None:
@@ -181,17 +181,17 @@
         if status.load is not None:
             leaf.note_stated(now, status.load, self.room.count_waiting(leaf))
         if status.cold_time:
-            leaf.note_cold(now + status.cold_time.total_seconds())
+            leaf.extend_cold(now + status.cold_time.total_seconds())
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Carry attempts until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
-            looks = 0
+            rounds = 0
             while True:
                 await trio.sleep(TIDY_INTERVAL)
-                looks += 1
-                self._tidy(with_idle=looks % IDLE_LOOKS == 0)
+                rounds += 1
+                self._tidy(with_idle=rounds % TIDY_ROUNDS_PER_IDLE_CHECK == 0)
 
     def _find_link(self, leaf: Leaf) -> LeafLink | None:
         link = self._links.get(leaf.id)
@@ -215,7 +215,7 @@
         """Return how many connections this instance may have to a leaf."""
         gatherers = self._gatherers
         spec = self._tools.keeper.table.services.get(leaf.labels["service"])
-        cap = spec.most_connections if spec else UNKNOWN_CONNECTIONS
+        cap = spec.most_connections if spec else DEFAULT_CONNECTIONS
         shares = ConnectionShares(cap)
         share = shares.share_of(self._tools.instances())
         return max(share, shares.gatherer_share(gatherers)) if gatherers else share
@@ -236,7 +236,7 @@
         self._tools.link.metrics.gauge("leaf.connections", total)
 
     def _describe(self, leaf: Leaf, kind: str, now: float) -> Standing:
-        usual = self.usual_time(leaf, kind, now)
+        usual = self.median_time(leaf, kind, now)
         return Standing(
             key=leaf.id,
             load=leaf.outstanding + leaf.stated_load(now),
@@ -255,13 +255,13 @@
         now = self._tools.link.clock.monotonic()
         match outcome:
             case Replied(status=status, elapsed=elapsed) if status < 500:
-                self._note_reply(leaf, kind, now, elapsed)
+                self._record_reply(leaf, kind, now, elapsed)
             case Refused(reason=Reason.LEAF_REPLACED):
                 self._tools.directory.forget(leaf)
             case Refused():
-                leaf.replied_at = now
+                leaf.last_reply_at = now
                 leaf.replies.note(now, good=False)
-            case Failed(NotRun(reason)) if reason in NOT_TRIED:
+            case Failed(NotRun(reason)) if reason in UNINFORMATIVE_REASONS:
                 pass
             case Failed(MayHaveRun(Reason.CANCELLED)):
                 pass
@@ -270,12 +270,12 @@
             case _:
                 self._note_failure(leaf, now)
 
-    def _note_reply(self, leaf: Leaf, kind: str, now: float, elapsed: float) -> None:
+    def _record_reply(self, leaf: Leaf, kind: str, now: float, elapsed: float) -> None:
         times = self.times_of(kind, self.distance_to(leaf))
         times.observe(elapsed)
         self._tools.link.metrics.time("leaf.time", elapsed * 1000)
         leaf.latency.observe(now, elapsed / times.median(now))
-        leaf.replied_at = now
+        leaf.last_reply_at = now
         leaf.replies.note(now, good=True)
         if leaf.ejection.note_success():
             self._tools.link.events.emit(Events.LEAF_RETURNED, leaf=leaf.id)
--- a/walkcart/leaves/poolroom.py
+++ b/walkcart/leaves/poolroom.py
@@ -20,18 +20,18 @@
 
     Args:
         links: to leafs, by their ids; the pool's own, as it changes.
-        usual_time: returns the seconds that a kind of request usually takes at a leaf.
+        median_time: returns the seconds that a kind of request usually takes at a leaf.
         clock: source of time.
     """
 
     def __init__(
         self,
         links: Mapping[str, LeafLink],
-        usual_time: Callable[[Leaf, str, float], float],
+        median_time: Callable[[Leaf, str, float], float],
         clock: Clock,
     ) -> None:
         self._links = links
-        self._usual_time = usual_time
+        self._median_time = median_time
         self._clock = clock
 
     @property
@@ -51,7 +51,7 @@
             # Its reply is what tells that there is room again.
             return True
         now = self._clock.monotonic()
-        time = self._find_time(leaf, attempt.kind, now)
+        time = self._estimate_time(leaf, attempt.kind, now)
         demand = Demand(attempt.rank, attempt.objective_at - now, time)
         return leaf.room.allows(demand, sent, leaf.stated_load(now), now)
 
@@ -69,10 +69,10 @@
             link = self._links.get(leaf.id)
             if link is None or not link.waiting:
                 return 0.0
-            time = self._find_time(leaf, kind, now)
+            time = self._estimate_time(leaf, kind, now)
             delays.append(find_turn(link.count_ahead(rank), leaf.slots, time))
         return min(delays, default=0.0)
 
-    def _find_time(self, leaf: Leaf, kind: str, now: float) -> float:
+    def _estimate_time(self, leaf: Leaf, kind: str, now: float) -> float:
         """Return the seconds that such a request takes at a leaf of late."""
-        return self._usual_time(leaf, kind, now) * leaf.latency.estimate(now, 1.0)
+        return self._median_time(leaf, kind, now) * leaf.latency.estimate(now, 1.0)
--- a/walkcart/leaves/protocol.py
+++ b/walkcart/leaves/protocol.py
@@ -54,7 +54,7 @@
 _CHECK_JSON = msgspec.json.Decoder(dict[str, msgspec.Raw]).decode
 
 #: Longest leaf reply that is taken, in bytes.
-REPLY_LIMIT = 4 << 20
+MAX_REPLY_BYTES = 4 << 20
 
 
 def encode_attempt(attempt: Attempt, remaining: float) -> HttpRequest:
@@ -229,7 +229,7 @@
         elapsed: seconds from the send to the last byte.
     """
     if found.get(RAN) == b"no":
-        return Refused(_refusal_reason(reply.status), _read_retry(found))
+        return Refused(_refusal_reason(reply.status), _read_retry_after(found))
     if reply.status == STATUS_CANCELLED:
         return Failed(MayHaveRun(Reason.CANCELLED))
     if not 200 <= reply.status < 300 and attempt.repeatable:
@@ -257,7 +257,7 @@
             return Reason.LEAF_REFUSED
 
 
-def _read_retry(found: HeaderMap) -> timedelta | None:
+def _read_retry_after(found: HeaderMap) -> timedelta | None:
     milliseconds = read_number(found.get(RETRY_AFTER_MS))
     return None if milliseconds is None else timedelta(milliseconds=milliseconds)
 
--- a/walkcart/leaves/scopedpool.py
+++ b/walkcart/leaves/scopedpool.py
@@ -45,12 +45,12 @@
     @property
     def regions(self) -> Regions:
         """Regions that the question may be served in now."""
-        return self._access.regions_now(self._kind, self._regions, self._grant)
+        return self._access.current_regions(self._kind, self._regions, self._grant)
 
     @property
     def is_open(self) -> bool:
         """Whether anything more may be sent for the question at all."""
-        return self._access.is_upheld(self._kind, self._grant)
+        return self._access.is_grant_valid(self._kind, self._grant)
 
     def leaves_of(self, service: str) -> tuple[Leaf, ...]:
         """Return the leafs of a service that may get the question."""
--- a/walkcart/leaves/table.py
+++ b/walkcart/leaves/table.py
@@ -15,7 +15,7 @@
 
 SHARD_LABEL = "shard"
 #: Resolved revisions that are kept for requests in progress.
-KEPT = 8
+MAX_CACHED_REVISIONS = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
         if key not in self._policies:
             service = document.configuration.find_service(service_name)
             assert service is not None
-            _trim(self._policies, KEPT * 32)
+            _trim(self._policies, MAX_CACHED_REVISIONS * 32)
             self._policies[key] = resolve_policy(document.configuration, service)
         return self._policies[key]
 
@@ -88,7 +88,7 @@
         if key not in self._groups:
             group = document.configuration.find_group(name)
             assert group is not None
-            _trim(self._groups, KEPT * 32)
+            _trim(self._groups, MAX_CACHED_REVISIONS * 32)
             self._groups[key] = self._resolve(document, group)
         return self._groups[key]
 
@@ -123,13 +123,13 @@
                 continue
             if not selector.matches(labels):
                 continue
-            leaf = self._take_leaf(row, labels, group)
+            leaf = self._get_or_create(row, labels, group)
             if leaf is not None:
                 shards[shard].append(leaf)
                 found[leaf.address] = leaf
         return ResolvedLayout(layout.epoch, tuple(tuple(part) for part in shards))
 
-    def _take_leaf(
+    def _get_or_create(
         self, row: ListedInstance, labels: dict[str, str], group: ShardGroup
     ) -> Leaf | None:
         try:
--- a/walkcart/leaves/tests/test_link.py
+++ b/walkcart/leaves/tests/test_link.py
@@ -233,7 +233,7 @@
     from walkcart.leaves import link
 
     # A body of this stand-in has some 100 bytes; a long query makes it longer.
-    monkeypatch.setattr(link, "REPLY_LIMIT", 2000)
+    monkeypatch.setattr(link, "MAX_REPLY_BYTES", 2000)
 
     async def run():
         async with open_estate() as world:
