--- a/walkcart/leaves/__init__.py
+++ b/walkcart/leaves/__init__.py
@@ -1,4 +1,4 @@
-"""Leaves: what is known of them, connections to them, requests through holders."""
+"""Leaves: state kept for each, connections to them, and requests through holders."""
 
 from walkcart.lazyimport import attach_names
 
--- a/walkcart/leaves/access.py
+++ b/walkcart/leaves/access.py
@@ -1,7 +1,8 @@
-"""Which leafs a request may go to now, by all that bears on it.
+"""Which leaves a request may go to now: regions, grants, obstacles and cold limits.
 
 See Also:
-    `walkcart.routing.eligibility` and `walkcart.routing.coldleafs`, which decide.
+    `walkcart.routing.eligibility` and `walkcart.routing.coldleafs`, which make
+    the decisions.
 """
 
 from __future__ import annotations
@@ -18,28 +19,28 @@
 
 
 class LeafAccess:
-    """Shows the leafs that requests may go to, and asks again before each send.
+    """Finds the leaves that requests may go to, and checks again before each send.
 
     Args:
-        tools: of the pool.
+        tools: dependencies of the pool.
     """
 
     def __init__(self, tools: PoolTools) -> None:
         self._tools = tools
 
     def is_grant_valid(self, kind: str, grant: Grant | None) -> bool:
-        """Return whether what let a request in is still in force."""
+        """Return whether the grant that admitted a request is still in force."""
         return grant is None or self._tools.keeper.table.upholds(kind, grant)
 
     def current_regions(
         self, kind: str, regions: Regions, grant: Grant | None
     ) -> Regions:
-        """Return the regions among some that the document in force allows still.
+        """Return those of `regions` that the document in force still allows.
 
         Args:
             kind: name of the request's route.
-            regions: that whoever admitted it allowed.
-            grant: by what it was let in; None where that isn't looked at.
+            regions: regions that were allowed when the request was admitted.
+            grant: grant that admitted it; None where that isn't checked.
         """
         if not self.is_grant_valid(kind, grant):
             return NOWHERE
@@ -47,14 +48,19 @@
         return regions.intersect(table.regions_of(kind, grant.team if grant else ""))
 
     def leaves_of(self, service: str, regions: Regions = ANYWHERE) -> tuple[Leaf, ...]:
-        """Return the leafs of a service in some regions that may get new work."""
+        """Return the leaves of a service in `regions` that may get new work."""
         leaves = self._tools.directory.leaves_of(service)
         if regions.names is None:
             return leaves
         return tuple(leaf for leaf in leaves if regions.allows(leaf.region))
 
     def leaves_with_room(self, service: str, regions: Regions) -> list[Leaf]:
-        """Return those among them that may get a request now, cold ones included."""
+        """Return the leaves of a service in `regions` that may get a request now.
+
+        Cold leaves that have reached their limit are left out. A leaf that was cold
+        until lately is included at random, with a probability that rises over time,
+        unless no leaf would remain.
+        """
         leaves = list(self.leaves_of(service, regions))
         cold = self._tools.cold
         if cold is None:
@@ -70,17 +76,17 @@
         return offered or leaves
 
     def places_of(self, service: str, regions: Regions = ANYWHERE) -> frozenset[Place]:
-        """Return the places in some regions where a service has such leafs."""
+        """Return the places in `regions` with leaves of a service that may get work."""
         places = self._tools.directory.places_of(service)
         if regions.names is None:
             return places
         return frozenset(place for place in places if regions.allows(place.region))
 
     def admit(self, leaf: Leaf, attempt: Attempt) -> NotRun | None:
-        """Return why an attempt may not be sent to a leaf now; None when it may.
+        """Return why an attempt may not be sent to a leaf now, or None if it may.
 
-        Asked just before the first byte: regions, data centres and keys may have been
-        taken away while the attempt waited for a connection.
+        Called just before the first byte is sent: regions, data centres and keys may
+        have been withdrawn while the attempt waited for a connection.
         """
         obstacle = self._find_obstacle(leaf, attempt)
         cold, now = self._tools.cold, self._tools.link.clock.monotonic()
@@ -98,7 +104,10 @@
         return self._tools.directory.find_obstacle(leaf, regions)
 
     def find_room(self, service: str, regions: Regions) -> timedelta | None:
-        """Return when a service's leafs have room again; None where none is cold."""
+        """Return the time until a leaf of a service may get a request.
+
+        None where leaves have no cold limits or the service has no leaves.
+        """
         cold, now = self._tools.cold, self._tools.link.clock.monotonic()
         if cold is None:
             return None
--- a/walkcart/leaves/attempts.py
+++ b/walkcart/leaves/attempts.py
@@ -1,4 +1,4 @@
-"""One request to one leaf, and how it ended."""
+"""Attempts (one request to one leaf each) and their outcomes."""
 
 from __future__ import annotations
 
@@ -18,30 +18,33 @@
     """One request to one leaf.
 
     Args:
-        id: unique; the leaf echoes it.
+        id: unique id, which the leaf echoes.
         shard: number of the shard.
-        deadline: on the kernel's monotonic clock, in seconds.
-        pin: snapshot that the reply must be of; version 0 leaves it open.
-        scope: partner scope that the leaf is told and echoes.
-        body: of the request.
+        deadline: latest time for the reply, on the kernel's monotonic clock, in
+            seconds.
+        pin: snapshot that the reply must reflect; version 0 accepts any version.
+        scope: partner scope that is sent to the leaf and echoed by it.
+        body: body of the request.
         once_key: idempotency key of a non-repeatable request, else empty.
         expires: for a non-repeatable request, the time of day, in seconds since
             1970, after which the leaf must not begin it.
-        traceparent: of the trace.
-        routed: the caller's request, which the leaf gets as it came; None for a
-            question of the product's own interface.
-        leaf_id: life of the leaf that it is meant for; empty where leaves don't
-            name theirs.
+        traceparent: W3C trace context.
+        routed: the caller's request, which is passed to the leaf unchanged; None
+            for a question of the product's own interface.
+        leaf_id: process of the leaf that the attempt is meant for; empty where
+            leaves have no such ids.
         idempotent: whether a second run of the routed request does no harm.
-        whole_part: whether a reply other than a success is of no use, as it is to
-            a question over many shards.
-        fingerprint: of the question, the same whenever it is asked again.
-        wary: whether the leaf is first seen to live, so that one which had ended
-            before isn't taken for one that ended under it.
-        kind: name of the route that a routed request came by.
-        regions: that a routed request may be served in.
-        grant: by what it was let in; None where that isn't looked at.
-        rank: 0 is the most urgent.
+        whole_part: whether only a success is of use, as for a question over many
+            shards.
+        fingerprint: fingerprint of the question, the same whenever it is repeated.
+        wary: whether the leaf must be seen to be alive before the send, so that a
+            leaf that had ended before isn't counted as one that ended under the
+            request.
+        kind: name of the route that matched a routed request.
+        regions: regions that may serve a routed request.
+        grant: permission by which the request was admitted; None where that isn't
+            checked.
+        rank: priority; 0 is the most urgent.
         objective_at: when an answer begins to lose value, on the clock of `deadline`;
             infinite when it doesn't.
     """
@@ -75,15 +78,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Replied:
-    """The leaf ran the request; the reply is whole and ours.
+    """The leaf ran the request; the reply is complete and belongs to the attempt.
 
     Args:
-        snapshot: that the reply reflects.
+        snapshot: state of the data that the reply reflects.
         partial: whether the leaf said that it didn't see its whole shard.
-        status: HTTP status of the leaf.
-        body: of the reply.
+        status: HTTP status of the reply.
+        body: body of the reply.
         elapsed: seconds from the send to the last byte.
-        headers: of the reply; kept for routed requests only.
+        headers: headers of the reply; kept for routed requests only.
     """
 
     snapshot: Snapshot
@@ -96,11 +99,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The leaf said that it did not run the request.
+    """The leaf stated that it did not run the request.
 
     Args:
-        reason: why.
-        retry_after: when it may take it; None when it said nothing.
+        reason: why it refused.
+        retry_after: time until it may accept the request; None if it didn't say.
     """
 
     reason: Reason
@@ -120,5 +123,5 @@
 
 Outcome = Replied | Refused | Failed
 
-#: Told how an attempt ended; exactly once for each attempt; must not wait.
+#: Called with the outcome of an attempt, exactly once for each; must not block.
 Deliver = Callable[[Attempt, Outcome], None]
--- a/walkcart/leaves/coldroom.py
+++ b/walkcart/leaves/coldroom.py
@@ -1,8 +1,11 @@
-"""What this instance may send to cold leafs now.
+"""Limits on what this instance sends to cold leaves.
+
+A cold leaf has just started or returned from an evacuation and can serve only a low
+rate of requests. The instances share this rate.
 
 See Also:
-    `walkcart.routing.coldleafs`, which decides by plain data.
-    `walkcart.membership.coldshares`, which says what share is this instance's.
+    `walkcart.routing.coldleafs`, which makes the decisions.
+    `walkcart.membership.coldshares`, which assigns the shares of the rate.
 """
 
 from __future__ import annotations
@@ -21,17 +24,18 @@
     find_offered_share,
 )
 
-#: Returns the share of the cold leafs of a data centre that this instance holds now.
+#: Returns this instance's present share of the rates that the cold leaves of a data
+#: centre can serve; None when it holds none.
 FindShare = Callable[[str], Share | None]
 
 
 class ColdRoom:
-    """Keeps what is sent to cold leafs within this instance's share of their bounds.
+    """Keeps requests to cold leaves within this instance's share of their limits.
 
     Args:
-        directory: the leafs.
-        keeper: the services, with the rates that their cold leafs bear.
-        bound: what follows from such a rate.
+        directory: the leaves.
+        keeper: the services, with the rates that their cold leaves can serve.
+        bound: converts such a rate into a limit on requests.
         clock: source of time.
     """
 
@@ -50,11 +54,11 @@
         self._find_share: FindShare = lambda data_centre: None
 
     def follow(self, find_share: FindShare) -> None:
-        """Ask `find_share` for this instance's shares."""
+        """Use `find_share` to find this instance's shares."""
         self._find_share = find_share
 
     def wait(self, leaf: Leaf, now: float) -> float:
-        """Return the seconds until a request may go to a leaf; 0 when it may now."""
+        """Return the seconds until a request may go to a leaf; 0 if it may go now."""
         max_requests = self._find_max_requests(leaf, now)
         if max_requests is None:
             return 0.0
@@ -67,7 +71,7 @@
         )
 
     def try_acquire(self, leaf: Leaf, now: float) -> bool:
-        """Take room for a request that is sent now; return False when there is none."""
+        """Count a request that is sent now; return False if the limit forbids it."""
         max_requests = self._find_max_requests(leaf, now)
         if max_requests is None:
             self._logs.pop(leaf.id, None)
@@ -78,9 +82,9 @@
         )
 
     def find_offered_share(self, leaf: Leaf, now: float) -> float:
-        """Return the share of choices that a leaf takes part in after it was cold."""
+        """Return the share of selections that include a leaf after its cold phase."""
         if not leaf.cold_until or now < leaf.cold_until:
-            # It never was cold, or how much it may get is bounded already.
+            # It never was cold, or it still is and the limit applies.
             return 1.0
         spec = self._spec_of(leaf)
         if spec is None or self._bound.most(spec.cold_rate) is None:
@@ -89,7 +93,7 @@
         return find_offered_share(now, leaf.cold_until, cold_time)
 
     def note_returned(self, data_centres: frozenset[str]) -> None:
-        """Take the leafs of data centres that are taken back for cold."""
+        """Treat the leaves of data centres that return from evacuation as cold."""
         now = self._clock.monotonic()
         for leaf in self._directory.leaves():
             spec = self._spec_of(leaf)
@@ -97,7 +101,7 @@
                 leaf.extend_cold(now + spec.cold_time.total_seconds())
 
     def find_bounded(self) -> frozenset[str]:
-        """Return the data centres with leafs that have a bound while they are cold."""
+        """Return the data centres with leaves that are limited while they are cold."""
         if not self._has_bounds():
             return frozenset()
         return frozenset(
@@ -107,7 +111,7 @@
         )
 
     def find_cold(self) -> frozenset[str]:
-        """Return the data centres with leafs that are cold now and have a bound."""
+        """Return the data centres with leaves that are cold now and limited."""
         if not self._has_bounds():
             return frozenset()
         now = self._clock.monotonic()
@@ -118,12 +122,12 @@
         )
 
     def _has_bounds(self) -> bool:
-        """Return whether any service has a bound; looked up twice a second."""
+        """Return whether any service limits its cold leaves; called twice a second."""
         services = self._keeper.table.services.values()
         return any(spec.cold_rate > 0.0 for spec in services)
 
     def _find_max_requests(self, leaf: Leaf, now: float) -> int | None:
-        """Return what a leaf may get of all instances; None when it isn't bounded."""
+        """Return the limit of a leaf over all instances; None if it has none now."""
         if now >= leaf.cold_until:
             return None
         spec = self._spec_of(leaf)
--- a/walkcart/leaves/directory.py
+++ b/walkcart/leaves/directory.py
@@ -1,10 +1,10 @@
-"""The leafs of each service, from their entries in the shared store.
+"""The leaves of each service, from their entries in the shared store.
 
-An entry that vanishes while the store was away, or just after its return, may only
-have lapsed: the leaf stores it again shortly if it lives. Until then it is kept.
+An entry that vanishes while the store is unreachable, or just after its return, may
+only have lapsed: a living leaf stores it again shortly, so it is kept for a while.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which brings the entries.
+    `walkcart.store.following.PrefixFollower`, which reads the entries.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
     find_obstacle,
 )
 
-#: How long after the store's return a lapsed entry is kept: living leafs have stored
-#: theirs again by then, as the platform's operators state.
+#: Time after the store's return for which a lapsed entry is kept: living leaves have
+#: stored theirs again by then, as the platform's operators state.
 LAPSE_GRACE = timedelta(seconds=2.2)
-#: Lives that answered for another one are remembered; bounds their number.
+#: Largest number of replaced leaf processes that are remembered.
 MAX_REPLACED = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class LeafEntry:
-    """What a leaf says about itself in the shared store.
+    """A leaf's own entry in the shared store.
 
     Args:
-        id: of its process life.
-        service: that it serves.
+        id: id of its process.
+        service: service that it serves.
         address: ``IP:port``.
-        data_centre: where it stands.
-        region: of that data centre.
-        slots: requests that it runs at once.
+        data_centre: its data centre.
+        region: region of that data centre.
+        slots: number of requests that it runs at once.
         leaving: whether it is about to end and wants no new work.
-        cold_time: how much longer it is cold, counted from when the entry was read.
-        incarnation: of its process life, where a leaf keeps its id when it starts
-            again; 0 where it doesn't say.
+        cold_time: remaining time of its cold phase when the entry was read.
+        incarnation: number of its process, where a leaf keeps its id over restarts;
+            0 where it doesn't state one.
     """
 
     id: str
@@ -64,18 +64,18 @@
 
     @property
     def life(self) -> tuple[str, int, str]:
-        """What tells this life of the leaf, where it is now, from all others."""
+        """Key of this process of the leaf at its present address."""
         return self.id, self.incarnation, self.address
 
 
 class LeafDirectory:
-    """Knows the leafs that may get work, by service.
+    """Keeps the leaves that may get work, by service.
 
     Args:
         clock: source of time.
-        events: where changes are logged.
-        store_back_at: returns when the store was reached again last; the present
-            while it isn't.
+        events: log of changes.
+        store_back_at: returns when the store last became reachable; the present
+            while it is unreachable.
     """
 
     def __init__(
@@ -95,35 +95,35 @@
         self.known = False
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after leafs came, went or changed."""
+        """Call `listener` after leaves are added, removed or changed."""
         self._listeners.append(listener)
 
     def leaves_of(self, service: str) -> tuple[Leaf, ...]:
-        """Return the leafs of a service that may get new work."""
+        """Return the leaves of a service that may get new work."""
         return self._by_service.get(service, ())
 
     def places_of(self, service: str) -> frozenset[Place]:
-        """Return the places where a service has leafs that may get new work."""
+        """Return the places where a service has leaves that may get new work."""
         return self._places.get(service, frozenset())
 
     def entries(self) -> Iterable[LeafEntry]:
-        """Return all entries, of leaving leafs too."""
+        """Return the entries of all leaves, including those that are leaving."""
         return self._entries.values()
 
     def leaves(self) -> Iterable[Leaf]:
-        """Return the accounts of all leafs, of leaving ones too."""
+        """Return all leaves, including those that are leaving."""
         return self._leaves.values()
 
     def find(self, id: str) -> Leaf | None:
-        """Return the account of the leaf with this id, or None."""
+        """Return the leaf with this id, or None."""
         return self._leaves.get(id)
 
     def find_obstacle(self, leaf: Leaf, regions: Regions) -> Obstacle | None:
-        """Return why a request may not go to a leaf now, or None when it may.
+        """Return why a request may not go to a leaf now, or None if it may.
 
         Args:
-            leaf: as it was chosen; another life of it may have begun since.
-            regions: that the request may be served in.
+            leaf: the leaf as it was chosen; it may have been restarted since.
+            regions: regions that may serve the request.
         """
         entry = self._entries.get(leaf.id)
         if entry is None or self._leaves.get(leaf.id) is not leaf:
@@ -135,10 +135,10 @@
         return LeafStanding(entry.region, entry.data_centre, entry.leaving, replaced)
 
     def forget(self, leaf: Leaf) -> None:
-        """Take note that another leaf answers at the address of this one."""
+        """Record that another leaf now answers at the address of this one."""
         entry = self._entries.get(leaf.id)
         if entry is None or self._leaves.get(leaf.id) is not leaf:
-            # It has started again since, or is gone.
+            # It was restarted since, or is gone.
             return
         if entry.life in self._replaced:
             return
@@ -149,12 +149,12 @@
         self._rebuild()
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
-        """Take the data centres whose leafs get nothing."""
+        """Set the evacuated data centres, whose leaves get no requests."""
         self._evacuated = data_centres
         self._rebuild()
 
     def set_entries(self, entries: Iterable[LeafEntry]) -> None:
-        """Take all entries that are stored now."""
+        """Replace all entries by those that are stored now."""
         self.known = True
         found = {entry.id: entry for entry in entries}
         for id in found:
@@ -175,12 +175,12 @@
         self._rebuild()
         for id, entry in found.items():
             if before.get(id) is not entry and entry.cold_time:
-                # A leaf may become cold again at any moment of its life.
+                # A leaf may become cold again at any time.
                 until = now + entry.cold_time.total_seconds()
                 self._leaves[id].extend_cold(until)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Drop entries that stay lapsed, until cancelled."""
+        """Remove entries that stay lapsed, until cancelled."""
         task_status.started()
         while True:
             await trio.sleep(LAPSE_GRACE.total_seconds() / 8)
@@ -214,7 +214,7 @@
                 self._events.emit(Events.LEAF_LEAVING, leaf=id, service=entry.service)
 
     def _rebuild(self) -> None:
-        """Work out the leafs of each service anew."""
+        """Recompute the leaves of each service and notify the listeners."""
         by_service: dict[str, list[Leaf]] = {}
         leaves: dict[str, Leaf] = {}
         now = self._clock.monotonic()
@@ -250,9 +250,9 @@
 
 
 def _is_same_process(leaf: Leaf, entry: LeafEntry) -> bool:
-    """Return whether an entry is of the life of a leaf that an account is kept of.
+    """Return whether an entry belongs to the process that `leaf` describes.
 
-    One that started again knows nothing of before: what was learned of it, and the
-    connections to it, are of no more use.
+    After a restart, the statistics of the former process and the connections to it
+    are of no use.
     """
     return (leaf.incarnation, leaf.address) == (entry.incarnation, entry.address)
--- a/walkcart/leaves/endcheck.py
+++ b/walkcart/leaves/endcheck.py
@@ -1,7 +1,7 @@
-"""Whether a leaf has ended, once a connection to it was closed without a reply.
+"""Check of whether a leaf's process has ended after it closed a connection.
 
-A closed connection may be one that the network reset or the leaf dropped. Of a process
-that ended the address refuses a new one, at once.
+A connection without a reply may also have been reset by the network or dropped by a
+living leaf. If the process has ended, its address refuses new connections at once.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from walkcart.kernel.settings import parse_host_port
 from walkcart.wire.network import Network
 
-#: Seconds for which the leaf's machine may take to refuse a connection: two round trips
-#: between the users' farthest regions, and as much again for a busy machine here. Past
-#: it nothing is known of the leaf's process.
+#: Seconds that the leaf's machine may take to refuse a connection: two round trips
+#: between the users' farthest regions, and as much again for a busy machine here. After
+#: that the state of the leaf's process is unknown.
 CHECK_TIMEOUT = 0.1
 
-#: Takes a stream that was opened to a leaf that lives.
+#: Takes over a stream that was opened to a living leaf.
 Adopt = Callable[[trio.abc.Stream], None]
 
 
 class EndCheck:
-    """Looks whether the process at one address has ended.
+    """Checks whether the process at one address has ended.
 
     Args:
         address: ``IP:port`` of the leaf.
         network: to connect by.
-        adopt: takes the stream of a check that found it alive.
+        adopt: takes over the stream of a check that found the process alive.
     """
 
     def __init__(self, address: str, network: Network, adopt: Adopt) -> None:
@@ -39,10 +39,10 @@
         self._running: trio.Event | None = None
 
     async def has_ended(self) -> bool:
-        """Return whether the process has surely ended.
+        """Return whether the process has certainly ended.
 
-        All connections to a leaf close together, so those that ask meanwhile wait for
-        the check that is under way.
+        All connections to an ended leaf close at once, so callers that come while a
+        check is running wait for its result.
         """
         if self._running is not None:
             with trio.move_on_after(CHECK_TIMEOUT):
@@ -63,7 +63,7 @@
             except ConnectionRefusedError:
                 return True
             except OSError:
-                # Not told by the leaf's machine, so it says nothing of the process.
+                # Not a refusal by the leaf's machine: the process may still live.
                 return False
             self._adopt(stream)
         return False
--- a/walkcart/leaves/exchange.py
+++ b/walkcart/leaves/exchange.py
@@ -1,7 +1,7 @@
-"""One exchange of an attempt with its leaf, and what a link keeps for it.
+"""One exchange of an attempt with its leaf, and the dependencies of links.
 
 See Also:
-    `walkcart.leaves.link.LeafLink`, which carries attempts by this.
+    `walkcart.leaves.link.LeafLink`, which sends attempts by this module.
 """
 
 from __future__ import annotations
@@ -35,16 +35,23 @@
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 IDLE_TIMEOUT = timedelta(seconds=30)
-#: A reply that comes this long after its deadline is still read to the end, so
-#: that the connection can be kept.
+#: Time after the deadline in which a late reply is still read to the end, so that the
+#: connection can be kept.
 DRAIN_TIMEOUT = timedelta(milliseconds=500)
 
 
 @dataclass(slots=True)
 class Pending:
-    """An attempt with its receiver; without one a cancel, or else a check.
+    """An entry of a link's queue: an attempt, a cancel or a status check.
 
-    `blocked_since` is when it began to wait for room at the leaf, if it had to.
+    Args:
+        attempt: attempt to send; None for a cancel or a check.
+        deliver: receiver of the attempt's outcome.
+        cancel_id: id of the attempt to cancel; empty for a check.
+        abandoned: whether the attempt was cancelled while it ran.
+        scope: cancels the running exchange.
+        blocked_since: when the attempt began to wait for capacity at the leaf; None
+            if it didn't have to.
     """
 
     attempt: Attempt | None
@@ -55,7 +62,7 @@
     blocked_since: float | None = None
 
 
-#: Returns why an attempt may not be sent to a leaf now; None when it may.
+#: Returns why an attempt may not be sent to a leaf now, or None if it may.
 Admit = Callable[[Leaf, Attempt], NotRun | None]
 
 
@@ -66,7 +73,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkTools:
-    """What every link of an instance uses."""
+    """Dependencies of every link of an instance.
+
+    Args:
+        network: opens connections.
+        clock: source of time.
+        events: log of leaf events.
+        metrics: counters and timers of leaf requests.
+        tracer: makes a span for each attempt.
+        on_status: called with what a leaf states about itself.
+        protocol: protocol of the leaves.
+        admit: called just before an attempt is sent.
+    """
 
     network: Network
     clock: Clock
@@ -82,20 +100,20 @@
     """Exchanges attempts with one leaf.
 
     Args:
-        leaf: what is known of it.
-        tools: what every link uses.
-        adopt: takes a stream that a check opened.
+        leaf: state of the leaf.
+        tools: dependencies of every link.
+        adopt: takes over a stream that a check opened.
     """
 
     def __init__(self, leaf: Leaf, tools: LinkTools, adopt: Adopt) -> None:
         self._leaf = leaf
         self._tools = tools
         self._end_check = EndCheck(leaf.address, tools.network, adopt)
-        #: Seconds that the leaf keeps an idle connection, as it said last.
+        #: Seconds that the leaf keeps an idle connection, by its last statement.
         self.idle_timeout = IDLE_TIMEOUT.total_seconds()
 
     async def has_ended(self) -> bool:
-        """Return whether the leaf's process has surely ended."""
+        """Return whether the leaf's process has certainly ended."""
         return await self._end_check.has_ended()
 
     async def run(
@@ -108,13 +126,13 @@
         """Exchange one attempt.
 
         Args:
-            connection: that carries it.
-            pending: holds it; its scope is set, to be cancelled from outside.
-            attempt: what to send.
-            timed_out: the outcome when its time passes.
+            connection: connection to send it over.
+            pending: entry of the attempt; its scope is set, for cancels from outside.
+            attempt: attempt to send.
+            timed_out: outcome if no reply comes in time.
 
         Returns:
-            Whether the connection is clean afterwards, and the outcome.
+            Whether the connection can be used again, and the outcome.
         """
         tools = self._tools
         start = tools.clock.monotonic()
@@ -161,7 +179,7 @@
         )
 
     def _record_reply(self, found: Mapping[bytes, bytes]) -> None:
-        """Take in what the leaf says on a reply beside the reply itself."""
+        """Record what the leaf states about itself in the headers of a reply."""
         protocol = self._tools.protocol
         self._tools.on_status(self._leaf, protocol.read_status(found))
         idle_timeout = protocol.read_idle_time(found)
@@ -171,7 +189,7 @@
     async def _classify_failure(
         self, error: ExchangeFailed, attempt: Attempt
     ) -> Failed:
-        """Return what a failed exchange means."""
+        """Return the outcome of a failed exchange."""
         if not error.sent:
             return Failed(NotRun(Reason.UNREACHABLE, str(error)))
         closed = error.kind is FailureKind.CLOSED
--- a/walkcart/leaves/forwarding.py
+++ b/walkcart/leaves/forwarding.py
@@ -1,7 +1,7 @@
-"""Leaf requests by way of the instances that hold the leaf's connections.
+"""Forwarding of leaf requests to the instances that hold the leaf's connections.
 
-What the questions of one moment send to one holder goes in one message, and so
-do the outcomes that come back together.
+Attempts for one holder that are submitted together go in one message, and so do the
+outcomes that are ready together.
 """
 
 from __future__ import annotations
@@ -42,16 +42,17 @@
 if TYPE_CHECKING:
     from opentelemetry.trace import Span
 
-#: Seconds that a holder's answer may come after the deadline.
+#: Seconds after the deadline in which a holder's answer is still accepted.
 ANSWER_GRACE = 1.0
-#: Seconds after which an attempt that was on its way to its holder isn't sent on: its
-#: question may have been answered, or its caller gone, half a second before.
+#: Largest age in seconds at which a holder still sends a forwarded attempt to the leaf:
+#: an older one's question may have been answered, or its caller gone, half a second
+#: before.
 MAX_ASK_AGE = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class _Sent:
-    """An attempt that a holder has."""
+    """An attempt that was forwarded to a holder and has no outcome yet."""
 
     holder: str
     attempt: Attempt
@@ -60,20 +61,20 @@
     span: Span | None
 
 
-#: Sends an attempt over this instance's own connections to a leaf's address;
-#: returns False when this instance holds none.
+#: Sends an attempt over this instance's own connections to a leaf's address; returns
+#: False if this instance holds none.
 SubmitHere = Callable[[str, Attempt, Deliver], bool]
 
 
 class Forwarder:
-    """Sends attempts to holders, and carries those of others.
+    """Forwards attempts to holders, and sends those that others forward.
 
     Args:
-        links: to the peers.
-        view: which of them live.
+        links: links to the peers.
+        view: states of the peers.
         clock: source of time.
-        on_status: told what a leaf said about itself.
-        tracer: makes a span for each attempt's way by a holder.
+        on_status: called with what a leaf states about itself.
+        tracer: makes a span for each forwarded attempt.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
         self._find_leaf: Callable[[str], Leaf | None] | None = None
         self._sent: dict[str, _Sent] = {}
         self._count_by_holder: Counter[str] = Counter()
-        #: Attempts of others that are in progress, by id: the sender and the leaf.
+        #: Sender and leaf of the attempts of others that are in progress here, by id.
         self._accepted: dict[str, tuple[str, str]] = {}
         self._asks: dict[str, list[ForwardedAttempt]] = {}
         self._replies: dict[str, list[ForwardedOutcome]] = {}
@@ -109,24 +110,30 @@
         cancel_here: Callable[[str, str], None],
         find_leaf: Callable[[str], Leaf | None],
     ) -> None:
-        """Name how this instance's own connections are used."""
+        """Set how this instance's own connections are used.
+
+        Args:
+            submit_here: sends an attempt over them.
+            cancel_here: cancels an attempt, given the leaf's address and its id.
+            find_leaf: returns the leaf at an address.
+        """
         self._submit_here = submit_here
         self._cancel_here = cancel_here
         self._find_leaf = find_leaf
 
     @property
     def carrying(self) -> int:
-        """Attempts of other instances that are in progress here."""
+        """Number of attempts of other instances that are in progress here."""
         return len(self._accepted)
 
     def in_progress_at(self, holder: str) -> int:
-        """Return the attempts that `holder` has of this instance."""
+        """Return the number of this instance's attempts that `holder` has."""
         return self._count_by_holder[holder]
 
     def submit(
         self, holder: str, leaf: Leaf, attempt: Attempt, deliver: Deliver
     ) -> None:
-        """Send `attempt` by way of `holder`."""
+        """Forward `attempt` to `holder`; `deliver` is called once with its outcome."""
         remaining = attempt.deadline - self._clock.monotonic()
         span = self._tracer.start(
             "peer.forward", attempt.traceparent, attempt=attempt.id, holder=holder
@@ -148,7 +155,7 @@
         self._wakeup.set()
 
     def cancel(self, attempt_id: str) -> bool:
-        """Tell the holder that nobody waits; False when no holder has it."""
+        """Send a cancel to the attempt's holder; return False if no holder has it."""
         sent = self._sent.get(attempt_id)
         if sent is None:
             return False
@@ -156,14 +163,14 @@
         return True
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Send what gathers, and give up on answers that don't come."""
+        """Send queued messages and expire unanswered attempts, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._expire)
             task_status.started()
             while True:
                 await self._wakeup.wait()
                 self._wakeup = trio.Event()
-                # Lets all that is ready to run add to the batch.
+                # Lets all tasks that are ready to run add to the batch.
                 await trio.sleep(0)
                 self._flush()
 
@@ -199,7 +206,7 @@
             sent.deliver(sent.attempt, outcome)
 
     def _on_member_change(self, old: MemberRecord | None, new: MemberRecord) -> None:
-        """Give up on what a holder has that is suspected or started again."""
+        """End the attempts at a holder that is suspected or was restarted."""
         same_life = old is None or old.incarnation in (0, new.incarnation)
         if same_life and new.state < MemberState.SUSPECT:
             return
@@ -228,7 +235,7 @@
                 self._submit_for(sender, forwarded)
 
     def _submit_for(self, sender: str, forwarded: ForwardedAttempt) -> None:
-        """Send another instance's attempt over this one's connections."""
+        """Send another instance's attempt over this instance's connections."""
 
         def answer(attempt: Attempt, outcome: Outcome) -> None:
             self._accepted.pop(attempt.id, None)
@@ -239,7 +246,7 @@
             if held[0] != sender:
                 verdict = NotRun(Reason.INTERNAL, "the attempt's id is in use")
                 self._answer(sender, forwarded, Failed(verdict))
-            # Else it came once more, and is answered once.
+            # Otherwise it is a duplicate message; the attempt is answered once.
             return
         deadline = self._clock.monotonic() + forwarded.remaining
         try:
--- a/walkcart/leaves/gateway.py
+++ b/walkcart/leaves/gateway.py
@@ -1,7 +1,7 @@
-"""The way to a leaf: over connections of this instance's own, or a holder's.
+"""Sending of attempts to leaves, over this instance's connections or a holder's.
 
-The gateway also keeps the account of each leaf (outstanding requests, latency,
-ejection, limit), since every attempt passes here.
+The gateway also keeps the statistics of each leaf (outstanding requests, latency,
+ejection, limit), since every attempt passes through it.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 from walkcart.wire.network import Network
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Seconds between two looks at the shares of connections.
+#: Seconds between two updates of the shares of connections.
 SHARE_INTERVAL = 0.5
-#: Seconds between two questions to a leaving leaf, and two looks at idle connections.
+#: Seconds between two status requests to a leaving leaf, and two idle checks.
 CHECK_INTERVAL = 2.0
-#: Seconds for which a new division must stand before an instance grows into it:
-#: by then the others have seen the same change and closed what they gave up.
+#: Seconds for which a larger share must stay the same before an instance uses it: by
+#: then the others have seen the same change and closed the connections they gave up.
 SETTLE_TIME = 2.0
 
 
@@ -43,13 +43,13 @@
 
     Args:
         table: the leaves.
-        marks: which of them are leaving.
-        view: the instances that share their connections.
+        marks: marks of the leaves that are leaving.
+        view: the instances that share the leaves' connections.
         forwarder: reaches leaves through holders.
         network: opens connections.
         clock: source of time.
-        events: where leaf events are logged.
-        metrics: where leaf requests are counted.
+        events: log of leaf events.
+        metrics: counters of leaf requests.
         tracer: makes a span for each attempt.
     """
 
@@ -89,14 +89,14 @@
         forwarder.set_local_access(self._submit_here, self._cancel_here, table.find)
 
     def delay_of(self, group: str) -> HedgeDelay:
-        """Return the learned latencies of a shard group."""
+        """Return the hedge delay of a shard group, from its observed latencies."""
         return self._delays.setdefault(group, HedgeDelay())
 
     def set_groups(self, groups: list[ResolvedGroup]) -> None:
-        """Divide the connections of these groups' leaves from now on.
+        """Set the shard groups whose leaves' connections are shared from now on.
 
-        The leaves of the groups before stay connected until the next change, for
-        questions that were admitted under the configuration before.
+        The leaves of the previous groups stay connected until the next change, for
+        questions that were admitted under the previous configuration.
         """
         self._previous = tuple(self._groups.values())
         self._groups = {resolved.group.name: resolved for resolved in groups}
@@ -108,7 +108,7 @@
     def submit(
         self, leaf: Leaf, attempt: Attempt, group: str, deliver: Deliver
     ) -> None:
-        """Send `attempt` to `leaf`; `deliver` is told once how it ended."""
+        """Send `attempt` to `leaf`; `deliver` is called once with its outcome."""
         leaf.outstanding += 1
 
         def finish(attempt: Attempt, outcome: Outcome) -> None:
@@ -126,7 +126,7 @@
         self._forwarder.submit(holder, leaf, attempt, finish)
 
     def cancel(self, leaf: Leaf, attempt_id: str, waited: float) -> None:
-        """Nobody waits for this attempt any longer; it had `waited` seconds."""
+        """Cancel an attempt whose result isn't needed, after it `waited` seconds."""
         leaf.latency.observe_at_least(self._clock.monotonic(), waited)
         if not self._forwarder.cancel(attempt_id):
             self._cancel_here(leaf.address, attempt_id)
@@ -136,7 +136,7 @@
         return not self._marks.is_leaving(leaf.address)
 
     def note_status(self, leaf: Leaf, status: LeafStatus) -> None:
-        """Take in what a leaf said about itself."""
+        """Record what a leaf stated about itself."""
         if status.incarnation:
             leaf.update_incarnation(status.incarnation)
         if status.leaving:
@@ -154,7 +154,7 @@
         return self._holders.holders(leaf.address)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Keep the shares of connections until cancelled."""
+        """Keep the shares of connections up to date until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             self._apply_groups()
@@ -166,7 +166,7 @@
                 await trio.sleep(SHARE_INTERVAL)
 
     def _apply_groups(self) -> None:
-        """Take the leaves of all groups; close the links to those that went."""
+        """Set the leaves of all groups; close the links to leaves that are gone."""
         held = {
             leaf.address: HeldLeaf(
                 leaf.address,
@@ -178,13 +178,13 @@
         }
         self._holders.set_leaves(list(held.values()))
         for address in [item for item in self._links if item not in held]:
-            # What is in progress there still ends.
+            # Attempts in progress there still end.
             self._links.pop(address).close()
             self._shares.pop(address, None)
         self._update_shares()
 
     def _update_instances(self) -> None:
-        """Divide anew after instances came or went; let shares grow when due."""
+        """Update the shares after a change of the instances; let due ones grow."""
         for address in list(self._wanted_since):
             self._update_share(address)
         if self._view.version == self._view_version:
@@ -197,9 +197,10 @@
             self._update_shares()
 
     def _check_leaving(self) -> None:
-        """Ask leaving leaves now and then whether they started again.
+        """Ask leaving leaves periodically whether they were restarted.
 
-        They get no work, so nothing else would tell when the list doesn't.
+        They get no work, so only the instance list could tell otherwise. The other
+        leaves' idle connections are checked at the same interval.
         """
         now = self._clock.monotonic()
         if now - self._checked_at < CHECK_INTERVAL:
@@ -212,7 +213,7 @@
                 link.close_idle()
 
     def _update_shares(self) -> None:
-        """Work out this instance's share of each leaf's connections."""
+        """Recompute this instance's share of each leaf's connections."""
         if self._nursery is not None:
             for leaf in self._holders.leaves():
                 self._update_share(leaf.address)
@@ -228,13 +229,13 @@
         self._apply_share(leaf, shares.share_of(len(holders)) if holds else 0)
 
     def _apply_share(self, leaf: Leaf, wanted: int) -> None:
-        """Shrink at once, but grow only after the division has stood a while."""
+        """Shrink a share at once, but let it grow only after `SETTLE_TIME`."""
         address = leaf.address
         now = self._clock.monotonic()
         present = self._shares.get(address, 0)
         if not present:
-            # Others send through a new holder at once; the part of the cap that
-            # isn't given out is for this first connection.
+            # Others forward to a new holder at once; the part of the cap that isn't
+            # assigned to anyone allows for this first connection.
             present = min(wanted, 1)
             self._set_share(leaf, present)
         if wanted <= present:
--- a/walkcart/leaves/leaf.py
+++ b/walkcart/leaves/leaf.py
@@ -1,4 +1,4 @@
-"""What an instance knows of one leaf."""
+"""The state that an instance keeps for one leaf."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from walkcart.routing.leafroom import LeafRoom
 from walkcart.routing.replyshare import ReplyShare
 
-#: Seconds after which half of a leaf's stated load is forgotten.
+#: Seconds after which a leaf's reported load counts for half.
 LOAD_HALF_LIFE = 0.1
 
 
@@ -21,7 +21,7 @@
 
     Args:
         layout: epoch of the layout.
-        version: index version; 0 stands for "any".
+        version: index version; 0 means any version.
     """
 
     layout: int
@@ -32,19 +32,19 @@
 
 
 ANY_VERSION = 0
-#: The snapshot of a request that leaves it to the leaf.
+#: The snapshot of a request that any snapshot may answer.
 UNPINNED = Snapshot(0, ANY_VERSION)
 
 
 class BadSnapshot(ValueError):
-    """A text that is no snapshot."""
+    """A text that is not a valid snapshot."""
 
 
 def parse_snapshot(text: str) -> Snapshot:
-    """Read ``layout:version``.
+    """Parse ``layout:version``.
 
     Raises:
-        BadSnapshot: not two whole numbers.
+        BadSnapshot: the text doesn't consist of two whole numbers.
     """
     first, _, second = text.partition(":")
     layout, version = read_number(first), read_number(second)
@@ -54,13 +54,13 @@
 
 
 class Leaf:
-    """One leaf: its place, what it said last, and how it has been doing.
+    """One leaf: its place, its last report and its recent performance.
 
     Args:
         address: ``IP:port``.
-        labels: as the instance list gives them.
-        slots: requests that it runs at once.
-        id: of its process life, where leafs name theirs.
+        labels: labels from the instance list.
+        slots: number of requests that it runs at once.
+        id: id of its process, where leaves have one.
     """
 
     def __init__(
@@ -78,9 +78,9 @@
         self.replies = ReplyShare()
         self.held: frozenset[int] | None = None
         self.first_used: float | None = None
-        #: Until when it is cold, as it said itself or as follows from an evacuation.
+        #: Until when it is cold, by its own statement or because of an evacuation.
         self.cold_until = 0.0
-        #: When the oldest requests under way there were sent, by attempt.
+        #: Send times of the requests in progress there, by attempt id, oldest first.
         self.in_flight: dict[str, float] = {}
         self.last_reply_at = 0.0
         self._reported = 0.0
@@ -88,47 +88,47 @@
 
     @property
     def region(self) -> str:
-        """Region that it stands in."""
+        """Region of the leaf."""
         return self.labels.get("region", "")
 
     @property
     def data_centre(self) -> str:
-        """Data centre that it stands in."""
+        """Data centre of the leaf."""
         return self.labels.get("data-centre", "")
 
     @property
     def place(self) -> Place:
-        """Where it stands."""
+        """Region and data centre of the leaf."""
         return Place(self.region, self.data_centre)
 
     def note_stated(self, now: float, outstanding: int, waiting: int = 0) -> None:
-        """Take in the leaf's word on its load; this instance's part is taken off.
+        """Record the load that the leaf reported, less this instance's own requests.
 
         Args:
             now: the present, in seconds.
-            outstanding: requests that the leaf has.
-            waiting: requests that wait inside this instance for the leaf.
+            outstanding: number of requests that the leaf has.
+            waiting: number of requests queued inside this instance for the leaf.
         """
         own = self.outstanding - waiting
         self._reported = max(0.0, float(outstanding - own))
         self._reported_at = now
 
     def stated_load(self, now: float) -> float:
-        """Return the requests of others that likely are there still."""
+        """Return the estimated number of requests of other instances at the leaf."""
         return self._reported * 0.5 ** ((now - self._reported_at) / LOAD_HALF_LIFE)
 
     def extend_cold(self, until: float) -> None:
-        """Take in until when it is cold; it never becomes warm sooner than it said."""
+        """Set the end of its cold phase, which is never moved to an earlier time."""
         self.cold_until = max(self.cold_until, until)
 
     def age(self, now: float) -> float:
-        """Return the seconds since this instance first used this life of it."""
+        """Return the seconds since this instance first used this incarnation of it."""
         if self.first_used is None:
             self.first_used = now
         return now - self.first_used
 
     def update_incarnation(self, incarnation: int) -> None:
-        """Take in the life that the leaf stated; a new one starts cold."""
+        """Record the leaf's incarnation; a new one resets its statistics."""
         if incarnation <= self.incarnation:
             return
         if self.incarnation:
--- a/walkcart/leaves/link.py
+++ b/walkcart/leaves/link.py
@@ -1,11 +1,10 @@
-"""The connections of one instance to one leaf: one task for each.
-
-Attempts wait in one queue, by urgency, and each connection's task carries one at a
-time as the leaf has room, so a waiting attempt costs the leaf nothing and can be
-cancelled for nothing. A
-running one that nobody waits for is cancelled: over another connection if one is
-idle, where the leaves' protocol has a request for that, and its own connection is
-drained and kept, since a new one costs time; else by closing its connection.
+"""The connections of one instance to one leaf, with one task for each.
+
+Attempts wait in one queue, ordered by urgency. Each connection's task sends one at a
+time when the leaf has capacity, so a queued attempt costs the leaf nothing and can be
+cancelled for free. A running attempt whose result isn't needed is cancelled over another
+connection, if the leaves' protocol has a request for that; its own connection is drained
+and kept, since a new one costs time. Otherwise its connection is closed.
 """
 
 from __future__ import annotations
@@ -29,22 +28,22 @@
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 CONNECT_TIME = timedelta(seconds=1)
-#: Seconds without a new try after a failure to connect; doubles up to the longest.
+#: Seconds between a failure to connect and the next try; doubles up to `MAX_BACKOFF`.
 INITIAL_BACKOFF = 0.05
 MAX_BACKOFF = 2.0
-#: A connection idle for longer is checked before a non-repeatable request.
+#: A connection that was idle for longer is checked before a non-repeatable request.
 MAX_UNCHECKED_IDLE = timedelta(seconds=1)
 
 
 class LeafLink:
-    """Carries attempts to one leaf.
+    """Sends attempts to one leaf.
 
     Args:
-        leaf: what is known of it.
-        share: connections that may be open.
-        tools: what every link uses.
-        nursery: where the connections' tasks run.
-        has_room: asked before an attempt leaves the queue.
+        leaf: state of the leaf.
+        share: number of connections that may be open.
+        tools: dependencies of every link.
+        nursery: nursery of the connections' tasks.
+        has_room: called before an attempt leaves the queue.
     """
 
     def __init__(
@@ -70,20 +69,20 @@
 
     @property
     def connections(self) -> int:
-        """Connections that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return self._connections
 
     @property
     def waiting(self) -> int:
-        """Attempts that wait inside this instance."""
+        """Number of attempts queued inside this instance."""
         return self._queue.waiting
 
     def count_ahead(self, rank: int) -> int:
-        """Return the attempts that go before one of a rank that comes now."""
+        """Return how many attempts would go before a new one of this rank."""
         return self._queue.count_ahead(rank)
 
     def submit(self, attempt: Attempt, deliver: Deliver) -> None:
-        """Queue `attempt`; `deliver` is told once how it ended."""
+        """Queue `attempt`; `deliver` is called once with its outcome."""
         if self._closed or not self._can_send():
             detail = f"no connection to {self.leaf.address}"
             deliver(attempt, Failed(NotRun(Reason.UNREACHABLE, detail)))
@@ -92,14 +91,14 @@
             self._wake_connection()
 
     def is_waiting(self, attempt_id: str) -> bool:
-        """Return whether an attempt waits still."""
+        """Return whether an attempt is still in the queue."""
         return self._queue.find(attempt_id) is not None
 
     def withdraw(self, attempt_id: str) -> bool:
-        """Take back an attempt that waits still; return whether it did.
+        """Remove an attempt from the queue; return whether it was there.
 
-        Nothing of it was sent; its outcome tells that the leaf had no room, or else
-        couldn't be reached.
+        Nothing of it was sent; its outcome says that the leaf had no room or couldn't
+        be reached.
         """
         pending = self._queue.remove(attempt_id)
         if pending is None:
@@ -113,10 +112,10 @@
         return True
 
     def cancel(self, attempt_id: str) -> bool:
-        """Nobody waits for this attempt any longer; its outcome is still told.
+        """Cancel an attempt whose result isn't needed; its outcome is still delivered.
 
         Returns:
-            Whether the leaf may have it.
+            Whether the leaf may have received it.
         """
         waiting = self._queue.remove(attempt_id)
         if waiting is not None:
@@ -130,24 +129,24 @@
             if pending.scope is not None:
                 pending.scope.cancel()
         else:
-            # Worth a new connection: until then a slot of the leaf is lost.
+            # Worth a new connection: until the cancel arrives, a leaf's slot is lost.
             if len(self._idle) or self._connections < self._share:
                 self._queue.add_front(Pending(None, None, cancel_id=attempt_id))
                 self._wake_connection()
         return True
 
     def set_share(self, share: int) -> None:
-        """Change the number of connections; more than that close when idle."""
+        """Change the number of connections; those above it close when idle."""
         self._share = share
         self._idle.unpark_all()
 
     def warm_up(self) -> None:
-        """Open the first connection, to learn what the leaf says of itself."""
+        """Open the first connection, to read the leaf's status."""
         if self._connections == 0 and not self._closed:
             self._start_connection()
 
     def check(self) -> None:
-        """Ask the leaf what it says of itself, over an idle connection or a new one."""
+        """Request the leaf's status over an idle connection or a new one."""
         if len(self._idle):
             self._queue.add_front(Pending(None, None))
             self._idle.unpark()
@@ -155,7 +154,7 @@
             self.warm_up()
 
     def close(self) -> None:
-        """Take no more attempts; connections close when idle."""
+        """Accept no more attempts; connections close when idle."""
         self._closed = True
         self._idle.unpark_all()
 
@@ -177,15 +176,15 @@
         self._nursery.start_soon(self._run_connection, None)
 
     def _adopt(self, stream: trio.abc.Stream) -> None:
-        """Carry attempts over a stream that was opened to see whether the leaf lives.
+        """Use a stream that was opened to check whether the leaf is alive.
 
-        It takes the place of the connection whose end was the reason to look.
+        It replaces the connection whose end was the reason for the check.
         """
         self._connections += 1
         self._nursery.start_soon(self._run_connection, stream)
 
     async def _run_connection(self, stream: trio.abc.Stream | None) -> None:
-        """Carry attempts over one connection, opened here if need be, to its end."""
+        """Send attempts over one connection until it ends; connect without `stream`."""
         connection: HttpConnection | None = None
         try:
             connection = await self._open(stream)
@@ -203,9 +202,9 @@
         self._after_connection(connection is not None)
 
     def _after_connection(self, opened: bool) -> None:
-        """See to what still waits after a connection ended.
+        """Handle the queued attempts after a connection ended.
 
-        After a failure to connect no more is tried for a while: a leaf that is
+        After a failure to connect, the next try waits for the backoff: a leaf that is
         gone or full must not be met with a storm of connections.
         """
         if opened:
@@ -221,7 +220,7 @@
             self._wake_connection()
 
     async def _open(self, stream: trio.abc.Stream | None) -> HttpConnection | None:
-        """Connect and exchange a status; None when the leaf can't be reached."""
+        """Connect and request the status; None if the leaf can't be reached."""
         address = parse_host_port(self.leaf.address)
         try:
             with trio.fail_after(CONNECT_TIME.total_seconds()):
@@ -241,9 +240,9 @@
             return None
 
     async def _check(self, connection: HttpConnection) -> None:
-        """Exchange a status, which shows that the leaf serves this connection.
+        """Request the status, which shows that the leaf serves this connection.
 
-        Where leaves aren't asked for it, what waits to be read must do.
+        Where the protocol has no such request, unread input or an end is the only sign.
         """
         protocol = self._tools.protocol
         request = protocol.make_status_request()
@@ -267,7 +266,7 @@
             last_used = self._tools.clock.monotonic()
 
     async def _wait_for_next(self) -> Pending | None:
-        """Wait for something to carry; None when the connection should close."""
+        """Wait for the next entry to send; None if the connection should close."""
         since = self._tools.clock.monotonic()
         while True:
             if self._connections > self._share or (self._closed and not self._queue):
@@ -280,10 +279,10 @@
                 return None
 
     def close_idle(self) -> None:
-        """Close connections that have been idle for long; called now and then.
+        """Close connections that have been idle for long; called periodically.
 
-        One look at all of a link's connections costs less than a time limit for each
-        wait of each of them.
+        One periodic check of all connections costs less than a timeout on each wait of
+        each connection.
         """
         if len(self._idle) and not self._queue:
             self._idle.unpark_all()
@@ -296,7 +295,7 @@
     async def _process(
         self, connection: HttpConnection, pending: Pending, last_used: float
     ) -> bool:
-        """Carry one attempt or cancel; return whether the connection goes on."""
+        """Send one entry of the queue; return whether the connection stays usable."""
         if pending.attempt is None and pending.cancel_id:
             return await self._send_cancel(connection, pending.cancel_id)
         if pending.attempt is None:
@@ -315,12 +314,13 @@
             connection.is_quiet() and now - last_used < self._exchanges.idle_timeout
         )
         if usable and not attempt.repeatable and stale:
-            # The leaf may have dropped it without a word; where it can't be asked,
-            # a new connection costs less than a request that may have run.
+            # The leaf may have dropped the connection silently. Where its status can't
+            # be requested, a new connection costs less than a request that may have
+            # run.
             can_ask = self._tools.protocol.make_status_request() is not None
             usable = can_ask and await self._still_serves(connection)
         if not usable:
-            # Nothing of the attempt was sent: it goes on over another one.
+            # Nothing of the attempt was sent, so another connection may send it.
             self._queue.add_front(pending)
             return False
         if not self._admit(pending, attempt):
@@ -328,13 +328,13 @@
         return await self._exchange(connection, pending, attempt)
 
     def _admit(self, pending: Pending, attempt: Attempt) -> bool:
-        """Return whether an attempt may be sent now; one that may not is ended."""
+        """Return whether an attempt may be sent now; otherwise finish it."""
         refusal: NotRun | None = NotRun(Reason.INTERNAL, "a fault of walkcart")
         try:
             refusal = self._tools.admit(self.leaf, attempt)
         finally:
-            # Also after a fault: an attempt that is never ended keeps its question
-            # waiting until the deadline, and its leaf out of use for good.
+            # Also after an exception: an attempt that is never finished keeps its
+            # question waiting until the deadline, and its leaf out of use for good.
             if refusal is not None:
                 self._finish(pending, Failed(refusal))
         return refusal is None
--- a/walkcart/leaves/linkqueue.py
+++ b/walkcart/leaves/linkqueue.py
@@ -1,7 +1,7 @@
-"""What waits inside an instance for one leaf: for a connection, or for room there.
+"""The queue of attempts that wait for a connection to a leaf, or for capacity there.
 
 See Also:
-    `walkcart.leaves.link.LeafLink`, whose connections take from here.
+    `walkcart.leaves.link.LeafLink`, whose connections take attempts from the queue.
     `walkcart.routing.urgency`, which decides the order.
 """
 
@@ -16,25 +16,25 @@
 from walkcart.leaves.leaf import Leaf
 from walkcart.routing.urgency import Urgency, UrgencyQueue
 
-#: Seconds between two lines about one leaf that has enough to do.
+#: Seconds between two log lines about one leaf that is at capacity.
 LOG_INTERVAL = 2.0
 
-#: Returns whether a leaf has room for an attempt now.
+#: Returns whether a leaf has spare capacity for an attempt now.
 HasRoom = Callable[[Leaf, Attempt], bool]
 
 
 def has_always_room(leaf: Leaf, attempt: Attempt) -> bool:
-    """Return True: the leaf may be sent whatever there are connections for."""
+    """Return True: only the number of connections limits what is sent."""
     return True
 
 
 class LinkQueue:
-    """Attempts by urgency, and before them what concerns running ones.
+    """Attempts in order of urgency, after control requests such as cancels.
 
     Args:
-        leaf: that they are for.
-        tools: what every link uses.
-        has_room: asked before an attempt leaves the queue.
+        leaf: leaf that the attempts are for.
+        tools: dependencies of every link.
+        has_room: called before an attempt leaves the queue.
     """
 
     def __init__(self, leaf: Leaf, tools: LinkTools, has_room: HasRoom) -> None:
@@ -54,15 +54,15 @@
 
     @property
     def waiting(self) -> int:
-        """Attempts that wait for their turn."""
+        """Number of attempts in the queue."""
         return len(self._attempts)
 
     def count_ahead(self, rank: int) -> int:
-        """Return the attempts that go before one of a rank that comes now."""
+        """Return how many attempts would go before a new one of this rank."""
         return self._attempts.count_ahead(rank)
 
     def add(self, attempt: Attempt, deliver: Deliver) -> bool:
-        """Queue an attempt; return whether the leaf has room for it now."""
+        """Queue an attempt; return whether the leaf has capacity for it now."""
         now = self._tools.clock.monotonic()
         pending = Pending(attempt, deliver)
         urgency = Urgency(attempt.rank, attempt.objective_at, since=now)
@@ -74,15 +74,15 @@
         return False
 
     def add_front(self, pending: Pending) -> None:
-        """Queue what goes before all attempts that wait."""
+        """Queue an entry in front of all others."""
         self._front.appendleft(pending)
 
     def has_sendable(self) -> bool:
-        """Return whether something waits that may be carried now."""
+        """Return whether any entry may be sent now."""
         return bool(self._front) or any(map(self._is_sendable, self._attempts))
 
     def pop(self) -> Pending | None:
-        """Take what goes next; None when nothing may."""
+        """Remove and return the next entry; None if none may be sent now."""
         if self._front:
             return self._front.popleft()
         now = self._tools.clock.monotonic()
@@ -93,14 +93,14 @@
         return pending
 
     def find(self, attempt_id: str) -> Pending | None:
-        """Return an attempt that waits; None when it doesn't."""
+        """Return a queued attempt, or None if it isn't in the queue."""
         for pending in self:
             if pending.attempt is not None and pending.attempt.id == attempt_id:
                 return pending
         return None
 
     def remove(self, attempt_id: str) -> Pending | None:
-        """Take out an attempt that waits; None when it doesn't."""
+        """Remove and return a queued attempt; None if it isn't in the queue."""
         pending = self.find(attempt_id)
         if pending is None:
             return None
@@ -111,7 +111,7 @@
         return pending
 
     def remove_all(self) -> list[Pending]:
-        """Take out all that waits."""
+        """Remove and return all entries."""
         waiting = [*self._front, *self._attempts.clear()]
         self._front.clear()
         return waiting
@@ -121,7 +121,7 @@
         return attempt is None or self._has_room(self._leaf, attempt)
 
     def _report_crowded(self, now: float) -> None:
-        """Count an attempt that waits for room, and log it now and then."""
+        """Count an attempt that waits for capacity; log at most one per interval."""
         self._tools.metrics.count("leaf.crowded")
         if now < self._logged_at + LOG_INTERVAL:
             return
--- a/walkcart/leaves/outcome_headers.py
+++ b/walkcart/leaves/outcome_headers.py
@@ -1,4 +1,4 @@
-"""A leaf's headers as a holder passes them on with an outcome."""
+"""Headers by which a holder passes a leaf's outcome on to the asking instance."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def encode_outcome_headers(outcome: Outcome, leaf: Leaf | None) -> Headers:
     """Return the headers from which the asking instance reads `outcome`.
 
-    Drain marks aren't among them: they go round in the heartbeats.
+    The marks of leaving leaves aren't among them: heartbeats spread these.
     """
     headers: list[tuple[bytes, bytes]] = []
     if leaf is not None and leaf.held is not None:
--- a/walkcart/leaves/pool.py
+++ b/walkcart/leaves/pool.py
@@ -1,8 +1,8 @@
-"""The way of routed requests to leafs: links, shares of connections, accounts.
+"""The pool of links to leaves, for routed requests.
 
-Each instance holds its share of each leaf's connections, by the number of instances.
-The accounts of the leafs (load, slowness, silence, failures) are kept here, since
-every routed attempt passes.
+Each instance may open a share of each leaf's connections, which depends on the number
+of instances. The pool also keeps the statistics of the leaves (load, slowness, silence,
+failures), since every routed attempt passes through it.
 
 See Also:
     `walkcart.leaves.gateway.LeafGateway`, the same for the product's own questions.
@@ -31,17 +31,17 @@
 from walkcart.routing.shares import ConnectionShares
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Connections to a leaf whose service the routing document doesn't describe.
+#: Limit of connections to a leaf whose service the routing document doesn't describe.
 DEFAULT_CONNECTIONS = 8
-#: Seconds between two looks at links that nobody needs any longer, and at the shares.
+#: Seconds between two rounds that close unneeded links and update the shares.
 TIDY_INTERVAL = 1.0
-#: Such looks between two at idle connections, each of which wakes their tasks.
+#: Rounds per check of idle connections, which is rarer since it wakes their tasks.
 TIDY_ROUNDS_PER_IDLE_CHECK = 4
-#: Why attempts end that say nothing about their leaf.
+#: Reasons of failures that say nothing about the leaf.
 UNINFORMATIVE_REASONS = frozenset(
     (Reason.CANCELLED, Reason.DEADLINE, Reason.NO_LEAF, Reason.NO_ROOM)
 )
-#: Seconds that a request is taken to need before any was observed, by distance.
+#: Seconds that a request is assumed to take until one was observed, by distance.
 INITIAL_TIMES = {
     Distance.SAME_DATA_CENTRE: 0.03,
     Distance.SAME_REGION: 0.032,
@@ -50,13 +50,17 @@
 
 
 class LeafPool:
-    """Sends routed attempts to leafs and keeps their accounts."""
+    """Sends routed attempts to leaves and keeps statistics of the leaves.
+
+    Args:
+        tools: dependencies of the pool.
+    """
 
     def __init__(self, tools: PoolTools) -> None:
         self._tools = tools
         self.access = LeafAccess(tools)
         self._gathering: Gathering | None = None
-        #: Instances that gather if this one does, else 0, as of the last look.
+        #: Number of instances that gather, or 0 if this one doesn't; set each round.
         self._gatherers = 0
         self._links: dict[str, LeafLink] = {}
         self._times: dict[tuple[str, Distance], KindTimes] = {}
@@ -64,36 +68,36 @@
         self.room = PoolRoom(self._links, self.median_time, tools.link.clock)
 
     def times_of(self, kind: str, distance: Distance) -> KindTimes:
-        """Return the learned times of one kind of request at leafs so far away."""
+        """Return the observed times of a kind of request at leaves at a distance."""
         key = (kind, distance)
         if key not in self._times:
             self._times[key] = KindTimes(INITIAL_TIMES[distance])
         return self._times[key]
 
     def distance_to(self, leaf: Leaf) -> Distance:
-        """Return how far away a leaf is."""
+        """Return the distance class of a leaf from this instance."""
         return measure_distance(leaf.place, self._tools.place)
 
     def median_time(self, leaf: Leaf, kind: str, now: float) -> float:
-        """Return the seconds that such a request usually takes at such a leaf."""
+        """Return the median seconds of a kind of request at leaves so far away."""
         return self.times_of(kind, self.distance_to(leaf)).median(now)
 
     def follow_gathering(self, gathering: Gathering) -> None:
-        """Have more connections to leafs while this instance asks for others too."""
+        """Allow more connections while this instance is one of those that gather."""
         self._gathering = gathering
 
     def limit_to(self, kind: str, regions: Regions, grant: Grant | None) -> ScopedPool:
-        """Return the pool as a question sees it that may go to some regions only.
+        """Return a view of the pool for a question that is limited to some regions.
 
         Args:
             kind: name of the question's route.
-            regions: that it may be served in, by whoever admitted it.
-            grant: by what it was let in; None where that isn't looked at.
+            regions: regions that were allowed when the question was admitted.
+            grant: grant that admitted it; None where that isn't checked.
         """
         return ScopedPool(self, kind, regions, grant)
 
     def leaves_of(self, service: str, regions: Regions = ANYWHERE) -> tuple[Leaf, ...]:
-        """Return the leafs of a service in some regions that may get new work."""
+        """Return the leaves of a service in `regions` that may get new work."""
         return self.access.leaves_of(service, regions)
 
     def choose(
@@ -105,15 +109,15 @@
         now: float,
         regions: Regions = ANYWHERE,
     ) -> Leaf | None:
-        """Return the leaf for the next request, or None when none may get it.
+        """Return the leaf for the next request, or None if no leaf may get it.
 
         Args:
-            service: whose leafs.
-            kind: of the request, for its usual time.
-            without: ids of leafs that it must not go to.
-            objective: seconds within which the request is to be answered.
+            service: service of the leaf.
+            kind: kind of the request, which determines its usual time.
+            without: ids of leaves to leave out.
+            objective: seconds within which the request should be answered.
             now: the present, in seconds.
-            regions: that the request may be served in.
+            regions: regions that may serve the request.
         """
         leaves = [
             leaf
@@ -127,7 +131,7 @@
         return next(leaf for leaf in leaves if chosen and leaf.id == chosen.key)
 
     def submit(self, leaf: Leaf, attempt: Attempt, kind: str, deliver: Deliver) -> None:
-        """Send `attempt` to `leaf`; `deliver` is told once how it ended."""
+        """Send `attempt` to `leaf`; `deliver` is called once with its outcome."""
         now = self._tools.link.clock.monotonic()
         leaf.outstanding += 1
         leaf.in_flight[attempt.id] = now
@@ -146,37 +150,37 @@
         link.submit(attempt, finish)
 
     def has_room(self, leaf: Leaf, attempt: Attempt) -> bool:
-        """Return whether a leaf may be sent an attempt now, or else it waits here."""
+        """Return whether an attempt may be sent to a leaf now; else it stays queued."""
         if self._tools.keeper.table.document.teams is None:
-            # Nobody's claim is weighed against another's.
+            # Without teams, no request is held back in favour of another.
             return True
         return self.room.has_room(leaf, attempt)
 
     def is_waiting(self, leaf: Leaf, attempt_id: str) -> bool:
-        """Return whether an attempt waits inside this instance."""
+        """Return whether an attempt is still queued inside this instance."""
         link = self._links.get(leaf.id)
         return link is not None and link.is_waiting(attempt_id)
 
     def withdraw(self, leaf: Leaf, attempt_id: str) -> bool:
-        """Take back an attempt of which nothing was sent; return whether it did."""
+        """Remove an attempt that is still queued; return whether it was."""
         link = self._links.get(leaf.id)
         return link is not None and link.withdraw(attempt_id)
 
     def cancel(self, leaf: Leaf, attempt_id: str, kind: str, waited: float) -> None:
-        """Nobody waits for this attempt any longer; it had `waited` seconds."""
+        """Cancel an attempt whose result isn't needed, after it `waited` seconds."""
         link = self._links.get(leaf.id)
         if link is None or link.cancel(attempt_id):
-            # One that waited inside this instance says nothing about the leaf.
+            # An attempt that was still queued here would say nothing about the leaf.
             self.note_waiting(leaf, kind, waited)
 
     def note_waiting(self, leaf: Leaf, kind: str, waited: float) -> None:
-        """Take in that a request has been waiting at a leaf for some seconds."""
+        """Record that a request has been at a leaf for `waited` seconds."""
         now = self._tools.link.clock.monotonic()
         slowness = waited / self.median_time(leaf, kind, now)
         leaf.latency.observe_at_least(now, slowness)
 
     def note_status(self, leaf: Leaf, status: LeafStatus) -> None:
-        """Take in what a leaf said about itself."""
+        """Record what a leaf stated about itself."""
         now = self._tools.link.clock.monotonic()
         if status.load is not None:
             leaf.note_stated(now, status.load, self.room.count_waiting(leaf))
@@ -184,7 +188,7 @@
             leaf.extend_cold(now + status.cold_time.total_seconds())
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Carry attempts until cancelled."""
+        """Run the connections of the pool until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             rounds = 0
@@ -196,7 +200,7 @@
     def _find_link(self, leaf: Leaf) -> LeafLink | None:
         link = self._links.get(leaf.id)
         if link is not None and link.leaf is not leaf:
-            # The leaf has started again; what is in progress still ends.
+            # The leaf was restarted; attempts in progress on the old link still end.
             self._links.pop(leaf.id).close()
             link = None
         if link is None and self._nursery is not None:
@@ -207,12 +211,12 @@
         return link
 
     def _count_gatherers(self) -> int:
-        """Return how many instances gather if this one does, else 0."""
+        """Return the number of instances that gather, or 0 if this one doesn't."""
         gathering = self._gathering
         return gathering.count() if gathering and gathering.is_own() else 0
 
     def _share_of(self, leaf: Leaf) -> int:
-        """Return how many connections this instance may have to a leaf."""
+        """Return the number of connections that this instance may open to a leaf."""
         gatherers = self._gatherers
         spec = self._tools.keeper.table.services.get(leaf.labels["service"])
         cap = spec.most_connections if spec else DEFAULT_CONNECTIONS
@@ -221,12 +225,12 @@
         return max(share, shares.gatherer_share(gatherers)) if gatherers else share
 
     def _tidy(self, with_idle: bool) -> None:
-        """Close links to leafs that are gone, and keep the shares."""
+        """Close links to leaves that are gone and update the shares of the others."""
         self._gatherers = self._count_gatherers()
         for id in list(self._links):
             leaf = self._tools.directory.find(id)
             if leaf is None or self._links[id].leaf is not leaf:
-                # What is in progress there still ends.
+                # Attempts in progress there still end.
                 self._links.pop(id).close()
             else:
                 self._links[id].set_share(self._share_of(leaf))
--- a/walkcart/leaves/poolroom.py
+++ b/walkcart/leaves/poolroom.py
@@ -1,7 +1,7 @@
-"""Room at leafs, by what waits for them inside this instance.
+"""Spare capacity of leaves, given what waits for them inside this instance.
 
 See Also:
-    `walkcart.routing.leafroom`, which decides.
+    `walkcart.routing.leafroom`, which makes the decisions.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class PoolRoom:
-    """Tells whether leafs have room, and when they will.
+    """Tells whether leaves have spare capacity, and when they will have it.
 
     Args:
-        links: to leafs, by their ids; the pool's own, as it changes.
+        links: links to leaves, by leaf id; the pool's own mapping, which it updates.
         median_time: returns the seconds that a kind of request usually takes at a leaf.
         clock: source of time.
     """
@@ -36,19 +36,19 @@
 
     @property
     def has_waiting(self) -> bool:
-        """Whether any attempt waits inside this instance."""
+        """Whether any attempt is queued inside this instance."""
         return any(link.waiting for link in self._links.values())
 
     def count_waiting(self, leaf: Leaf) -> int:
-        """Return how many attempts wait inside this instance for a leaf."""
+        """Return the number of attempts queued inside this instance for a leaf."""
         link = self._links.get(leaf.id)
         return link.waiting if link is not None else 0
 
     def has_room(self, leaf: Leaf, attempt: Attempt) -> bool:
-        """Return whether a leaf may be sent an attempt now, or else it waits here."""
+        """Return whether an attempt may be sent to a leaf now; else it stays queued."""
         sent = leaf.outstanding - self.count_waiting(leaf)
         if sent <= 0:
-            # Its reply is what tells that there is room again.
+            # With no request there, no reply would ever tell that there is room again.
             return True
         now = self._clock.monotonic()
         time = self._estimate_time(leaf, attempt.kind, now)
@@ -56,12 +56,12 @@
         return leaf.room.allows(demand, sent, leaf.stated_load(now), now)
 
     def find_delay(self, leaves: Iterable[Leaf], kind: str, rank: int) -> float:
-        """Return the seconds until a request likely gets its turn at one of some leafs.
+        """Return the seconds until a request is likely to be sent to one of `leaves`.
 
         Args:
-            leaves: that it may go to.
-            kind: of the request, for its usual time.
-            rank: of the request; what is less urgent isn't ahead of it.
+            leaves: leaves that may serve the request.
+            kind: kind of the request, which determines its usual time.
+            rank: priority of the request; less urgent ones aren't ahead of it.
         """
         now = self._clock.monotonic()
         delays = []
@@ -74,5 +74,5 @@
         return min(delays, default=0.0)
 
     def _estimate_time(self, leaf: Leaf, kind: str, now: float) -> float:
-        """Return the seconds that such a request takes at a leaf of late."""
+        """Return the seconds that such a request takes at the leaf's present speed."""
         return self._median_time(leaf, kind, now) * leaf.latency.estimate(now, 1.0)
--- a/walkcart/leaves/pooltools.py
+++ b/walkcart/leaves/pooltools.py
@@ -1,4 +1,4 @@
-"""What the pool of links to leafs works with."""
+"""Dependencies of the pool of links to leaves."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolTools:
-    """What the pool works with.
+    """Dependencies of the pool.
 
     Args:
-        directory: the leafs.
-        keeper: the routing document, for the services' connections.
-        link: what every link uses.
+        directory: the leaves.
+        keeper: the routing document, for the connection limits of the services.
+        link: dependencies of every link.
         instances: returns the number of instances that share connections.
-        place: of this instance.
+        place: place of this instance.
         random: breaks ties.
-        cold: what may be sent to cold leafs; None where leafs don't say that they are.
+        cold: limits on requests to cold leaves; None where leaves don't state that
+            they are cold.
     """
 
     directory: LeafDirectory
@@ -38,12 +39,12 @@
 
 
 class Gathering(Protocol):
-    """Who asks the leafs for most questions."""
+    """The instances that gather the replies of leaves for most questions."""
 
     def is_own(self) -> bool:
         """Return whether this instance is one of them."""
         ...
 
     def count(self) -> int:
-        """Return how many they are."""
+        """Return the number of these instances."""
         ...
--- a/walkcart/leaves/protocol.py
+++ b/walkcart/leaves/protocol.py
@@ -1,9 +1,9 @@
-"""The leaves' interface: HTTP/1.1 with these headers.
+"""The protocol of the leaves: HTTP/1.1 with these headers.
 
-A leaf that refuses says ``walkcart-ran: no``; any other failure after the first
-byte counts as "may have run". A leaf echoes the attempt id and the scope, and
-states its snapshot, the versions it holds, its load, its life and whether it is
-leaving on each reply.
+A leaf that refuses a request sends ``walkcart-ran: no``; any other failure after the
+first byte counts as "may have run". On each reply a leaf echoes the attempt id and the
+scope, and states its snapshot, the versions it holds, its load, its incarnation and
+whether it is leaving.
 """
 
 from __future__ import annotations
@@ -47,18 +47,18 @@
 STATUS_SHED = 503
 STATUS_TOO_LATE = 504
 
-#: Headers by name, made once for each reply.
+#: Headers of a reply by name.
 HeaderMap = Mapping[bytes, bytes]
 
-#: Reads over a body without keeping anything of it.
+#: Checks that a body is a JSON object without decoding its values.
 _CHECK_JSON = msgspec.json.Decoder(dict[str, msgspec.Raw]).decode
 
-#: Longest leaf reply that is taken, in bytes.
+#: Largest body of a leaf's reply that is accepted, in bytes.
 MAX_REPLY_BYTES = 4 << 20
 
 
 def encode_attempt(attempt: Attempt, remaining: float) -> HttpRequest:
-    """Return the request of `attempt`, with `remaining` seconds to go."""
+    """Return the request of `attempt`, with `remaining` seconds to its deadline."""
     headers = [
         (ATTEMPT, attempt.id.encode()),
         (SHARD, b"%d" % attempt.shard),
@@ -75,12 +75,12 @@
 
 
 def decode_attempt(request_headers: Headers, id: str, deadline: float) -> Attempt:
-    """Return the attempt that a forwarded request stands for.
+    """Return the attempt that a forwarded request contains, without its body.
 
     Raises:
-        BadSnapshot: of the pin.
+        BadSnapshot: the pin is not a valid snapshot.
         KeyError: a header is missing.
-        ValueError: a header is no number.
+        ValueError: a header is not a number.
     """
     found = dict(request_headers)
     return Attempt(
@@ -98,16 +98,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LeafStatus:
-    """What a leaf says about itself on each reply.
+    """What a leaf states about itself on each reply.
 
     Args:
-        held: index versions that it holds; None when it didn't say.
-        load: requests that wait or run there; None when it didn't say.
-        incarnation: number of its process life, 0 when it didn't say.
+        held: index versions that it holds; None if not stated.
+        load: number of requests that wait or run there; None if not stated.
+        incarnation: number of its process; 0 if not stated.
         leaving: whether it is leaving.
-        pace: how many times as long as usual work takes there now; None when it didn't
-            say.
-        cold_time: how much longer it is cold; None when it didn't say.
+        pace: present duration of its work, as a multiple of the usual one; None if
+            not stated.
+        cold_time: remaining time of its cold phase; None if not stated.
     """
 
     held: frozenset[int] | None
@@ -119,7 +119,7 @@
 
 
 def read_status(found: HeaderMap) -> LeafStatus:
-    """Read what the leaf says about itself; what can't be read is left out."""
+    """Read what the leaf states about itself; unreadable values count as not stated."""
     held = None
     if HELD in found:
         parts = found[HELD].split(b",")
@@ -134,71 +134,71 @@
 
 
 class LeafProtocol(Protocol):
-    """What a link has to know of the protocol that leaves speak.
+    """The protocol that a link uses to talk to leaves.
 
     Attributes:
-        reads_over_strays: whether a reply to an earlier request is read over; else
-            it ends the connection.
+        reads_over_strays: whether a reply to an earlier request is skipped; else it
+            ends the connection.
     """
 
     reads_over_strays: bool
 
     def encode(self, attempt: Attempt, remaining: float) -> HttpRequest:
-        """Return the request of `attempt`, with `remaining` seconds to go."""
+        """Return the request of `attempt`, with `remaining` seconds to its deadline."""
         ...
 
     def is_ours(self, attempt: Attempt, found: HeaderMap) -> bool:
-        """Return whether a reply with these headers answers `attempt`."""
+        """Return whether a reply with these headers belongs to `attempt`."""
         ...
 
     def read_status(self, found: HeaderMap) -> LeafStatus:
-        """Return what the leaf says about itself on a reply."""
+        """Return what the leaf states about itself on a reply."""
         ...
 
     def read_outcome(
         self, attempt: Attempt, reply: HttpReply, found: HeaderMap, elapsed: float
     ) -> Outcome:
-        """Return what a reply that is ours means for `attempt`."""
+        """Return the outcome of `attempt`, given the reply that belongs to it."""
         ...
 
     def read_idle_time(self, found: HeaderMap) -> float | None:
-        """Return the seconds for which the leaf keeps the connection, if it said."""
+        """Return the seconds that the leaf keeps an idle connection, if stated."""
         ...
 
     def make_status_request(self) -> HttpRequest | None:
-        """Return what a new connection asks first; None when it asks nothing."""
+        """Return the first request on a new connection; None if there is none."""
         ...
 
     def make_cancel_request(self, attempt_id: str) -> HttpRequest | None:
-        """Return what cancels an attempt; None when closing its connection does."""
+        """Return the request that cancels an attempt; None if closing does it."""
         ...
 
 
 class QuestionProtocol:
-    """The protocol of the product's own leaves, as told above."""
+    """The protocol of the product's own leaves, as described at the top."""
 
     reads_over_strays = False
 
     def encode(self, attempt: Attempt, remaining: float) -> HttpRequest:
-        """Return the request of `attempt`, with `remaining` seconds to go."""
+        """Return the request of `attempt`, with `remaining` seconds to its deadline."""
         return encode_attempt(attempt, remaining)
 
     def is_ours(self, attempt: Attempt, found: HeaderMap) -> bool:
-        """Return whether a reply with these headers answers `attempt`."""
+        """Return whether a reply with these headers belongs to `attempt`."""
         return is_ours(attempt, found)
 
     def read_status(self, found: HeaderMap) -> LeafStatus:
-        """Return what the leaf says about itself on a reply."""
+        """Return what the leaf states about itself on a reply."""
         return read_status(found)
 
     def read_outcome(
         self, attempt: Attempt, reply: HttpReply, found: HeaderMap, elapsed: float
     ) -> Outcome:
-        """Return what a reply that is ours means for `attempt`."""
+        """Return the outcome of `attempt`, given the reply that belongs to it."""
         return read_outcome(attempt, reply, found, elapsed)
 
     def read_idle_time(self, found: HeaderMap) -> float | None:
-        """Return None: these leaves keep connections until they leave."""
+        """Return None: these leaves keep idle connections until they leave."""
         return None
 
     def make_status_request(self) -> HttpRequest | None:
@@ -220,12 +220,12 @@
 def read_outcome(
     attempt: Attempt, reply: HttpReply, found: HeaderMap, elapsed: float
 ) -> Outcome:
-    """Return what a reply that is ours means for its attempt.
+    """Return the outcome of an attempt, given the reply that belongs to it.
 
     Args:
-        attempt: what was sent.
-        reply: what came back.
-        found: its headers by name.
+        attempt: the attempt that was sent.
+        reply: the reply.
+        found: headers of the reply by name.
         elapsed: seconds from the send to the last byte.
     """
     if found.get(RAN) == b"no":
@@ -263,7 +263,7 @@
 
 
 def fits_pin(pin: Snapshot, snapshot: Snapshot) -> bool:
-    """Return whether a reply of `snapshot` is what `pin` asked for."""
+    """Return whether a reply of `snapshot` satisfies `pin`."""
     if pin.layout != snapshot.layout:
         return False
     return pin.version in (ANY_VERSION, snapshot.version)
--- a/walkcart/leaves/scopedpool.py
+++ b/walkcart/leaves/scopedpool.py
@@ -1,4 +1,4 @@
-"""The pool of links to leafs as one question sees it.
+"""A view of the pool of links to leaves, limited to what one question may use.
 
 See Also:
     `walkcart.routing.eligibility`, which decides where a request may go.
@@ -21,16 +21,16 @@
 
 
 class ScopedPool:
-    """Shows the leafs that a question may go to, and the way to them.
+    """Finds the leaves that a question may go to, and sends requests to them.
 
-    Regions, teams and keys are looked up each time: a configuration that takes one
-    away binds what is sent from then on, also for questions under way.
+    Regions, teams and keys are looked up on each call: a configuration that withdraws
+    one applies to all later requests, also of questions in progress.
 
     Args:
-        pool: of the instance.
+        pool: pool of the instance.
         kind: name of the question's route.
-        regions: that it may be served in, by whoever admitted it.
-        grant: by what it was let in; None where that isn't looked at.
+        regions: regions that were allowed when the question was admitted.
+        grant: grant that admitted it; None where that isn't checked.
     """
 
     def __init__(
@@ -44,28 +44,34 @@
 
     @property
     def regions(self) -> Regions:
-        """Regions that the question may be served in now."""
+        """Regions that may serve the question now."""
         return self._access.current_regions(self._kind, self._regions, self._grant)
 
     @property
     def is_open(self) -> bool:
-        """Whether anything more may be sent for the question at all."""
+        """Whether the question may send further requests at all."""
         return self._access.is_grant_valid(self._kind, self._grant)
 
     def leaves_of(self, service: str) -> tuple[Leaf, ...]:
-        """Return the leafs of a service that may get the question."""
+        """Return the leaves of a service that may get the question."""
         return self._access.leaves_of(service, self.regions)
 
     def leaves_with_room(self, service: str) -> list[Leaf]:
-        """Return those among them that may get a request now, cold ones included."""
+        """Return the leaves of a service that may get a request now.
+
+        Cold leaves that have reached their limit are left out.
+        """
         return self._access.leaves_with_room(service, self.regions)
 
     def find_room(self, service: str) -> timedelta | None:
-        """Return when a service's leafs have room again; None where none is cold."""
+        """Return the time until a leaf of a service may get a request.
+
+        None where leaves have no cold limits or the service has no leaves.
+        """
         return self._access.find_room(service, self.regions)
 
     def places_of(self, service: str) -> frozenset[Place]:
-        """Return the places where a service has such leafs."""
+        """Return the places with leaves of a service that may get the question."""
         return self._access.places_of(service, self.regions)
 
     def choose(
@@ -82,38 +88,38 @@
         )
 
     def times_of(self, kind: str, distance: Distance) -> KindTimes:
-        """Return the learned times of one kind of request at leafs so far away."""
+        """Return the observed times of a kind of request at leaves at a distance."""
         return self._pool.times_of(kind, distance)
 
     def distance_to(self, leaf: Leaf) -> Distance:
-        """Return how far away a leaf is."""
+        """Return the distance class of a leaf from this instance."""
         return self._pool.distance_to(leaf)
 
     def submit(self, leaf: Leaf, attempt: Attempt, kind: str, deliver: Deliver) -> None:
-        """Send `attempt` to `leaf`; `deliver` is told once how it ended."""
+        """Send `attempt` to `leaf`; `deliver` is called once with its outcome."""
         self._pool.submit(leaf, attempt, kind, deliver)
 
     @property
     def has_waiting(self) -> bool:
-        """Whether any attempt waits inside this instance."""
+        """Whether any attempt is queued inside this instance."""
         return self._pool.room.has_waiting
 
     def find_delay(self, service: str, rank: int) -> float:
-        """Return the seconds until the question likely gets its turn at a service."""
+        """Return the seconds until a request to a service is likely to be sent."""
         return self._pool.room.find_delay(self.leaves_of(service), self._kind, rank)
 
     def is_waiting(self, leaf: Leaf, attempt_id: str) -> bool:
-        """Return whether an attempt waits inside this instance."""
+        """Return whether an attempt is still queued inside this instance."""
         return self._pool.is_waiting(leaf, attempt_id)
 
     def withdraw(self, leaf: Leaf, attempt_id: str) -> bool:
-        """Take back an attempt of which nothing was sent; return whether it did."""
+        """Remove an attempt that is still queued; return whether it was."""
         return self._pool.withdraw(leaf, attempt_id)
 
     def cancel(self, leaf: Leaf, attempt_id: str, kind: str, waited: float) -> None:
-        """Nobody waits for this attempt any longer; it had `waited` seconds."""
+        """Cancel an attempt whose result isn't needed, after it `waited` seconds."""
         self._pool.cancel(leaf, attempt_id, kind, waited)
 
     def note_waiting(self, leaf: Leaf, kind: str, waited: float) -> None:
-        """Take in that a request has been waiting at a leaf for some seconds."""
+        """Record that a request has been at a leaf for `waited` seconds."""
         self._pool.note_waiting(leaf, kind, waited)
--- a/walkcart/leaves/stalls.py
+++ b/walkcart/leaves/stalls.py
@@ -1,17 +1,23 @@
-"""Leafs that owe replies for longer than they should."""
+"""Detection of stalled leaves, whose replies are overdue."""
 
 from __future__ import annotations
 
 from walkcart.leaves.leaf import Leaf
 
-#: A leaf is stalled when nothing came for this many usual times, and at least
-#: `MIN_STALL` seconds, while a request waits there.
+#: A leaf is stalled when it has sent nothing for this many times the usual reply time,
+#: and at least `MIN_STALL` seconds, while a request is in progress there.
 STALL_FACTOR = 3.0
 MIN_STALL = 0.03
 
 
 def is_stalled(leaf: Leaf, usual: float, now: float) -> bool:
-    """Return whether a leaf owes a reply for longer than it should."""
+    """Return whether a reply of a leaf is overdue.
+
+    Args:
+        leaf: the leaf.
+        usual: seconds that its replies usually take.
+        now: the present, in seconds.
+    """
     if not leaf.in_flight:
         return False
     limit = max(STALL_FACTOR * usual, MIN_STALL)
--- a/walkcart/leaves/table.py
+++ b/walkcart/leaves/table.py
@@ -1,4 +1,4 @@
-"""Which leaves serve which shard, resolved for one configuration revision."""
+"""The leaves that serve each shard, resolved for one configuration revision."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from walkcart.membership.listing import ListedInstance
 
 SHARD_LABEL = "shard"
-#: Resolved revisions that are kept for requests in progress.
+#: Revisions whose groups and policies stay cached for requests in progress, at 32
+#: entries each.
 MAX_CACHED_REVISIONS = 8
 
 
@@ -23,8 +24,8 @@
     """The leaves of one layout.
 
     Args:
-        epoch: of the layout.
-        shards: for each shard number, its leaves.
+        epoch: epoch of the layout.
+        shards: leaves of each shard, by shard number.
     """
 
     epoch: int
@@ -36,9 +37,9 @@
     """The leaves of a shard group.
 
     Args:
-        group: as configured.
-        layouts: newest first.
-        leaves: all of them, once each.
+        group: the configured shard group.
+        layouts: its layouts, newest first.
+        leaves: leaves of all layouts, each once.
     """
 
     group: ShardGroup
@@ -47,7 +48,7 @@
 
 
 class LeafTable:
-    """Keeps the leaves and resolves groups and policies to them."""
+    """Keeps the leaves, and resolves shard groups and policies."""
 
     def __init__(self) -> None:
         self._leaves: dict[str, Leaf] = {}
@@ -55,11 +56,11 @@
         self._list_version = 0
         self._groups: dict[tuple[int, int, str], ResolvedGroup] = {}
         self._policies: dict[tuple[int, str], Policy] = {}
-        #: Raised whenever some leaf's held versions or place changed.
+        #: Raised whenever a leaf's held versions or the list of leaves changes.
         self.version = 0
 
     def set_listed(self, leaves: tuple[ListedInstance, ...]) -> None:
-        """Take in the leaves of the instance list."""
+        """Set the leaves of the instance list."""
         self._listed = leaves
         self._list_version += 1
         self.version += 1
@@ -69,7 +70,7 @@
                 del self._leaves[address]
 
     def find(self, address: str) -> Leaf | None:
-        """Return the leaf at `address` if it was resolved before."""
+        """Return the leaf at `address`, or None if no group was resolved to it."""
         return self._leaves.get(address)
 
     def find_policy(self, document: Document, service_name: str) -> Policy:
@@ -93,7 +94,7 @@
         return self._groups[key]
 
     def leaf_labels(self, document: Document) -> list[dict[str, str]]:
-        """Return the labels of all listed leaves, rules laid over."""
+        """Return the labels of all listed leaves, with the label rules applied."""
         return [label_leaf(document.configuration, row.labels) for row in self._listed]
 
     def _resolve(self, document: Document, group: ShardGroup) -> ResolvedGroup:
@@ -119,7 +120,7 @@
         for row, labels in labelled:
             shard = read_number(labels.get(SHARD_LABEL))
             if shard is None or shard >= layout.shards:
-                # Not of this layout: the coverage shows the hole if it is one.
+                # Not part of this layout; coverage shows a shard without leaves.
                 continue
             if not selector.matches(labels):
                 continue
--- a/walkcart/leaves/tests/test_link.py
+++ b/walkcart/leaves/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Connections to leaves under failure."""
+"""Connections to leaves when leaves, replies or instances fail."""
 
 from dataclasses import replace
 
@@ -29,8 +29,8 @@
                 nursery.cancel_scope.cancel()
             return max(item.leaf.connections_refused for item in world.leaves.values())
 
-    # One instance's whole share may try at once before the first is refused;
-    # the back-off of 50, 100, 200 and 400 ms leaves room for a few more.
+    # An instance may open its whole share at once before the first refusal; the
+    # backoff of 50, 100, 200 and 400 ms then allows for a few more.
     assert run_mocked(run) <= 21 + 8
 
 
@@ -52,8 +52,8 @@
         assert asked.content["coverage"]["complete"]
 
 
-def corrupted(fault, share=1.0):
-    """Ask while one leaf's replies are corrupted; return replies and violations."""
+def query_with_corruption(fault, share=1.0):
+    """Query while one leaf corrupts replies; return the replies and violations."""
 
     async def run():
         async with open_estate() as world:
@@ -70,7 +70,7 @@
 
 
 def check_corrupted(fault, share=1.0):
-    for asked, violations in corrupted(fault, share):
+    for asked, violations in query_with_corruption(fault, share):
         assert asked.status == 200
         assert asked.content["coverage"]["complete"]
         assert not violations
@@ -125,8 +125,8 @@
             leaves = [item.leaf for item in world.leaves.values()]
             return [(x.most_connections, x.connections_refused) for x in leaves]
 
-    for most, refused in run_mocked(run):
-        assert most <= 25
+    for peak, refused in run_mocked(run):
+        assert peak <= 25
         assert refused == 0
 
 
@@ -150,10 +150,10 @@
             parts = [leaf for leaf in leaves if leaf.spec.group == "parts"]
             return asked, holders, max(leaf.most_connections for leaf in parts)
 
-    asked, holders, most = run_mocked(run)
+    asked, holders, peak = run_mocked(run)
     assert all(item.content["coverage"]["complete"] for item in asked)
     assert holders == {3}
-    assert most <= 8
+    assert peak <= 8
 
 
 def make_cap(connections):
@@ -194,7 +194,7 @@
 
 
 def test_odd_numbers_from_a_leaf_end_no_instance():
-    """Digits that Python's int refuses came through the check by isdigit."""
+    """Digits that pass `isdigit` but not `int` must not raise."""
     attempt = Attempt("a", 0, Snapshot(1, 1), "red", 1.0, b"")
     for text in (b"1:\xb2", b"1:" + b"9" * 5000, b"1", b":", b"-1:1"):
         found = {b"walkcart-snapshot": text}
@@ -208,7 +208,7 @@
     async def run():
         async with open_estate(instances=14, connections=8) as world:
             caller = make_caller(world)
-            # A new instance knows the others from the list alone, without regions.
+            # A new instance knows the others only from the list, without regions.
             rows = [row for _, row in world.listing._changes]
             for row in rows:
                 if row.role == "walkcart":
@@ -232,7 +232,7 @@
 def test_body_over_the_limit_is_dropped(monkeypatch):
     from walkcart.leaves import link
 
-    # A body of this stand-in has some 100 bytes; a long query makes it longer.
+    # A body of the stand-in leaf has some 100 bytes; a long query makes it longer.
     monkeypatch.setattr(link, "MAX_REPLY_BYTES", 2000)
 
     async def run():
--- a/walkcart/wire/delegations.py
+++ b/walkcart/wire/delegations.py
@@ -27,7 +27,7 @@
         services: to ask; the sender's configuration names them.
         top: records of the merged reply at the most.
         least_coverage: share of the services that the reply must cover.
-        most_attempts: leafs that may run it, for each service.
+        most_attempts: leaves that may run it, for each service.
         remaining: until the deadline.
         objective: until an answer begins to lose value.
         settle: until the reply goes without late parts, which the sender sees to,
@@ -66,7 +66,7 @@
 
     Args:
         id: of the question.
-        usual_high: a long time for such a request at the leafs near the receiver, in
+        usual_high: a long time for such a request at the leaves near the receiver, in
             seconds.
     """
 
@@ -98,7 +98,7 @@
         body: merged records.
         proofs: of the parts in it, in any order.
         missing: services that aren't in it.
-        sent: requests that went to leafs.
+        sent: requests that went to leaves.
         repeats: those that were not the first to their service.
         more: whether late parts may follow; the sender leaves them to the receiver.
         unspent: services for which a lent repeat is returned, as `lent` states them.
@@ -140,7 +140,7 @@
         may_have_run: whether any leaf may have run it.
         reason: a `walkcart.wire.verdicts.Reason` value.
         detail: one sentence for a person.
-        sent: requests that went to leafs.
+        sent: requests that went to leaves.
         missing: services without a part.
         unspent: services for which a lent repeat is returned.
     """
--- a/walkcart/wire/fingerprint.py
+++ b/walkcart/wire/fingerprint.py
@@ -40,7 +40,7 @@
     """Return the fingerprint of a request: method, target, host, sender and body.
 
     Args:
-        request: as leafs get it.
+        request: as leaves get it.
         identifying: headers that say where it goes and who sends it.
     """
     found = dict(request.headers)
--- a/walkcart/wire/quarantines.py
+++ b/walkcart/wire/quarantines.py
@@ -1,4 +1,4 @@
-"""News of requests under which leafs ended."""
+"""News of requests under which leaves ended."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     Args:
         fingerprint: of the request (`walkcart.wire.fingerprint`).
-        strikes: numbers that name the independent losses of leafs under it.
+        strikes: numbers that name the independent losses of leaves under it.
         struck_age: seconds since the last of them.
         answered_age: seconds since a leaf answered it last; `NEVER` if none did.
     """
