--- a/walkcart/leaves/link.py
+++ b/walkcart/leaves/link.py
@@ -2,9 +2,9 @@
 
 Attempts wait in one queue, ordered by urgency. Each connection's task sends one at a
 time when the leaf has capacity, so a queued attempt costs the leaf nothing and can be
-cancelled for free. A running attempt whose result isn't needed is cancelled over another
-connection, if the leaves' protocol has a request for that; its own connection is drained
-and kept, since a new one costs time. Otherwise its connection is closed.
+cancelled for free. A running attempt whose result isn't needed is cancelled over
+another connection, if the leaves' protocol has a request for that; its own connection
+is drained and kept, since a new one costs time. Otherwise its connection is closed.
 """
 
 from __future__ import annotations
--- a/walkcart/wire/__init__.py
+++ b/walkcart/wire/__init__.py
@@ -1,4 +1,4 @@
-"""What passes between processes: verdicts, HTTP/1.1 by h11, peer messages."""
+"""Communication between processes: verdicts, HTTP/1.1 on h11, peer messages."""
 
 from walkcart.lazyimport import attach_names
 
--- a/walkcart/wire/delegations.py
+++ b/walkcart/wire/delegations.py
@@ -1,6 +1,6 @@
-"""Messages by which one instance has another gather a question's parts.
+"""Messages by which one instance delegates the gathering of a question's parts.
 
-Times are seconds that are left when the message is sent.
+Times are remaining seconds when the message is sent.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from walkcart.wire.messagebase import Message
 
-#: Seconds that stand for a time that doesn't come.
+#: Seconds that stand for "never".
 NEVER = 1e6
 
 
@@ -17,27 +17,29 @@
     """Asks the receiver to gather the parts of a question and merge them.
 
     Args:
-        id: unique; names the question between the two instances.
+        id: unique id of the question between the two instances.
         request: id of the caller's request, for logs.
-        kind: of the request, for its usual time.
-        method: of the request.
-        target: of the request.
-        headers: of the request.
-        body: of the request.
-        services: to ask; the sender's configuration names them.
-        top: records of the merged reply at the most.
-        least_coverage: share of the services that the reply must cover.
-        most_attempts: leaves that may run it, for each service.
-        remaining: until the deadline.
-        objective: until an answer begins to lose value.
-        settle: until the reply goes without late parts, which the sender sees to,
-            unless too many are late; `NEVER` where the receiver sees to them.
-        granted: whether the budgets of repeats already hold the first attempts.
-        traceparent: of the trace.
-        regions: that the question may be served in; None where any will do.
-        fair_coverage: share of the services that suffices if other groups' are alike.
-        lent: services for which the receiver may send a repeat of the sender's budget,
-            once it has its word; a bit for each, the first one the lowest.
+        kind: kind of the request, which determines its usual time.
+        method: method of the request.
+        target: target of the request.
+        headers: headers of the request.
+        body: body of the request.
+        services: services to ask, as named in the sender's configuration.
+        top: largest number of records in the merged reply.
+        least_coverage: smallest share of the services that the reply must cover.
+        most_attempts: largest number of leaves that may run it, for each service.
+        remaining: seconds until the deadline.
+        objective: seconds until an answer begins to lose value.
+        settle: seconds until the reply is sent without the late parts, unless too many
+            are late; the sender then handles them. `NEVER` where the receiver does.
+        granted: whether the repeat budgets have already counted the first attempts.
+        traceparent: W3C trace context.
+        regions: regions that may serve the question; None for any.
+        fair_coverage: share of the services that suffices if the other groups reach a
+            similar one.
+        lent: services for which the receiver may send a repeat from the sender's
+            budget, after the first `DelegatedRenewal`; one bit for each service, the
+            first one the lowest.
     """
 
     id: str
@@ -62,12 +64,12 @@
 
 
 class DelegatedTaken(Message, frozen=True):
-    """The receiver has a question and is at work on it.
+    """Acknowledges a question: the receiver is working on it.
 
     Args:
-        id: of the question.
-        usual_high: a long time for such a request at the leaves near the receiver, in
-            seconds.
+        id: id of the question.
+        usual_high: high quantile of the times of such requests at the leaves near the
+            receiver, in seconds.
     """
 
     id: str
@@ -75,13 +77,13 @@
 
 
 class DelegatedMissing(msgspec.Struct, frozen=True, array_like=True):
-    """A service whose part didn't come.
+    """A service whose part is missing.
 
     Args:
-        service: its name.
+        service: name of the service.
         reason: a `walkcart.wire.verdicts.Reason` value.
-        ran: requests to it that ran, may have run or may run yet.
-        may_repeat: whether the sender's budget of repeats holds another request to it.
+        ran: number of requests to it that ran, may have run or may still run.
+        may_repeat: whether the sender's repeat budget allows another request to it.
     """
 
     service: str
@@ -94,14 +96,16 @@
     """The merged reply to a question.
 
     Args:
-        id: of the question.
+        id: id of the question.
         body: merged records.
-        proofs: of the parts in it, in any order.
-        missing: services that aren't in it.
-        sent: requests that went to leaves.
-        repeats: those that were not the first to their service.
-        more: whether late parts may follow; the sender leaves them to the receiver.
-        unspent: services for which a lent repeat is returned, as `lent` states them.
+        proofs: proofs of the parts in the reply, in any order.
+        missing: services that aren't in the reply.
+        sent: number of requests that were sent to leaves.
+        repeats: number of those that weren't the first to their service.
+        more: whether late parts may follow, which the receiver of the question still
+            gathers.
+        unspent: services for which a lent repeat is returned, encoded like
+            `DelegatedQuestion.lent`.
     """
 
     id: str
@@ -115,14 +119,15 @@
 
 
 class DelegatedPart(Message, frozen=True):
-    """A part that came after the reply had gone without it.
+    """A part that came after the reply was sent without it.
 
     Args:
-        id: of the question.
-        service: whose part it is; empty when the message only says that it's the last.
-        body: its greatest records.
-        proofs: of the part.
-        last: whether nothing more comes.
+        id: id of the question.
+        service: service of the part; empty if the message only says that it is the
+            last.
+        body: the greatest records of the part.
+        proofs: proofs of the part.
+        last: whether no more parts follow.
     """
 
     id: str
@@ -133,16 +138,17 @@
 
 
 class DelegatedFailure(Message, frozen=True):
-    """There is no answer.
+    """Says that a question has no answer.
 
     Args:
-        id: of the question.
+        id: id of the question.
         may_have_run: whether any leaf may have run it.
         reason: a `walkcart.wire.verdicts.Reason` value.
-        detail: one sentence for a person.
-        sent: requests that went to leaves.
+        detail: one sentence for people.
+        sent: number of requests that were sent to leaves.
         missing: services without a part.
-        unspent: services for which a lent repeat is returned.
+        unspent: services for which a lent repeat is returned, encoded like
+            `DelegatedQuestion.lent`.
     """
 
     id: str
@@ -155,11 +161,11 @@
 
 
 class DelegatedCancel(Message, frozen=True):
-    """Nobody waits for this question any longer.
+    """Cancels a question whose answer isn't needed any longer.
 
     Args:
-        id: of the question.
-        unheard: whether nothing was heard of the receiver since the question was sent.
+        id: id of the question.
+        unheard: whether the receiver has sent nothing since the question was sent.
     """
 
     id: str
@@ -167,13 +173,14 @@
 
 
 class DelegatedRenewal(Message, frozen=True):
-    """The sender still waits for a question; without this the receiver gives it up.
+    """Says that the sender still waits for a question.
 
-    It is sent once the sender knows that the question was taken. With the first one the
-    receiver may use all attempts that the question allows, until then one a service.
+    It is sent from when the sender knows that the question was taken; without renewals
+    the receiver gives the question up. Until the first one the receiver may use one
+    attempt for each service, then all that the question allows.
 
     Args:
-        id: of the question.
+        id: id of the question.
     """
 
     id: str
@@ -183,8 +190,8 @@
     """Opens the links between two instances before a question needs them.
 
     Args:
-        answers: whether it answers one, and so needs no answer.
-        unheard: whether nothing was heard of the receiver since a question went there.
+        answers: whether it answers another greeting and so needs no answer itself.
+        unheard: whether the receiver has sent nothing since a question was sent to it.
     """
 
     answers: bool = False
--- a/walkcart/wire/fingerprint.py
+++ b/walkcart/wire/fingerprint.py
@@ -1,7 +1,7 @@
-"""Fingerprints of requests: tell that a request is the same one that came before.
+"""Fingerprints, by which repeated requests are recognised.
 
-Each try of a caller has an id of its own, so that ids don't tell. What decides how a
-leaf takes a request is its content and who sends it.
+Request ids don't serve for this, since a caller gives each try a new one. What a
+request does to a leaf depends on its content and its sender.
 
 Examples:
     >>> one = HttpRequest("GET", "/x", ((b"host", b"shop"), (b"x-id", b"1")))
@@ -16,17 +16,17 @@
 
 from walkcart.wire.http import HttpRequest
 
-#: Bytes of a fingerprint: two of a billion requests share one by chance with a
-#: probability below 1e-10.
+#: Length of a fingerprint in bytes: the probability that any two of a billion requests
+#: share one by chance is below 1e-10.
 SIZE = 12
-#: Headers that say where a request goes and who sends it. Others may differ from one
-#: try to the next.
+#: Headers that identify the destination and the sender of a request. Others may differ
+#: between two tries of the same request.
 IDENTIFYING_HEADERS = (b"host", b"authorization")
 _LENGTH_BYTES = 4
 
 
 def make_fingerprint(*parts: bytes) -> bytes:
-    """Return the fingerprint of some parts, in this order."""
+    """Return the fingerprint of a sequence of parts; their order matters."""
     digest = blake2b(digest_size=SIZE)
     for part in parts:
         digest.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
@@ -40,8 +40,8 @@
     """Return the fingerprint of a request: method, target, host, sender and body.
 
     Args:
-        request: as leaves get it.
-        identifying: headers that say where it goes and who sends it.
+        request: the request as leaves receive it.
+        identifying: names of the headers that identify its destination and sender.
     """
     found = dict(request.headers)
     headers = (found.get(name, b"") for name in identifying)
--- a/walkcart/wire/http.py
+++ b/walkcart/wire/http.py
@@ -1,7 +1,7 @@
 """The client side of HTTP/1.1 on h11: one connection, one exchange at a time.
 
-A connection is used again only once its last reply was read to the end, so a
-reply can't be taken for another request's.
+A connection is used again only after its last reply was read to the end, so that a
+reply can't be taken for that of another request.
 
 References:
     RFC 9112, HTTP/1.1.
@@ -19,10 +19,10 @@
 from walkcart.wire.network import is_quiet
 
 RECEIVE_SIZE = 65536
-HEADER_LIMIT = 32768
-#: Replies of earlier exchanges that are read over before a connection is given up;
-#: a leaf that sends more is at fault.
-MOST_STRAYS = 2
+MAX_HEADER_BYTES = 32768
+#: Largest number of replies to earlier exchanges that are skipped; a leaf that sends
+#: more is faulty, and its connection is closed.
+MAX_STRAY_REPLIES = 2
 #: Methods whose requests carry a length even without a body (RFC 9110, 8.6).
 _METHODS_WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
 
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request, whole.
+    """A complete request.
 
     Args:
-        method: as in ``POST``.
-        target: the path, with a query if there is one.
-        headers: names in small letters, without framing headers.
-        body: the body's bytes.
+        method: method, such as ``POST``.
+        target: path, with the query if there is one.
+        headers: headers with lower-case names, without framing headers.
+        body: body of the request.
     """
 
     method: str
     target: str
-    # Not shown: headers hold keys, and what a caller sends is its own.
+    # Left out of the repr: headers contain keys, and callers' data is private.
     headers: Headers = field(default=(), repr=False)
     body: bytes = field(default=b"", repr=False)
 
@@ -53,12 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpReply:
-    """A reply, whole.
+    """A complete reply.
 
     Args:
-        status: the status code.
-        headers: names in small letters.
-        body: the body's bytes.
+        status: status code.
+        headers: headers with lower-case names.
+        body: body of the reply.
     """
 
     status: int
@@ -71,7 +71,7 @@
 
 
 def find_header(headers: Headers, name: bytes) -> str | None:
-    """Return the first header called `name` as text, or None."""
+    """Return the value of the first header called `name` as text, or None."""
     for key, value in headers:
         if key == name:
             return value.decode("latin-1")
@@ -79,7 +79,7 @@
 
 
 class FailureKind(Enum):
-    """What ended an exchange."""
+    """Why an exchange failed."""
 
     CLOSED = "closed"
     GARBAGE = "garbage"
@@ -87,11 +87,11 @@
 
 
 class ExchangeFailed(Exception):
-    """An exchange ended without a whole reply.
+    """An exchange ended without a complete reply.
 
     Args:
-        kind: what ended it.
-        sent: whether any byte of the request may have left.
+        kind: why it failed.
+        sent: whether any byte of the request may have been sent.
     """
 
     def __init__(self, kind: FailureKind, sent: bool) -> None:
@@ -100,7 +100,7 @@
         self.sent = sent
 
 
-#: Says whether a reply is the one to the request that was sent.
+#: Returns whether a reply belongs to the request that was sent.
 Belongs = Callable[[HttpReply], bool]
 
 
@@ -108,16 +108,18 @@
     """The client's end of one connection.
 
     Args:
-        stream: the bytes.
-        host: value of the ``Host`` header of requests that bring none.
-        body_limit: longest reply body that is read, in bytes.
+        stream: stream to the server.
+        host: value of the ``Host`` header for requests without one.
+        body_limit: largest reply body that is accepted, in bytes.
     """
 
     def __init__(self, stream: trio.abc.Stream, host: str, body_limit: int) -> None:
         self._stream = stream
         self._host = host.encode()
         self._body_limit = body_limit
-        self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEADER_LIMIT)
+        self._h11 = h11.Connection(
+            h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES
+        )
 
     async def exchange(
         self, request: HttpRequest, belongs: Belongs | None = None
@@ -125,26 +127,26 @@
         """Send `request` and read its reply to the end.
 
         Args:
-            request: what to send.
-            belongs: tells a late second reply to an earlier request, which is read
-                over, from the reply to this one; None takes the first reply.
+            request: request to send.
+            belongs: distinguishes the reply to this request from late duplicates of
+                earlier replies, which are skipped; None accepts the first reply.
 
         Raises:
-            ExchangeFailed: no whole reply came; the connection is of no more use.
+            ExchangeFailed: no complete reply came; the connection can't be used again.
         """
         data = self._encode(request)
         sent = False
         try:
-            # A failing send may have put some bytes on the wire already.
+            # A send that fails may already have sent some bytes.
             sent = True
             await self._stream.send_all(data)
             reply = await self._read_reply()
             strays = 0
             while belongs is not None and not belongs(reply):
                 strays += 1
-                if strays > MOST_STRAYS:
+                if strays > MAX_STRAY_REPLIES:
                     raise ExchangeFailed(FailureKind.GARBAGE, sent)
-                self._expect_another(request)
+                self._skip_reply(request)
                 reply = await self._read_reply()
             return reply
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
@@ -155,12 +157,14 @@
                 kind = FailureKind.CLOSED
             raise ExchangeFailed(kind, sent) from error
 
-    def _expect_another(self, request: HttpRequest) -> None:
-        """Read on behind a reply of an earlier request, as if it hadn't come."""
+    def _skip_reply(self, request: HttpRequest) -> None:
+        """Reset the parser after a reply to an earlier request and read on."""
         following, ended = self._h11.trailing_data
         if self._h11.their_state is not h11.DONE:
             raise ExchangeFailed(FailureKind.CLOSED, True)
-        self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEADER_LIMIT)
+        self._h11 = h11.Connection(
+            h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES
+        )
         self._encode(request)
         if following:
             self._h11.receive_data(following)
@@ -204,15 +208,15 @@
         return HttpReply(head.status_code, tuple(head.headers), b"".join(chunks))
 
     def is_quiet(self) -> bool:
-        """Return whether nothing came while the connection was idle.
+        """Return whether nothing was received while the connection was idle.
 
-        Bytes or an end that wait to be read mean that the server closed it or sent
-        what belongs to no request: it must not carry another one.
+        Unread bytes, or an end, mean that the server closed the connection or sent
+        data that belongs to no request: it must not be used for another one.
         """
         return is_quiet(self._stream)
 
     def renew(self) -> bool:
-        """Make ready for the next exchange; return whether that can be."""
+        """Prepare for the next exchange; return whether the connection allows one."""
         if self._h11.our_state is not h11.DONE:
             return False
         if self._h11.their_state is not h11.DONE or self._h11.trailing_data[0]:
--- a/walkcart/wire/messagebase.py
+++ b/walkcart/wire/messagebase.py
@@ -1,8 +1,8 @@
-"""The base of all messages between instances.
+"""The base class of all messages between instances.
 
-Messages cross regions for nearly each question, and operators pay for those bytes: they
-are arrays without the names of their fields, and their class is named by a short tag.
-A field is only ever added at the end, with a default.
+Nearly every question sends messages between regions, and operators pay for these bytes.
+So messages are encoded as arrays without field names, with a short tag for the class.
+New fields go at the end, with a default.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 def make_tag(name: str) -> str:
     """Return the tag of a class: the capitals of its name and its last letter.
 
-    The decoder refuses two classes with the same tag when it is built.
+    Building the decoder fails if two classes have the same tag.
 
     Examples:
         >>> make_tag("DelegatedQuestion")
@@ -23,4 +23,4 @@
 
 
 class Message(msgspec.Struct, frozen=True, tag=make_tag, array_like=True):
-    """Base of the messages."""
+    """Base class of the messages; its subclasses are encoded as tagged arrays."""
--- a/walkcart/wire/messages.py
+++ b/walkcart/wire/messages.py
@@ -1,11 +1,11 @@
 """Messages between instances.
 
-They are `msgspec.Struct` classes, frozen: the codec tells the members of a
-union apart by a tag, which it can't do with plain data classes.
+Messages are frozen `msgspec.Struct` classes: the codec distinguishes the members of a
+union by a tag, which plain data classes don't have.
 
-Times are durations in seconds or readings of steady clocks, never times of day, since
-clocks differ; a message is addressed to one incarnation of its receiver, so that one
-which waited in a queue isn't taken by a later process at the same address.
+Times are durations in seconds or readings of monotonic clocks, never times of day,
+since clocks differ. A message is addressed to one incarnation of its receiver, so that
+a later process at the same address doesn't accept one that waited in a queue.
 """
 
 from __future__ import annotations
@@ -44,15 +44,15 @@
     """What is known of one instance.
 
     Args:
-        name: its name.
-        incarnation: number of its process life; a later life has a higher one.
+        name: name of the instance.
+        incarnation: number of its process; a later process has a higher one.
         counter: raised by the instance itself to refute a suspicion.
         state: a `walkcart.membership.view.MemberState` value.
         peer_address: ``IP:port`` for peers.
         address: ``IP:port`` for callers.
-        data_centre: where it stands.
+        data_centre: its data centre.
         region: region of that data centre.
-        revision: configuration that it has in force.
+        revision: revision of the configuration that it has in force.
     """
 
     name: str
@@ -67,19 +67,19 @@
 
 
 class LeafMark(msgspec.Struct, frozen=True, array_like=True):
-    """A leaf is leaving, as of one incarnation of it."""
+    """Marks one incarnation of a leaf as leaving."""
 
     address: str
     incarnation: int
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True):
-    """What each heartbeat carries besides its number.
+    """Membership data in each heartbeat.
 
     Args:
-        revision: configuration that the sender has in force.
-        members: records that changed lately, the sender's own first.
-        marks: leaves marked as leaving lately.
+        revision: revision of the configuration that the sender has in force.
+        members: records that changed recently, the sender's own first.
+        marks: leaves that were recently marked as leaving.
     """
 
     revision: int
@@ -88,14 +88,14 @@
 
 
 class Ping(Message, frozen=True):
-    """Asks whether the receiver lives."""
+    """Asks whether the receiver is alive."""
 
     number: int
     digest: Digest
 
 
 class Ack(Message, frozen=True):
-    """Answers a `Ping`; `target` is who lives, for pings by way of another."""
+    """Answers a `Ping`; `target` is the living instance, also of indirect pings."""
 
     number: int
     target: str
@@ -103,7 +103,7 @@
 
 
 class PingRequest(Message, frozen=True):
-    """Asks the receiver to ping `target` for the sender."""
+    """Asks the receiver to ping `target` on behalf of the sender."""
 
     number: int
     target: str
@@ -111,7 +111,7 @@
 
 
 class Gossip(Message, frozen=True):
-    """News that shouldn't wait for the next heartbeat; wants no answer."""
+    """Changes that shouldn't wait for the next heartbeat; has no answer."""
 
     digest: Digest
 
@@ -130,15 +130,15 @@
 
 
 class ForwardedAttempt(msgspec.Struct, frozen=True, array_like=True):
-    """One leaf request to be sent by the holder of the leaf's connections.
+    """A leaf request that the holder of the leaf's connections is to send.
 
     Args:
-        id: the attempt's id.
+        id: id of the attempt.
         leaf: ``IP:port`` of the leaf.
-        remaining: time left until the deadline, in seconds.
+        remaining: time until the deadline, in seconds.
         target: path of the request.
-        headers: of the request.
-        body: of the request.
+        headers: headers of the request.
+        body: body of the request.
         repeatable: whether a second run does no harm.
     """
 
@@ -158,7 +158,7 @@
 
 
 class ForwardCancel(Message, frozen=True):
-    """Attempts that nobody waits for any longer."""
+    """Cancels attempts whose results aren't needed any longer."""
 
     ids: tuple[str, ...]
 
@@ -167,10 +167,10 @@
     """How a forwarded attempt ended.
 
     Args:
-        id: the attempt's id.
-        status: the leaf's status; 0 when there is no reply.
-        headers: the leaf's headers.
-        body: the leaf's body.
+        id: id of the attempt.
+        status: HTTP status of the leaf's reply; 0 if there is no reply.
+        headers: headers of the reply, and others that describe the outcome.
+        body: body of the reply.
         may_have_run: without a reply, whether the request may have run.
         reason: without a reply, a `walkcart.wire.verdicts.Reason` value.
         elapsed: seconds from the send to the end.
@@ -195,12 +195,12 @@
     """Asks the receiver to claim an idempotency key in its bucket.
 
     Args:
-        token: unique; tells this request's claim from all others.
+        token: unique id of this request's claim.
         bucket: number of the bucket.
         key: digest of service, partner and idempotency key, 16 bytes.
         issued: time of day in the key, in seconds since 1970.
         request: digest of the request, 16 bytes.
-        remaining: how long the claim is of use, in seconds.
+        remaining: time for which the claim is of use, in seconds.
     """
 
     token: str
@@ -215,10 +215,10 @@
     """How a `ClaimAsk` ended.
 
     Args:
-        token: of the ask.
+        token: token of the ask.
         outcome: a `walkcart.once.records.ClaimOutcome` value.
-        status: HTTP status of the kept reply, 0 when there is none.
-        body: of the kept reply.
+        status: HTTP status of the stored reply; 0 if there is none.
+        body: body of the stored reply.
     """
 
     token: str
@@ -228,7 +228,7 @@
 
 
 class ClaimSettle(Message, frozen=True):
-    """The request of a granted claim ended; keep its reply."""
+    """Says that the request of a granted claim ended; its reply is to be stored."""
 
     token: str
     bucket: int
@@ -238,7 +238,7 @@
 
 
 class ClaimWithdraw(Message, frozen=True):
-    """The asker gave up and sent nothing; the claim is to go."""
+    """Asks to remove a claim whose sender gave up and sent no request."""
 
     token: str
     bucket: int
@@ -286,18 +286,19 @@
 
     Args:
         sender: name of the sender.
-        incarnation: of the sender.
-        address: the sender's ``IP:port`` for peers, to answer one not yet known; empty
-            where the receiver was heard of.
-        to_incarnation: of the receiver; 0 when the sender doesn't know it.
-        messages: in the order of sending.
-        life: names the sender's process life; empty where it doesn't say.
-        sent_at: what the sender's steady clock showed when this was packed, in seconds.
-        to_life: names the receiver's life; empty when the sender doesn't know it.
-        least_reading: what that life's steady clock showed then at least, in seconds.
+        incarnation: incarnation of the sender.
+        address: the sender's ``IP:port`` for peers, so that a receiver that doesn't
+            know the sender can answer; empty after the receiver was heard of.
+        to_incarnation: incarnation of the receiver; 0 if the sender doesn't know it.
+        messages: messages in the order of sending.
+        life: id of the sender's process; empty if it states none.
+        sent_at: monotonic time of the sender when the envelope was packed, in seconds.
+        to_life: id of the receiver's process; empty if the sender doesn't know it.
+        least_reading: lower bound of that process's monotonic time when the envelope
+            was packed, in seconds.
 
     See Also:
-        `walkcart.membership.messageages`, for the last four.
+        `walkcart.membership.messageages`, which uses the last four fields.
     """
 
     sender: str
--- a/walkcart/wire/network.py
+++ b/walkcart/wire/network.py
@@ -1,4 +1,4 @@
-"""Byte streams to other processes, as an interface.
+"""Interface for byte streams to other processes, and its TCP implementation.
 
 See Also:
     `walkcart.standins.memory.MemoryNetwork`, the same interface without sockets.
@@ -15,17 +15,17 @@
 
 from walkcart.kernel.settings import HostPort
 
-#: Milliseconds after which sent bytes that nobody acknowledged end a connection: a
-#: peer without power says nothing. Longer than any pause of a peer that lives.
-SILENCE_MS = 10_000
-#: Probes without an answer after which a connection has gone silent for good.
+#: Milliseconds after which unacknowledged bytes end a connection: a peer that lost
+#: power doesn't close it. Longer than any pause of a living peer.
+UNACKED_TIMEOUT_MS = 10_000
+#: Number of unanswered keepalive probes after which a connection counts as dead.
 PROBES = 2
 
 
 def is_quiet(stream: trio.abc.Stream) -> bool:
     """Return whether neither bytes nor an end wait to be read on `stream`.
 
-    A stream that isn't a socket counts as quiet: a reader finds out in any case.
+    A stream that isn't a socket counts as quiet; the next read finds out anyway.
     """
     if not isinstance(stream, trio.SocketStream):
         return True
@@ -43,21 +43,21 @@
         """Open a stream.
 
         Args:
-            address: of the peer.
-            probe: a peer that is quiet for this long is asked whether it is there, and
-                `PROBES` such questions without an answer end the stream, one more
-                `probe` later. None not to ask. Whole seconds, at least one.
+            address: address of the peer.
+            probe: interval of keepalive probes to a silent peer, in whole seconds, at
+                least one. `PROBES` probes without an answer end the stream one
+                interval after the last. None sends no probes.
 
         Raises:
-            OSError: nobody listens there, or it can't be reached.
+            OSError: the connection is refused, or the peer can't be reached.
         """
         ...
 
     async def listen(self, address: HostPort) -> trio.abc.Listener[trio.abc.Stream]:
-        """Listen at `address`; port 0 takes a free port.
+        """Listen at `address`; port 0 selects a free port.
 
         Raises:
-            OSError: the address can't be had.
+            OSError: the address isn't available.
         """
         ...
 
@@ -66,26 +66,26 @@
         ...
 
 
-def _limit_silence(
+def _set_silence_timeout(
     sock: trio.socket.SocketType | socket.socket, probe: timedelta | None
 ) -> None:
-    """Let the kernel end a connection whose peer says nothing any more."""
+    """Let the kernel end a connection whose peer has gone silent."""
     tcp = socket.IPPROTO_TCP
     if probe is None:
-        sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+        sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS)
         return
     seconds = max(1, round(probe.total_seconds()))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(tcp, socket.TCP_KEEPIDLE, seconds)
     sock.setsockopt(tcp, socket.TCP_KEEPINTVL, seconds)
     sock.setsockopt(tcp, socket.TCP_KEEPCNT, PROBES)
-    # The kernel goes by this time in place of the number of probes.
+    # With this option the kernel uses the time in place of the number of probes.
     silence_ms = (PROBES + 1) * seconds * 1000
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, silence_ms)
 
 
 class TcpNetwork:
-    """TCP by IP number."""
+    """TCP connections by IP address."""
 
     async def connect(
         self, address: HostPort, probe: timedelta | None = None
@@ -94,7 +94,7 @@
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         sock = trio.socket.socket(family, socket.SOCK_STREAM)
         try:
-            _limit_silence(sock, probe)
+            _set_silence_timeout(sock, probe)
             await sock.connect((address.host, address.port))
         except BaseException:
             sock.close()
--- a/walkcart/wire/peers.py
+++ b/walkcart/wire/peers.py
@@ -1,8 +1,7 @@
 """Datagram-like transport of envelopes between instances.
 
-An instance listens on one nng pull socket and dials one push socket for each
-peer that it talks to. Answers go back over the answering side's own push
-socket, so no socket waits for a reply.
+An instance listens on one nng pull socket and opens one push socket to each peer. The
+answering side sends answers over its own push socket, so no socket waits for a reply.
 """
 
 from __future__ import annotations
@@ -13,10 +12,10 @@
 import trio
 
 from walkcart.kernel.settings import HostPort
-from walkcart.wire.codec import ENVELOPE_LIMIT
+from walkcart.wire.codec import MAX_ENVELOPE_BYTES
 
-#: Envelopes that nng keeps for a peer which is slow or gone: none. What waits does so
-#: in our own outbox, where it can be taken back.
+#: Number of envelopes that nng buffers for a slow or unreachable peer. They wait in the
+#: instance's own outbox instead, from which they can be withdrawn.
 NNG_BUFFER = 0
 NNG_RECONNECT_MIN_MS = 50
 NNG_RECONNECT_MAX_MS = 1000
@@ -27,23 +26,23 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether the peer can be sent to, as far as is known."""
+        """Whether a connection to the peer is up, as far as is known."""
         ...
 
     async def wait_connected(self) -> None:
-        """Wait until the peer can be sent to."""
+        """Wait until a connection to the peer is up."""
         ...
 
     async def send(self, data: bytes) -> None:
-        """Send one envelope; wait while the peer can't take more.
+        """Send one envelope; wait while the peer can't receive more.
 
         Raises:
-            OSError: it can't be sent any more.
+            OSError: the sender is closed or failed.
         """
         ...
 
     async def close(self) -> None:
-        """Stop; what isn't sent yet is dropped."""
+        """Close the sender; unsent data is dropped."""
         ...
 
 
@@ -57,7 +56,7 @@
         ...
 
     async def close(self) -> None:
-        """Stop."""
+        """Close the listener."""
         ...
 
 
@@ -65,24 +64,24 @@
     """Makes senders and listeners."""
 
     async def listen(self, address: HostPort) -> PeerListener:
-        """Listen at `address`; port 0 takes a free port."""
+        """Listen at `address`; port 0 selects a free port."""
         ...
 
     async def dial(self, address: HostPort) -> PeerSender:
-        """Make a sender; connecting goes on in the background."""
+        """Make a sender, which connects in the background."""
         ...
 
 
 class NngSender:
-    """A push socket."""
+    """A sender on an nng push socket."""
 
     def __init__(self, address: HostPort) -> None:
         self._token = trio.lowlevel.current_trio_token()
         self._pipes = 0
         self._connected = trio.Event()
         self._socket = pynng.Push0(send_buffer_size=NNG_BUFFER)
-        self._socket.add_post_pipe_connect_cb(lambda pipe: self._tell(1))
-        self._socket.add_post_pipe_remove_cb(lambda pipe: self._tell(-1))
+        self._socket.add_post_pipe_connect_cb(lambda pipe: self._schedule_update(1))
+        self._socket.add_post_pipe_remove_cb(lambda pipe: self._schedule_update(-1))
         self._socket.reconnect_time_min = NNG_RECONNECT_MIN_MS
         self._socket.reconnect_time_max = NNG_RECONNECT_MAX_MS
         self._socket.dial(f"tcp://{address}", block=False)
@@ -97,15 +96,15 @@
         while not self.is_connected:
             await self._connected.wait()
 
-    def _tell(self, change: int) -> None:
-        """Bring a change from nng's thread to the event loop."""
+    def _schedule_update(self, change: int) -> None:
+        """Pass a change of the connections from nng's thread to the event loop."""
         try:
-            self._token.run_sync_soon(self._count, change)
+            self._token.run_sync_soon(self._update_pipes, change)
         except trio.RunFinishedError:
-            # The process is ending; nobody waits for it.
+            # The event loop has ended; no task needs the change.
             return
 
-    def _count(self, change: int) -> None:
+    def _update_pipes(self, change: int) -> None:
         self._pipes += change
         if self.is_connected:
             self._connected.set()
@@ -125,15 +124,15 @@
 
 
 class NngListener:
-    """A pull socket."""
+    """A listener on an nng pull socket."""
 
     def __init__(self, address: HostPort) -> None:
-        self._socket = pynng.Pull0(recv_max_size=ENVELOPE_LIMIT)
+        self._socket = pynng.Pull0(recv_max_size=MAX_ENVELOPE_BYTES)
         self._socket.listen(f"tcp://{address}")
         self.address = address
         if address.port == 0:
             port = self._socket.listeners[0].local_address.port
-            # nng gives the port in network byte order.
+            # nng returns the port in network byte order.
             swapped = int.from_bytes(port.to_bytes(2, "little"), "big")
             self.address = HostPort(address.host, swapped)
 
@@ -147,13 +146,13 @@
 
 
 class NngTransport:
-    """nng over TCP, by pynng."""
+    """Peer transport by nng over TCP, with pynng."""
 
     async def listen(self, address: HostPort) -> PeerListener:
         """Listen with a pull socket.
 
         Raises:
-            OSError: the address can't be had.
+            OSError: the address isn't available.
         """
         try:
             return NngListener(address)
@@ -164,7 +163,7 @@
         """Dial with a push socket.
 
         Raises:
-            OSError: the address can't be dialled.
+            OSError: the address is invalid.
         """
         try:
             return NngSender(address)
--- a/walkcart/wire/quarantines.py
+++ b/walkcart/wire/quarantines.py
@@ -1,4 +1,4 @@
-"""News of requests under which leaves ended."""
+"""Messages about requests under which leaves ended."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from walkcart.wire.messagebase import Message
 
-#: Seconds that stand for a time that never was.
+#: Seconds that stand for "never".
 NEVER = 1e9
 
 
@@ -14,10 +14,10 @@
     """What the sender knows of one request.
 
     Args:
-        fingerprint: of the request (`walkcart.wire.fingerprint`).
-        strikes: numbers that name the independent losses of leaves under it.
-        struck_age: seconds since the last of them.
-        answered_age: seconds since a leaf answered it last; `NEVER` if none did.
+        fingerprint: fingerprint of the request (`walkcart.wire.fingerprint`).
+        strikes: numbers that identify the independent losses of leaves under it.
+        struck_age: seconds since the last loss.
+        answered_age: seconds since a leaf last answered it; `NEVER` if none did.
     """
 
     fingerprint: bytes
@@ -27,6 +27,6 @@
 
 
 class QuarantineNews(Message, frozen=True):
-    """What the sender knows of some requests; it may come again and in any order."""
+    """What the sender knows of some requests; may be repeated and out of order."""
 
     entries: tuple[QuarantineEntry, ...]
--- a/walkcart/wire/quotas.py
+++ b/walkcart/wire/quotas.py
@@ -6,17 +6,17 @@
 
 
 class QuotaAsk(Message, frozen=True):
-    """The sender wants to run requests of a team.
+    """Asks for permission to run requests of a team.
 
     Args:
-        id: names the ask among those of the sender.
-        share: of the limits, from which it is to be taken.
-        team: whose requests.
-        wanted: how many.
-        version: of the configuration that the sender has in force.
-        rate: the team's limit there, in requests a second.
-        burst: requests on top, at once.
-        full: shares that had no room, and the seconds until they may have some.
+        id: identifies the ask among those of the sender.
+        share: share of the limits from which the requests are taken.
+        team: the team.
+        wanted: number of requests.
+        version: version of the configuration that the sender has in force.
+        rate: the team's rate limit in that version, in requests a second.
+        burst: number of requests above the rate that may run at once.
+        full: shares that had no room, with the seconds until they may have some.
     """
 
     id: int
@@ -30,15 +30,15 @@
 
 
 class QuotaGrant(Message, frozen=True):
-    """The answer of the accountant of a share.
+    """The answer to a `QuotaAsk` by the holder of the share, which counts its use.
 
     Args:
-        id: of the ask.
-        granted: requests that may run; 0 when there is no room.
-        wait: seconds until there is room for one.
-        turn: seconds until the asker's turn, behind others that were refused.
-        use: requests of the team a second, as granted by this accountant of late.
-        full: as in an ask; what others have told the accountant.
+        id: id of the ask.
+        granted: number of requests that may run; 0 if there is no room.
+        wait: seconds until there is room for one request.
+        turn: seconds until the asker's turn, after others that were refused before.
+        use: recent rate of granted requests of the team at this holder, per second.
+        full: shares without room, as in `QuotaAsk`; learned from other instances.
     """
 
     id: int
@@ -50,12 +50,12 @@
 
 
 class QuotaElsewhere(Message, frozen=True):
-    """The receiver of an ask isn't the accountant of its share.
+    """Says that the receiver of an ask isn't the holder of its share.
 
     Args:
-        id: of the ask.
-        holder: name of the accountant; empty when none is known.
-        revision: of the key that says so.
+        id: id of the ask.
+        holder: name of the holder; empty if none is known.
+        revision: revision of the store's key that names the holder.
     """
 
     id: int
@@ -64,14 +64,14 @@
 
 
 class QuotaHolder(Message, frozen=True):
-    """Who accounts a share; those that would take it hear this all the time.
+    """Names the holder of a share; sent regularly to the instances that could take it.
 
     Args:
-        share: of the limits.
-        holder: name of the accountant; empty when it gave the share up.
-        revision: of the key that says so.
-        weak: whether the accountant can't renew the key, and would give it up to one
-            who can reach the store.
+        share: share of the limits.
+        holder: name of the holder; empty when it gave the share up.
+        revision: revision of the store's key that names the holder.
+        weak: whether the holder can't renew the key, and would give the share up to an
+            instance that can reach the store.
     """
 
     share: int
@@ -81,11 +81,11 @@
 
 
 class QuotaTakeover(Message, frozen=True):
-    """The sender has just reached the store and would take a share.
+    """Says that the sender can reach the store and would take a share over.
 
     Args:
-        share: of the limits.
-        revision: of the key that it would replace.
+        share: share of the limits.
+        revision: revision of the store's key that it would replace.
     """
 
     share: int
--- a/walkcart/wire/relays.py
+++ b/walkcart/wire/relays.py
@@ -1,7 +1,7 @@
-"""Messages by which instances pass on what they read from the shared store.
+"""Messages by which instances relay changes of the shared store to each other.
 
-What they carry is packed as a stored value is: entries of one kind resemble each other,
-and a configuration of 24 KB takes 2.6 KB (measured with 227 services).
+Their contents are packed like stored values: entries of one kind resemble each other,
+so a configuration of 24 KB with 227 services takes 2.6 KB.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 class RelayedItem(msgspec.Struct, frozen=True, array_like=True):
-    """A stored value, or with `gone` the removal of its key.
+    """A stored value, or the removal of its key if `gone`.
 
     Args:
-        key: of the value.
-        revision: of the store at the change.
-        value: the bytes.
+        key: key of the value.
+        revision: revision of the store at the change.
+        value: the stored bytes.
         gone: whether the key was removed.
     """
 
@@ -28,25 +28,25 @@
 
 
 class RelaySubscribe(Message, frozen=True):
-    """Asks for changes for a while, and acknowledges those that came.
+    """Subscribes to changes for a while, and acknowledges those received.
 
     Args:
-        revisions: by prefix, up to which the sender knows everything.
+        revisions: for each prefix, the revision up to which the sender has all changes.
     """
 
     revisions: dict[str, int]
 
 
 class RelayUnserved(Message, frozen=True):
-    """Says that the sender passes nothing on now: others are to be asked."""
+    """Says that the sender relays nothing now; the receiver should ask others."""
 
 
 class RelayAge(msgspec.Struct, frozen=True, array_like=True):
-    """How old what a message says is, in seconds when it was packed.
+    """Age of the contents of a message when it was packed.
 
     Args:
-        current: since the sender surely held all that was stored.
-        changed: since it read the latest change.
+        current: seconds since the sender certainly had all stored values.
+        changed: seconds since it read the latest change.
     """
 
     current: float
@@ -57,11 +57,11 @@
     """The latest change of each key under a prefix.
 
     Args:
-        prefix: start of the keys.
-        base: the receiver must know everything up to this revision.
-        revision: and knows everything up to this one afterwards.
-        packed: the changes, a tuple of `RelayedItem`.
-        age: of it.
+        prefix: prefix of the keys.
+        base: revision up to which the receiver must already have all changes.
+        revision: revision up to which it has all changes afterwards.
+        packed: the changes, a packed tuple of `RelayedItem`.
+        age: age of the changes.
     """
 
     prefix: str
@@ -72,13 +72,13 @@
 
 
 class RelayCopy(Message, frozen=True):
-    """Everything under a prefix, for a receiver that is too far behind.
+    """All values under a prefix, for a receiver that is too far behind.
 
     Args:
-        prefix: start of the keys.
-        revision: of the copy.
-        packed: all items, a tuple of `RelayedItem`.
-        age: of it.
+        prefix: prefix of the keys.
+        revision: revision of the copy.
+        packed: all items, a packed tuple of `RelayedItem`.
+        age: age of the copy.
     """
 
     prefix: str
@@ -88,12 +88,13 @@
 
 
 class RelayedState(msgspec.Struct, frozen=True, array_like=True):
-    """Where the sender's copy of a prefix stands.
+    """State of the sender's copy of a prefix.
 
     Args:
-        latest_change: revision of it; who knows that lacks nothing.
-        revision: up to which the sender knows everything.
-        current_age: seconds since it surely held all that was stored.
+        latest_change: revision of the latest change; a receiver that has it is up to
+            date.
+        revision: revision up to which the sender has all changes.
+        current_age: seconds since it certainly had all stored values.
     """
 
     latest_change: int
@@ -102,10 +103,11 @@
 
 
 class RelayCurrent(Message, frozen=True):
-    """Says that nothing else has changed: the sign of life of a feed.
+    """Says that there are no other changes; the heartbeat of a feed.
 
     Args:
-        states: by prefix; none where the sender doesn't feed the receiver.
+        states: states of the copies, by prefix; those that the sender doesn't feed to
+            the receiver are left out.
     """
 
     states: dict[str, RelayedState]
--- a/walkcart/wire/server.py
+++ b/walkcart/wire/server.py
@@ -14,35 +14,35 @@
 import h11
 import trio
 
-from walkcart.wire.http import HEADER_LIMIT, RECEIVE_SIZE, HttpReply, HttpRequest
+from walkcart.wire.http import MAX_HEADER_BYTES, RECEIVE_SIZE, HttpReply, HttpRequest
 from walkcart.wire.network import is_quiet
 
-#: Turns of the event loop in which a task that was just started reads what has come
-#: and acts on it: it starts, reads, and goes on after the read.
-WATCH_TURNS = 3
+#: Passes of the event loop that a newly started task needs to read available input and
+#: act on it: one each to start, to read, and to resume after the read.
+WATCH_CHECKPOINTS = 3
 
 Handler = Callable[[HttpRequest], Awaitable[HttpReply]]
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What a client may ask of a connection.
+    """Limits on what a client may do over a connection.
 
     Args:
-        body: longest body, in bytes.
-        read_time: a request must be whole this long after its first byte.
-        idle_time: a connection without a request is closed after this.
-        head: longest head of a request, in bytes.
+        body: largest body of a request, in bytes.
+        read_time: time in which a request must be complete, from its first byte.
+        idle_time: time after which a connection without a request is closed.
+        head: largest head of a request, in bytes.
     """
 
     body: int = 1 << 20
     read_time: timedelta = timedelta(seconds=10)
     idle_time: timedelta = timedelta(seconds=120)
-    head: int = HEADER_LIMIT
+    head: int = MAX_HEADER_BYTES
 
 
 class Fault(Enum):
-    """What was wrong with a request that no handler saw."""
+    """Why a request was rejected before it reached the handler."""
 
     MALFORMED = 400
     TIMEOUT = 408
@@ -50,8 +50,8 @@
     HEADERS_TOO_LONG = 431
 
 
-class RequestBad(Exception):
-    """The bytes are no request that can be served."""
+class BadRequest(Exception):
+    """The received bytes are not a request that can be served."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(fault.name)
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Connection:
-    """The state of one connection that a stop has to see."""
+    """The state of one connection."""
 
     stream: trio.abc.Stream
     http: h11.Connection
@@ -71,16 +71,16 @@
 
 
 class HttpServer:
-    """Serves requests until it is stopped.
+    """Serves HTTP requests over streams.
 
     Args:
         handler: makes the reply; must not raise.
-        limits: what a client may ask.
-        on_fault: makes the reply to bytes that are no request.
-        on_gone: called when a client closes or breaks half-way.
-        cancel_on_gone: whether a request ends when its client closes.
-        on_error: told of an error that nobody expected, which ends only its
-            connection; without it such an error ends the instance.
+        limits: limits on requests and connections.
+        on_fault: makes the reply to a malformed request.
+        on_disconnect: called when a client disconnects during a request.
+        cancel_on_gone: whether a request is cancelled when its client disconnects.
+        on_error: called with an unexpected error, which then ends only its connection;
+            without it such an error ends the instance.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         handler: Handler,
         limits: ServerLimits,
         on_fault: Callable[[Fault], HttpReply],
-        on_gone: Callable[[], None] = lambda: None,
+        on_disconnect: Callable[[], None] = lambda: None,
         cancel_on_gone: bool = False,
         on_error: Callable[[Exception], None] | None = None,
     ) -> None:
@@ -96,7 +96,7 @@
         self.limits = limits
         self.cancel_on_gone = cancel_on_gone
         self._on_fault = on_fault
-        self._on_gone = on_gone
+        self._on_disconnect = on_disconnect
         self._on_error = on_error
         self._connections: set[_Connection] = set()
         self._closing = False
@@ -108,18 +108,18 @@
         return len(self._connections)
 
     def announce_stop(self) -> None:
-        """From now on each reply asks the client to close its connection."""
+        """Ask clients to close their connections, by a header on each later reply."""
         self._closing = True
 
     def close_idle(self, idle_for: timedelta) -> None:
-        """Close the connections that had no request for at least `idle_for`."""
+        """Close the connections without a request for at least `idle_for`."""
         limit = trio.current_time() - idle_for.total_seconds()
         for connection in tuple(self._connections):
             if connection.idle_scope and connection.idle_since <= limit:
                 connection.idle_scope.cancel()
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """Serve one connection to its end."""
+        """Serve one connection until it ends."""
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=self.limits.head)
         connection = _Connection(stream, http)
         self._connections.add(connection)
@@ -127,11 +127,11 @@
             while await self._serve_one(connection):
                 connection.requests += 1
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-            self._on_gone()
+            self._on_disconnect()
         except h11.LocalProtocolError:
-            # A reply that can't be put into HTTP; better a closed connection
-            # than an instance that ends.
-            self._on_gone()
+            # The reply is not valid HTTP; closing the connection is better than ending
+            # the instance.
+            self._on_disconnect()
         except Exception as error:
             if self._on_error is None:
                 raise
@@ -148,34 +148,34 @@
         try:
             try:
                 request = await self._read_request(connection)
-            except RequestBad as error:
+            except BadRequest as error:
                 await self._send(connection, self._on_fault(error.fault), close=True)
                 return False
             if request is None:
-                self._on_gone()
+                self._on_disconnect()
                 return False
             reply = await self._run_handler(connection, request)
             if reply is None:
-                self._on_gone()
+                self._on_disconnect()
                 return False
             await self._send(connection, reply, close=self._closing)
         finally:
             self.in_progress -= 1
-        return self._renew(connection)
+        return self._prepare_next(connection)
 
     async def _run_handler(
         self, connection: _Connection, request: HttpRequest
     ) -> HttpReply | None:
-        """Make the reply; None when the client left and its request was cancelled."""
+        """Make the reply; None if the request was cancelled by a disconnect."""
         if not self.cancel_on_gone:
             return await self._handler(request)
         reply: HttpReply | None = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_client, connection, nursery.cancel_scope)
             if not is_quiet(connection.stream):
-                # The client may have left long ago, while its connection waited to be
-                # accepted: the watching task sees that before any work is begun.
-                for _ in range(WATCH_TURNS):
+                # The client may have disconnected while its connection waited to be
+                # accepted; the watching task sees that before any work is begun.
+                for _ in range(WATCH_CHECKPOINTS):
                     await trio.lowlevel.checkpoint()
             reply = await self._handler(request)
             nursery.cancel_scope.cancel()
@@ -184,7 +184,7 @@
     async def _watch_client(
         self, connection: _Connection, scope: trio.CancelScope
     ) -> None:
-        """Cancel `scope` when the client closes; keep what it sends meanwhile."""
+        """Cancel `scope` if the client disconnects; keep what it sends meanwhile."""
         read = 0
         while read < RECEIVE_SIZE:
             try:
@@ -199,7 +199,7 @@
             connection.http.receive_data(data)
 
     async def _wait_for_bytes(self, connection: _Connection) -> bool:
-        """Wait for the first byte of a request; False when none will come."""
+        """Wait for the first byte of a request; False if none will come."""
         if connection.http.trailing_data[0]:
             return True
         data = b""
@@ -214,13 +214,13 @@
         return True
 
     async def _read_request(self, connection: _Connection) -> HttpRequest | None:
-        """Read one request; None when the client closed half-way."""
+        """Read one request; None if the client disconnected before its end."""
         with trio.move_on_after(self.limits.read_time.total_seconds()):
             try:
                 return await self._collect(connection)
             except h11.RemoteProtocolError as error:
-                raise RequestBad(_fault_of(error)) from None
-        raise RequestBad(Fault.TIMEOUT)
+                raise BadRequest(_find_fault(error)) from None
+        raise BadRequest(Fault.TIMEOUT)
 
     async def _collect(self, connection: _Connection) -> HttpRequest | None:
         head: h11.Request | None = None
@@ -238,11 +238,11 @@
             elif type(event) is h11.Request:
                 head = event
                 if has_ambiguous_end(head.headers):
-                    raise RequestBad(Fault.MALFORMED)
+                    raise BadRequest(Fault.MALFORMED)
             elif type(event) is h11.Data:
                 size += len(event.data)
                 if size > self.limits.body:
-                    raise RequestBad(Fault.BODY_TOO_LONG)
+                    raise BadRequest(Fault.BODY_TOO_LONG)
                 chunks.append(bytes(event.data))
             elif type(event) is h11.EndOfMessage:
                 break
@@ -272,7 +272,7 @@
         data += http.send(h11.EndOfMessage()) or b""
         await connection.stream.send_all(data)
 
-    def _renew(self, connection: _Connection) -> bool:
+    def _prepare_next(self, connection: _Connection) -> bool:
         http = connection.http
         if http.our_state is not h11.DONE or http.their_state is not h11.DONE:
             return False
@@ -281,12 +281,12 @@
 
 
 def has_ambiguous_end(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """Return whether a request states its end in two ways (RFC 9112, 6.1)."""
+    """Return whether a request states its length in two ways (RFC 9112, 6.1)."""
     names = {name for name, _ in headers}
     return b"transfer-encoding" in names and b"content-length" in names
 
 
-def _fault_of(error: h11.RemoteProtocolError) -> Fault:
+def _find_fault(error: h11.RemoteProtocolError) -> Fault:
     if error.error_status_hint == Fault.HEADERS_TOO_LONG.value:
         return Fault.HEADERS_TOO_LONG
     return Fault.MALFORMED
--- a/walkcart/wire/tests/test_clients_gone.py
+++ b/walkcart/wire/tests/test_clients_gone.py
@@ -1,4 +1,4 @@
-"""Requests whose client left before they were accepted."""
+"""Requests whose client disconnected before the connection was accepted."""
 
 import socket
 
@@ -13,9 +13,9 @@
 
 
 def serve_one(send, wanted):
-    """Serve a connection by which `send(socket)` sends; return the requests begun.
+    """Serve a connection on which `send(socket)` sends; return the started targets.
 
-    Ends with the connection, or as soon as `wanted` requests were begun.
+    Ends with the connection, or as soon as `wanted` requests were started.
     """
     begun = []
 
--- a/walkcart/wire/tests/test_network.py
+++ b/walkcart/wire/tests/test_network.py
@@ -1,4 +1,4 @@
-"""Connections whose peer goes silent, as the kernel is asked to find them."""
+"""Kernel options that detect connections whose peer has gone silent."""
 
 import socket
 from datetime import timedelta
@@ -7,7 +7,7 @@
 import trio
 
 from walkcart.kernel.settings import HostPort
-from walkcart.wire.network import PROBES, SILENCE_MS, TcpNetwork
+from walkcart.wire.network import PROBES, UNACKED_TIMEOUT_MS, TcpNetwork
 
 
 async def read_options(probe):
@@ -38,4 +38,4 @@
 def test_others_are_not_probed():
     probed, *_, silence = trio.run(read_options, None)
     assert not probed
-    assert silence == SILENCE_MS
+    assert silence == UNACKED_TIMEOUT_MS
--- a/walkcart/wire/tests/test_server_errors.py
+++ b/walkcart/wire/tests/test_server_errors.py
@@ -1,4 +1,4 @@
-"""Errors that nobody expected end a connection, not the server."""
+"""Unexpected errors and malformed requests end a connection, not the server."""
 
 import trio
 from trio.testing import memory_stream_pair
--- a/walkcart/wire/tests/test_strays.py
+++ b/walkcart/wire/tests/test_strays.py
@@ -1,4 +1,4 @@
-"""Replies that belong to no request, on a client's connection."""
+"""Stray replies, which belong to no request, on a client's connection."""
 
 import pytest
 import trio
@@ -9,7 +9,7 @@
 
 
 def exchange(replies):
-    """Send a request with id ``b`` and give the server's bytes, some at once."""
+    """Send a request with id ``b`` while the server sends `replies` one by one."""
 
     async def run():
         ours, theirs = memory_stream_pair()
--- a/walkcart/wire/tests/test_wire.py
+++ b/walkcart/wire/tests/test_wire.py
@@ -69,7 +69,7 @@
 
 
 def test_envelopes_carry_no_names_of_fields_or_classes():
-    """Operators pay for bytes between regions."""
+    """Operators pay for bytes between regions, so names aren't sent."""
     data = encode_envelope(ENVELOPE)
     assert b"to_incarnation" not in data
     assert type(ASK).__name__.encode() not in data
--- a/walkcart/wire/verdicts.py
+++ b/walkcart/wire/verdicts.py
@@ -1,9 +1,9 @@
-"""Verdicts: whether a request may have run.
+"""Verdicts: whether a request ran.
 
-Every failure that reaches a caller is one of these, and each hop passes it on
-unchanged. The rule for `NotRun` is strict: no byte of the request reached a
-leaf or a peer, or the one that got it said that it did not run it. Whatever
-fails after the first byte is `MayHaveRun`.
+Every failure that reaches a caller is one of these verdicts, and each hop passes it on
+unchanged. The rule for `NotRun` is strict: either no byte of the request reached a leaf
+or a peer, or the one that received it stated that it did not run it. Any other failure
+after the first byte is `MayHaveRun`.
 
 Examples:
     >>> NotRun(Reason.OVERLOADED, retry_after=timedelta(seconds=2)).reason.value
@@ -60,7 +60,7 @@
 
     Args:
         status: HTTP status of the reply.
-        body: the reply's body.
+        body: body of the reply.
     """
 
     status: int
@@ -72,9 +72,9 @@
     """The request did not run anywhere and will not.
 
     Args:
-        reason: why.
-        detail: one sentence for a person.
-        retry_after: when asking again makes sense; None when it doesn't.
+        reason: why it did not run.
+        detail: one sentence for people.
+        retry_after: time after which a retry makes sense; None if it doesn't.
     """
 
     reason: Reason
@@ -87,8 +87,8 @@
     """The request may have run, or may still run until its deadline.
 
     Args:
-        reason: why nothing better is known.
-        detail: one sentence for a person.
+        reason: why it is unknown whether the request ran.
+        detail: one sentence for people.
     """
 
     reason: Reason
