--- a/walkcart/leaves/tests/test_link.py
+++ b/walkcart/leaves/tests/test_link.py
@@ -39,7 +39,7 @@
     return replace(spec, connections=1)
 
 
-def test_killed_leaf_costs_no_answer():
+def test_killed_leaf_does_not_lose_answers():
     async def run():
         async with open_estate() as world:
             caller = make_caller(world)
@@ -76,7 +76,7 @@
         assert not violations
 
 
-def test_rubbish_from_a_leaf_is_dropped():
+def test_garbage_from_a_leaf_is_dropped():
     check_corrupted("garbage")
 
 
@@ -104,7 +104,7 @@
     check_corrupted("endless")
 
 
-def test_reply_lost_after_the_run_is_made_up_by_the_sibling():
+def test_reply_lost_after_the_run_is_replaced_by_the_sibling():
     check_corrupted("drop_reply")
 
 
@@ -193,7 +193,7 @@
     return sum(leaf.connections for leaf in leaves if leaf.spec.group == group)
 
 
-def test_odd_numbers_from_a_leaf_end_no_instance():
+def test_invalid_numbers_from_a_leaf_are_rejected():
     """Digits that pass `isdigit` but not `int` must not raise."""
     attempt = Attempt("a", 0, Snapshot(1, 1), "red", 1.0, b"")
     for text in (b"1:\xb2", b"1:" + b"9" * 5000, b"1", b":", b"-1:1"):
--- a/walkcart/wire/tests/test_clients_gone.py
+++ b/walkcart/wire/tests/test_clients_gone.py
@@ -55,5 +55,5 @@
     assert serve_one(lambda client: client.sendall(REQUEST), 1) == ["/"]
 
 
-def test_a_second_request_that_has_come_already_does_no_harm():
+def test_pipelined_requests_are_both_begun():
     assert serve_one(lambda client: client.sendall(REQUEST * 2), 2) == ["/", "/"]
--- a/walkcart/wire/tests/test_network.py
+++ b/walkcart/wire/tests/test_network.py
@@ -30,12 +30,12 @@
 
 
 @pytest.mark.parametrize("seconds", [1, 2])
-def test_a_probed_connection_ends_a_probe_after_the_last_question(seconds):
+def test_a_probed_connection_ends_one_interval_after_the_last_probe(seconds):
     found = trio.run(read_options, timedelta(seconds=seconds))
     assert found == (True, seconds, seconds, PROBES, (PROBES + 1) * seconds * 1000)
 
 
-def test_others_are_not_probed():
+def test_a_connection_without_an_interval_is_not_probed():
     probed, *_, silence = trio.run(read_options, None)
     assert not probed
     assert silence == UNACKED_TIMEOUT_MS
--- a/walkcart/wire/tests/test_server_errors.py
+++ b/walkcart/wire/tests/test_server_errors.py
@@ -12,7 +12,7 @@
     raise KeyError("a fault")
 
 
-def test_an_unexpected_error_ends_its_connection_and_is_told():
+def test_an_unexpected_error_is_reported_and_ends_its_connection():
     async def run():
         told = []
         server = HttpServer(
--- a/walkcart/wire/tests/test_strays.py
+++ b/walkcart/wire/tests/test_strays.py
@@ -40,13 +40,13 @@
     return head.encode() + body
 
 
-def test_a_late_reply_to_an_earlier_request_is_read_over():
+def test_a_late_reply_to_an_earlier_request_is_skipped():
     reply, renewable = exchange([make_reply("a"), make_reply("b", b"ours")])
     assert reply.body == b"ours"
     assert renewable
 
 
-def test_the_same_in_one_piece():
+def test_a_late_reply_in_the_same_chunk_is_skipped():
     reply, _ = exchange([make_reply("a") + make_reply("b", b"ours")])
     assert reply.body == b"ours"
 
@@ -57,11 +57,11 @@
     assert not renewable
 
 
-def test_only_strays_are_no_reply():
+def test_stray_replies_alone_fail_the_exchange():
     with pytest.raises(ExchangeFailed):
         exchange([make_reply("a"), make_reply("c"), make_reply("d")])
 
 
-def test_a_reply_cut_short_is_no_reply():
+def test_a_truncated_reply_fails_the_exchange():
     with pytest.raises(ExchangeFailed):
         exchange([make_reply("b", b"longer")[:-2]])
--- a/walkcart/wire/tests/test_wire.py
+++ b/walkcart/wire/tests/test_wire.py
@@ -19,15 +19,15 @@
 
 
 @given(st.binary(max_size=100))
-def test_rubbish_is_no_envelope(data):
+def test_arbitrary_bytes_are_not_an_envelope(data):
     with pytest.raises(BadMessage):
         decode_envelope(data)
 
 
 @given(st.integers(0, 200), st.integers(0, 255))
-def test_changed_envelope_is_read_or_refused(place, value):
+def test_corrupted_envelope_is_decoded_or_refused(position, value):
     data = bytearray(encode_envelope(ENVELOPE))
-    data[place % len(data)] = value
+    data[position % len(data)] = value
     try:
         assert isinstance(decode_envelope(bytes(data)), Envelope)
     except BadMessage as error:
