--- a/walkcart/bench/caller.py
+++ b/walkcart/bench/caller.py
@@ -117,7 +117,7 @@
             with trio.CancelScope(shield=True):
                 await connection.close()
             raise
-        if connection.renew():
+        if connection.prepare_next():
             idle.append(connection)
         else:
             await connection.close()
--- a/walkcart/bench/routed/callers.py
+++ b/walkcart/bench/routed/callers.py
@@ -9,9 +9,9 @@
 import trio
 
 from walkcart.bench.routed.instances import TrialInstance, merge_parts
-from walkcart.entry.roomgate import RoomGate
+from walkcart.entry.overloadgate import OverloadGate
 from walkcart.entry.routed import CallerRequest, RoutedEntryTools, RoutedHandler
-from walkcart.entry.starting import StartGate
+from walkcart.entry.startup import StartupGate
 from walkcart.fanout.routedquestion import RoutedAnswer, RoutedFailure
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.server import Fault
@@ -95,7 +95,7 @@
         patience = timedelta(seconds=float(request.header(b"patience") or 0))
         return CallerRequest(request.header(b"id") or "", "host", patience, request)
 
-    def name_team(self, request: HttpRequest, team: str) -> HttpRequest:
+    def attach_team(self, request: HttpRequest, team: str) -> HttpRequest:
         """Return the request: no trial has teams."""
         return request
 
@@ -222,10 +222,10 @@
             instance.metrics,
             instance.tracer,
             random,
-            StartGate(lambda: True),
+            StartupGate(lambda: True),
             instance.origins,
-            find_age=lambda: 0.0,
-            room=RoomGate(
+            find_configuration_age=lambda: 0.0,
+            room=OverloadGate(
                 instance.gathering.clock, random, instance.events, instance.metrics
             ),
         )
--- a/walkcart/bench/routed/instances.py
+++ b/walkcart/bench/routed/instances.py
@@ -18,15 +18,15 @@
 from walkcart.bench.routed.members import FixedRegistration
 from walkcart.bench.routed.policies import Policy
 from walkcart.bench.routed.timeline import Timeline
-from walkcart.fanout.carrying import Carrier
 from walkcart.fanout.delegatedgroup import Outcome
-from walkcart.fanout.delegates import Delegates
-from walkcart.fanout.delegatetools import DelegateTools
-from walkcart.fanout.gatherers import Gatherers, find_gathering_places
-from walkcart.fanout.handing import Handing
+from walkcart.fanout.delegationclient import DelegationClient
+from walkcart.fanout.delegationserver import DelegationServer
+from walkcart.fanout.delegationtools import DelegationTools
+from walkcart.fanout.gatheringinstances import GatheringInstances, find_gathering_places
 from walkcart.fanout.handover import Handover
 from walkcart.fanout.ids import IdSource
 from walkcart.fanout.mergedanswer import MergedAnswer
+from walkcart.fanout.merginghandover import MergingHandover
 from walkcart.fanout.origins import RequestOrigins
 from walkcart.fanout.quarantines import Quarantines
 from walkcart.fanout.routed import RoutedGathering
@@ -46,9 +46,9 @@
 from walkcart.leaves.pooltools import PoolTools
 from walkcart.membership.instancerecord import InstanceRecord
 from walkcart.membership.links import PeerLinks
-from walkcart.routing.distance import Distance, Place, measure_distance
-from walkcart.routing.eligibility import ANYWHERE, Regions
-from walkcart.routing.peerchoice import PeerAccounts
+from walkcart.routing.distance import Distance, Location, measure_distance
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
+from walkcart.routing.peerchoice import PeerStats
 from walkcart.routing.quarantine import Quarantine
 from walkcart.routing.repeats import RepeatBudget, RepeatLimits
 from walkcart.standins.memory import MemoryNetwork
@@ -112,7 +112,7 @@
         without: frozenset[str],
         objective: float,
         now: float,
-        regions: Regions = ANYWHERE,
+        regions: Regions = ALL_REGIONS,
     ) -> Leaf | None:
         """Return the leaf for the next request."""
         if self._policy.choose:
@@ -128,7 +128,7 @@
     def _note_failure(self, leaf: Leaf, now: float, lost: bool = False) -> None:
         super()._note_failure(leaf, now, lost)
         if not self._policy.eject:
-            leaf.ejection.note_success()
+            leaf.ejection.record_success()
 
     def _account(self, leaf, attempt, kind, outcome) -> None:
         super()._account(leaf, attempt, kind, outcome)
@@ -143,7 +143,7 @@
         self, record: InstanceRecord, around: Surroundings, random: Random
     ) -> None:
         self.record = record
-        self.place = Place(record.region, record.data_centre)
+        self.place = Location(record.region, record.data_centre)
         clock = TrioClock()
         self.events = EventLog(record.name, clock, StringIO())
         self.metrics = Metrics(None, record.name)
@@ -209,17 +209,17 @@
             listener, transport, self._registration, self.events, self.metrics
         )
         life = self._random.getrandbits(32)
-        tools = DelegateTools(
+        tools = DelegationTools(
             links,
             self._registration,
-            PeerAccounts(),
+            PeerStats(),
             IdSource("", life),
             self._clock,
             self._random,
             self.events,
             self._make_gatherers(),
         )
-        delegates = Delegates(tools)
+        delegates = DelegationClient(tools)
         limits = REPEAT_LIMITS if around.policy.repeat else NO_REPEATS
         quarantines = Quarantines(
             Quarantine(),
@@ -242,7 +242,7 @@
             quarantines,
             delegates if around.policy.delegate else None,
         )
-        carrier = Carrier(
+        carrier = DelegationServer(
             links,
             self._clock,
             self._gather,
@@ -255,22 +255,22 @@
             await nursery.start(service.run)
         delegates.open_links()
 
-    def _make_gatherers(self) -> Gatherers:
-        gatherers = Gatherers(
+    def _make_gatherers(self) -> GatheringInstances:
+        gatherers = GatheringInstances(
             self._registration,
             self._clock,
             lambda: find_gathering_places(self.keeper.table, self.directory),
         )
-        self.directory.on_change(gatherers.note_change)
-        self.pool.follow_gathering(gatherers)
+        self.directory.on_change(gatherers.invalidate_places)
+        self.pool.set_gathering(gatherers)
         return gatherers
 
     async def _gather(
         self, question: RoutedQuestion, top: int, handover: Handover
     ) -> Outcome:
         question = replace(question, rank=self.keeper.table.rank_of(question.kind))
-        handing = Handing(handover, merge_parts)
-        gathering = RoutedGathering(self.gathering, question, handing=handing)
+        handing = MergingHandover(handover, merge_parts)
+        gathering = RoutedGathering(self.gathering, question, handover=handing)
         return (await gathering.run()).map(merge_parts)
 
     def _find_usual_high(self, kind: str) -> float:
--- a/walkcart/bench/routed/leafs.py
+++ b/walkcart/bench/routed/leafs.py
@@ -11,7 +11,7 @@
 import trio
 
 from walkcart.bench.routed.timeline import Timeline
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 
 #: Seconds in which a leaf turns a request away.
 REFUSAL_TIME = 0.001
@@ -124,7 +124,7 @@
         self,
         id: str,
         service: str,
-        place: Place,
+        place: Location,
         shape: LeafShape,
         timeline: Timeline,
         random: Random,
--- a/walkcart/bench/routed/links.py
+++ b/walkcart/bench/routed/links.py
@@ -15,8 +15,8 @@
 from walkcart.bench.routed.timeline import Timeline
 from walkcart.leaves.attempts import Attempt, Deliver, Failed, Outcome, Refused, Replied
 from walkcart.leaves.leaf import UNPINNED, Leaf
-from walkcart.leaves.link import CONNECT_TIME
-from walkcart.leaves.linkqueue import HasRoom, has_always_room
+from walkcart.leaves.link import CONNECT_TIMEOUT
+from walkcart.leaves.linkqueue import HasRoom, always_has_room
 from walkcart.leaves.pool import LeafPool
 from walkcart.leaves.pooltools import PoolTools
 from walkcart.leaves.protocol import LeafStatus
@@ -84,7 +84,7 @@
     note_status: Callable[[Leaf, LeafStatus], None]
     connections: int = 0
     _idle: int = 0
-    has_room: HasRoom = has_always_room
+    has_room: HasRoom = always_has_room
     _queue: UrgencyQueue[Carried] = field(default_factory=UrgencyQueue)
     _running: dict[str, Carried] = field(default_factory=dict)
 
@@ -151,7 +151,7 @@
 
     def _serve(self) -> None:
         while self._idle:
-            carried = self._queue.take(trio.current_time(), self._fits)
+            carried = self._queue.pop(trio.current_time(), self._fits)
             if carried is None:
                 return
             self._idle -= 1
@@ -170,7 +170,7 @@
         if trouble.gone:
             self.emulation.timeline.call_after(round_trip, self._fail_connection)
         elif trouble.dark:
-            limit = CONNECT_TIME.total_seconds()
+            limit = CONNECT_TIMEOUT.total_seconds()
             self.emulation.timeline.call_after(limit, self._fail_connection)
         elif self.emulated.connections >= self.emulated.shape.connections:
             self.emulation.timeline.call_after(round_trip, self._fail_connection)
@@ -276,7 +276,7 @@
                 emulated,
                 self._share_of(leaf),
                 self._emulation,
-                self.note_status,
+                self.record_status,
                 has_room=self.has_room,
             )
             self._links[leaf.id] = link
--- a/walkcart/bench/routed/scenarios.py
+++ b/walkcart/bench/routed/scenarios.py
@@ -9,12 +9,16 @@
 
 from walkcart.bench.routed.callers import CallerKind
 from walkcart.bench.routed.leafs import LeafShape
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 
 if TYPE_CHECKING:
     from walkcart.bench.routed.trials import Trial
 
-PLACES = (Place("north", "north-a"), Place("south", "south-a"), Place("east", "east-a"))
+PLACES = (
+    Location("north", "north-a"),
+    Location("south", "south-a"),
+    Location("east", "east-a"),
+)
 #: A long search that needs nearly all shards, a short one that needs fewer, and a
 #: request to a single leaf: rates, work, objectives and patience as the users state
 #: them for a smaller deployment.
--- a/walkcart/bench/routed/trials.py
+++ b/walkcart/bench/routed/trials.py
@@ -29,7 +29,7 @@
 )
 from walkcart.leaves.attempts import Attempt
 from walkcart.membership.instancerecord import InstanceRecord
-from walkcart.routing.distance import Place, measure_distance
+from walkcart.routing.distance import Location, measure_distance
 from walkcart.standins.memory import MemoryNetwork
 
 #: Seconds of requests before anything is counted: times are learned by then.
@@ -177,7 +177,7 @@
         self._around.records[name] = record
         return TrialInstance(record, self._around, Random(self.random.getrandbits(32)))
 
-    def _start_leaf(self, service: str, place: Place) -> None:
+    def _start_leaf(self, service: str, place: Location) -> None:
         single = service == SINGLE_SERVICE
         shape = self.shape.single_leaf if single else self.shape.leaf
         self._started += 1
@@ -190,8 +190,8 @@
             instance.know_leafs()
 
     def _work_of(self, attempt: Attempt) -> float:
-        assert attempt.routed is not None
-        return self._kinds[attempt.routed.target.strip("/")].work
+        assert attempt.caller_request is not None
+        return self._kinds[attempt.caller_request.target.strip("/")].work
 
     def _count(self) -> tuple[int, float, float]:
         leafs = self.leafs.values()
--- a/walkcart/bench/slopes_data.py
+++ b/walkcart/bench/slopes_data.py
@@ -35,7 +35,7 @@
 from walkcart.membership.view import MembershipView
 from walkcart.once.keys import make_key
 from walkcart.routing.admission import Admission, Admitted
-from walkcart.routing.holders import HeldLeaf, HolderTable
+from walkcart.routing.holders import HolderTable, SharedLeaf
 from walkcart.routing.shares import ConnectionShares
 from walkcart.wire.codec import decode_envelope, encode_envelope
 from walkcart.wire.messages import (
@@ -189,12 +189,12 @@
             held = LeafMarks()
             queue = GossipQueue(MembershipView(own), held)
             for mark in marks:
-                held.note_leaving(mark.address, mark.incarnation)
+                held.record_leaving(mark.address, mark.incarnation)
                 queue.add_mark(mark.address)
             envelope = Envelope("a", 1, "", 0, (Gossip(queue.make_digest()),))
             data = encode_envelope(envelope)
             receiver = GossipQueue(MembershipView(own), LeafMarks())
-            receiver.take_in(decode_envelope(data).messages[0].digest)
+            receiver.merge_digest(decode_envelope(data).messages[0].digest)
             return len(data)
 
         found.setdefault("bytes a message", []).append((count, pass_on()))
@@ -291,7 +291,7 @@
     """Measure the division of connections over instances, for 400 leaves."""
     found: Measured = {}
     leaves = [
-        HeldLeaf(f"127.0.0.1:{7000 + n}", "north", ConnectionShares(25))
+        SharedLeaf(f"127.0.0.1:{7000 + n}", "north", ConnectionShares(25))
         for n in range(HELD_LEAVES)
     ]
     for count in FLEET_COUNTS:
@@ -327,18 +327,18 @@
 async def _admit(waiting: int) -> float:
     admission = Admission(TrioClock(datetime(2026, 1, 1, tzinfo=UTC)))
     async with trio.open_nursery() as nursery:
-        entered = [await admission.enter("a", 1.0, 8, 60.0) for _ in range(8)]
+        entered = [await admission.admit("a", 1.0, 8, 60.0) for _ in range(8)]
         assert all(isinstance(item, Admitted) for item in entered)
-        admission.leave("a", None)
-        await admission.enter("a", 1.0, 8, 60.0)
+        admission.release("a", None)
+        await admission.admit("a", 1.0, 8, 60.0)
         for number in range(waiting):
-            nursery.start_soon(admission.enter, f"p{number % 8}", 1.0, 8, 6000.0)
+            nursery.start_soon(admission.admit, f"p{number % 8}", 1.0, 8, 6000.0)
         await trio.sleep(0.01)
         rounds = max(1, min(waiting, 200))
         start = time.process_time()
         for _ in range(rounds):
-            admission.leave("a", None)
-            await admission.enter("a", 1.0, 9, 0.0)
+            admission.release("a", None)
+            await admission.admit("a", 1.0, 9, 0.0)
         used = (time.process_time() - start) / rounds
         nursery.cancel_scope.cancel()
     return used
--- a/walkcart/bench/slopes_fleet.py
+++ b/walkcart/bench/slopes_fleet.py
@@ -243,7 +243,7 @@
     for _ in range(requests):
         reply = await connection.exchange(request)
         assert reply.status == 200
-        connection.renew()
+        connection.prepare_next()
     return (time.process_time() - start) / requests
 
 
--- a/walkcart/daemon/assembly.py
+++ b/walkcart/daemon/assembly.py
@@ -23,7 +23,7 @@
 from walkcart.entry.queries import CallerTools, QueryHandler
 from walkcart.entry.stopping import PlannedStop
 from walkcart.fanout.gatherer import Gatherer
-from walkcart.fanout.single import SingleSender
+from walkcart.fanout.singlesender import SingleSender
 from walkcart.intent.distribution import ConfigurationKeeper
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.invariants import Invariants
--- a/walkcart/daemon/instanceleaves.py
+++ b/walkcart/daemon/instanceleaves.py
@@ -12,7 +12,7 @@
 from walkcart.fanout.ids import IdSource
 from walkcart.fanout.quarantines import Quarantines
 from walkcart.fanout.selection import LeafSelector
-from walkcart.fanout.single import SingleSender
+from walkcart.fanout.singlesender import SingleSender
 from walkcart.intent.distribution import ConfigurationKeeper
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.invariants import Invariants
@@ -25,7 +25,7 @@
 from walkcart.membership.links import PeerLinks
 from walkcart.membership.listing import InstanceList
 from walkcart.membership.marks import LeafMarks
-from walkcart.membership.quarantinenews import QuarantineSpread
+from walkcart.membership.quarantinegossip import QuarantineGossip
 from walkcart.membership.view import MembershipView
 from walkcart.routing.quarantine import Quarantine
 from walkcart.routing.replicas import ReplicaChooser
@@ -44,7 +44,7 @@
 
     def note_status(leaf, status) -> None:
         assert gateway is not None
-        gateway.note_status(leaf, status)
+        gateway.record_status(leaf, status)
 
     tracer = kernel.find("tracer", Tracer)
     forwarder = Forwarder(links, view, around.clock, note_status, tracer)
@@ -100,14 +100,14 @@
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
     )
-    spread = QuarantineSpread(
+    spread = QuarantineGossip(
         quarantine,
         kernel.find("links", PeerLinks),
         around.clock,
         lambda: [record.name for record in view.usable_peers()],
         lambda: False,
-        quarantines.note_news,
+        quarantines.log_news,
     )
-    quarantines.follow(spread.tell_all, lambda fingerprint: None)
+    quarantines.set_listeners(spread.broadcast, lambda fingerprint: None)
     kernel.add("quarantine_spread", spread)
     return quarantines
--- a/walkcart/daemon/tenant.py
+++ b/walkcart/daemon/tenant.py
@@ -20,7 +20,7 @@
 from walkcart.daemon.tenantstore import add_base, add_intent, add_leaves, add_store
 from walkcart.entry.routedservice import RoutedService
 from walkcart.entry.routedstop import RoutedStop
-from walkcart.fanout.carrying import Carrier
+from walkcart.fanout.delegationserver import DelegationServer
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.registry import Kernel
 from walkcart.kernel.taskfaults import note_task_fault
@@ -66,7 +66,7 @@
     service = kernel.find("entry", RoutedService)
     events = kernel.find("events", EventLog)
     server = HttpServer(
-        service.tell_readiness,
+        service.handle_readiness,
         ServerLimits(),
         PlatformCallerProtocol().render_fault,
         on_error=partial(note_task_fault, events, "question of the balancer"),
@@ -76,7 +76,7 @@
         await add_metrics_page(kernel, settings, around)
     stop = RoutedStop(
         service,
-        kernel.find("carrier", Carrier),
+        kernel.find("carrier", DelegationServer),
         kernel.find("registration", Registration),
         events,
         settings.grace,
--- a/walkcart/daemon/tenantlimits.py
+++ b/walkcart/daemon/tenantlimits.py
@@ -7,21 +7,21 @@
 from __future__ import annotations
 
 from walkcart.daemon.surroundings import TenantSurroundings
-from walkcart.entry.teamlimits import SharedTeamLimits
-from walkcart.fanout.gatherers import Gatherers
+from walkcart.entry.teamlimits import DistributedRateLimiter
+from walkcart.fanout.gatheringinstances import GatheringInstances
 from walkcart.intent.routekeeper import RouteKeeper
 from walkcart.intent.routes import RouteTable
 from walkcart.intent.teams import RateLimit
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.metrics import Metrics
 from walkcart.kernel.registry import Kernel
-from walkcart.leaves.coldroom import ColdRoom
-from walkcart.membership.coldshares import ColdNeeds, ColdShares
+from walkcart.leaves.coldlimiter import ColdLimiter
+from walkcart.membership.coldshares import ColdShareDemand, ColdShares
 from walkcart.membership.links import PeerLinks
-from walkcart.membership.quotaanswers import QuotaAnswers
-from walkcart.membership.quotaasks import QuotaAsks
+from walkcart.membership.quotaclient import QuotaClient
 from walkcart.membership.quotaholders import QuotaHolders
 from walkcart.membership.quotakeys import QUOTA_PREFIX, QuotaKeys
+from walkcart.membership.quotaserver import QuotaServer
 from walkcart.membership.quotashares import QuotaShares
 from walkcart.membership.registration import Registration
 from walkcart.platform.settings import PlatformSettings
@@ -56,18 +56,18 @@
 
 
 def add_cold_shares(
-    kernel: Kernel, around: TenantSurroundings, gatherers: Gatherers
+    kernel: Kernel, around: TenantSurroundings, gatherers: GatheringInstances
 ) -> None:
     """Add what divides the bounds of cold leafs among the instances."""
-    cold = kernel.find("cold", ColdRoom)
+    cold = kernel.find("cold", ColdLimiter)
     shares = ColdShares(
         kernel.find("store", PlatformStore),
         kernel.find("registration", Registration),
-        ColdNeeds(cold.find_bounded, cold.find_cold, gatherers.rank_for),
+        ColdShareDemand(cold.find_bounded, cold.find_cold, gatherers.rank_for),
         around.clock,
         kernel.find("events", EventLog),
     )
-    cold.follow(shares.find_share)
+    cold.set_share_source(shares.find_share)
     kernel.add("cold_shares", shares)
 
 
@@ -99,9 +99,9 @@
         events,
         metrics,
     )
-    registration.read_along(QUOTA_PREFIX, shares.take_item)
-    answers = QuotaAnswers(links, shares, holders, bounds, in_force.find, around.clock)
-    asks = QuotaAsks(
+    registration.add_prefix_reader(QUOTA_PREFIX, shares.handle_item)
+    answers = QuotaServer(links, shares, holders, bounds, in_force.find, around.clock)
+    asks = QuotaClient(
         links,
         registration,
         shares,
@@ -111,7 +111,7 @@
         around.random,
         metrics,
     )
-    limits = SharedTeamLimits(
+    limits = DistributedRateLimiter(
         asks,
         bounds,
         in_force.find,
@@ -122,7 +122,7 @@
 
     def take(table: RouteTable) -> None:
         in_force.take(table)
-        limits.keep_only(in_force.limited)
+        limits.retain_teams(in_force.limited)
         shares.wake()
 
     keeper.on_change(take)
--- a/walkcart/daemon/tenantserving.py
+++ b/walkcart/daemon/tenantserving.py
@@ -13,20 +13,20 @@
 from walkcart.daemon.surroundings import ListenerService, TenantSurroundings
 from walkcart.daemon.tenantlimits import add_cold_shares
 from walkcart.daemon.tenantstore import make_store_backoff
-from walkcart.entry.roomgate import RoomGate
+from walkcart.entry.overloadgate import OverloadGate
 from walkcart.entry.routed import RoutedEntryTools, RoutedHandler
 from walkcart.entry.routedservice import RoutedService
-from walkcart.entry.starting import StartGate
-from walkcart.entry.teamlimits import SharedTeamLimits
-from walkcart.fanout.carrying import Carrier
+from walkcart.entry.startup import StartupGate
+from walkcart.entry.teamlimits import DistributedRateLimiter
 from walkcart.fanout.delegatedgroup import Outcome
-from walkcart.fanout.delegates import Delegates
-from walkcart.fanout.delegatetools import DelegateTools
-from walkcart.fanout.gatherers import Gatherers, find_gathering_places
-from walkcart.fanout.handing import Handing
+from walkcart.fanout.delegationclient import DelegationClient
+from walkcart.fanout.delegationserver import DelegationServer
+from walkcart.fanout.delegationtools import DelegationTools
+from walkcart.fanout.gatheringinstances import GatheringInstances, find_gathering_places
 from walkcart.fanout.handover import Handover
 from walkcart.fanout.ids import IdSource
 from walkcart.fanout.mergedanswer import MergedAnswer
+from walkcart.fanout.merginghandover import MergingHandover
 from walkcart.fanout.origins import RequestOrigins
 from walkcart.fanout.quarantinepeers import QuarantinePeers
 from walkcart.fanout.quarantines import Quarantines
@@ -43,15 +43,15 @@
 from walkcart.leaves.directory import LeafDirectory
 from walkcart.leaves.pool import LeafPool
 from walkcart.membership.links import PeerLinks
+from walkcart.membership.quarantinegossip import QuarantineGossip
 from walkcart.membership.quarantinekeys import QUARANTINE_PREFIX, QuarantineKeys
-from walkcart.membership.quarantinenews import QuarantineSpread
 from walkcart.membership.registration import Registration
 from walkcart.membership.relaying import Relay
 from walkcart.platform.callerprotocol import PlatformCallerProtocol, merge_parts
 from walkcart.platform.settings import PlatformSettings
 from walkcart.platform.store import PlatformStore
-from walkcart.routing.distance import Distance, Place
-from walkcart.routing.peerchoice import PeerAccounts
+from walkcart.routing.distance import Distance, Location
+from walkcart.routing.peerchoice import PeerStats
 from walkcart.routing.quarantine import Quarantine
 from walkcart.routing.repeats import RepeatBudget, RepeatLimits
 from walkcart.store.calls import StoreCalls
@@ -97,19 +97,19 @@
     question_ids = IdSource("", life)
     keeper = kernel.find("keeper", RouteKeeper)
     directory = kernel.find("directory", LeafDirectory)
-    gatherers = Gatherers(
+    gatherers = GatheringInstances(
         registration,
         around.clock,
         lambda: find_gathering_places(keeper.table, directory),
     )
-    keeper.on_change(lambda table: gatherers.note_change())
-    directory.on_change(gatherers.note_change)
-    kernel.find("pool", LeafPool).follow_gathering(gatherers)
-    delegates = Delegates(
-        DelegateTools(
+    keeper.on_change(lambda table: gatherers.invalidate_places())
+    directory.on_change(gatherers.invalidate_places)
+    kernel.find("pool", LeafPool).set_gathering(gatherers)
+    delegates = DelegationClient(
+        DelegationTools(
             links,
             registration,
-            PeerAccounts(),
+            PeerStats(),
             question_ids,
             around.clock,
             around.random,
@@ -132,7 +132,7 @@
         around.clock,
         metrics,
         events,
-        Place(settings.region, settings.data_centre),
+        Location(settings.region, settings.data_centre),
         around.random,
         quarantines,
         delegates,
@@ -142,15 +142,15 @@
         def merge(answer: RoutedAnswer) -> MergedAnswer:
             return merge_parts(answer, top)
 
-        handing = Handing(handover, merge)
-        result = await RoutedGathering(gathering, question, handing=handing).run()
+        handing = MergingHandover(handover, merge)
+        result = await RoutedGathering(gathering, question, handover=handing).run()
         return result.map(merge)
 
     def find_usual_high(kind: str) -> float:
         times = gathering.pool.times_of(kind, Distance.SAME_DATA_CENTRE)
         return times.high(around.clock.monotonic())
 
-    carrier = Carrier(
+    carrier = DelegationServer(
         links,
         around.clock,
         gather,
@@ -181,7 +181,7 @@
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
     )
-    registration.follow_watching(lambda: relay.watches)
+    registration.set_watching_check(lambda: relay.is_watching)
     kernel.add("relay", relay)
 
 
@@ -189,7 +189,7 @@
     kernel: Kernel,
     around: TenantSurroundings,
     links: PeerLinks,
-    gatherers: Gatherers,
+    gatherers: GatheringInstances,
 ) -> Quarantines:
     """Add what remembers requests under which leafs ended, and tells of them."""
     events = kernel.find("events", EventLog)
@@ -204,13 +204,13 @@
         kernel.find("metrics", Metrics),
     )
     peers = QuarantinePeers(registration, gatherers)
-    spread = QuarantineSpread(
+    spread = QuarantineGossip(
         quarantine,
         links,
         around.clock,
         peers.find_peers,
         peers.may_relay,
-        quarantines.note_news,
+        quarantines.log_news,
     )
     keys = QuarantineKeys(
         kernel.find("store", PlatformStore),
@@ -218,10 +218,10 @@
         around.clock,
         make_store_backoff(around.random),
         events,
-        quarantines.note_news,
+        quarantines.log_news,
     )
-    registration.read_along(QUARANTINE_PREFIX, keys.take)
-    quarantines.follow(spread.tell_all, keys.keep)
+    registration.add_prefix_reader(QUARANTINE_PREFIX, keys.merge_item)
+    quarantines.set_listeners(spread.broadcast, keys.enqueue)
     kernel.add("quarantines", quarantines)
     kernel.add("quarantine_spread", spread)
     kernel.add("quarantine_keys", keys)
@@ -239,10 +239,10 @@
     metrics = kernel.find("metrics", Metrics)
     keeper = kernel.find("keeper", RouteKeeper)
     directory = kernel.find("directory", LeafDirectory)
-    gate = StartGate(lambda: keeper.known and directory.known)
-    keeper.on_change(lambda table: gate.note_change())
-    directory.on_change(gate.note_change)
-    room = RoomGate(
+    gate = StartupGate(lambda: keeper.known and directory.known)
+    keeper.on_change(lambda table: gate.recheck())
+    directory.on_change(gate.recheck)
+    room = OverloadGate(
         around.clock,
         around.random,
         events,
@@ -265,7 +265,7 @@
             kernel.find("origins", RequestOrigins),
             kernel.find("configuration", PrefixFollower).find_age,
             room,
-            kernel.find("limits", SharedTeamLimits),
+            kernel.find("limits", DistributedRateLimiter),
         )
     )
     service = RoutedService(
--- a/walkcart/daemon/tenantstore.py
+++ b/walkcart/daemon/tenantstore.py
@@ -21,7 +21,7 @@
 from walkcart.kernel.registry import Kernel
 from walkcart.kernel.spans import OUTPUT_NONE, Tracer
 from walkcart.leaves.attempts import Attempt
-from walkcart.leaves.coldroom import ColdRoom
+from walkcart.leaves.coldlimiter import ColdLimiter
 from walkcart.leaves.directory import LeafDirectory
 from walkcart.leaves.exchange import LinkTools
 from walkcart.leaves.leaf import Leaf
@@ -43,7 +43,7 @@
 from walkcart.platform.leafprotocol import PlatformLeafProtocol
 from walkcart.platform.settings import PlatformSettings
 from walkcart.platform.store import PlatformStore
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.store.backoff import Backoff
 from walkcart.store.budget import CallBudget
 from walkcart.store.calls import StoreCalls
@@ -172,13 +172,13 @@
 
     directory = LeafDirectory(clock, events, find_return)
     evacuations = kernel.find("evacuations", Evacuations)
-    cold = ColdRoom(
+    cold = ColdLimiter(
         directory, kernel.find("keeper", RouteKeeper), settings.cold_bound, clock
     )
 
     def evacuate(names: frozenset[str], ended: frozenset[str]) -> None:
         directory.set_evacuated(names)
-        cold.note_returned(ended)
+        cold.mark_cold(ended)
 
     evacuations.on_change(evacuate)
     entries = LeafEntries(settings.regions, events)
@@ -210,14 +210,14 @@
     settings: PlatformSettings,
     around: TenantSurroundings,
     directory: LeafDirectory,
-    cold: ColdRoom,
+    cold: ColdLimiter,
 ) -> LeafPool:
     """Return the pool of links to leafs."""
     pool: LeafPool | None = None
 
     def note_status(leaf: Leaf, status: LeafStatus) -> None:
         assert pool is not None
-        pool.note_status(leaf, status)
+        pool.record_status(leaf, status)
 
     def admit(leaf: Leaf, attempt: Attempt) -> NotRun | None:
         assert pool is not None
@@ -239,7 +239,7 @@
             kernel.find("keeper", RouteKeeper),
             link,
             kernel.find("registration", Registration).count,
-            Place(settings.region, settings.data_centre),
+            Location(settings.region, settings.data_centre),
             around.random,
             cold,
         )
--- a/walkcart/entry/callerports.py
+++ b/walkcart/entry/callerports.py
@@ -25,7 +25,7 @@
     Args:
         id: that the caller gave it.
         host: that it is meant for.
-        patience: for how long the caller waits; None when it doesn't say.
+        timeout: for how long the caller waits; None when it doesn't say.
         forwarded: what leafs get where requests need no key.
         traceparent: of the caller's trace.
         credential: digest of the API key that came along; None without exactly one.
@@ -33,25 +33,25 @@
 
     id: str
     host: str
-    patience: timedelta | None
+    timeout: timedelta | None
     forwarded: HttpRequest
     traceparent: str | None = None
     credential: bytes | None = field(default=None, repr=False)
 
 
-class TeamLimits(Protocol):
+class TeamRateLimiter(Protocol):
     """Holds the teams' requests to their limits, over all instances together."""
 
-    async def admit(self, team: Team, patience: float) -> NotRun | None:
+    async def admit(self, team: Team, max_wait: float) -> NotRun | None:
         """Take one request of a team from its limit; return why it may not run.
 
         Args:
             team: that asks.
-            patience: seconds that the request can wait for the others' word at most.
+            max_wait: seconds that the request can wait for the others' word at most.
         """
         ...
 
-    def give_back(self, team: Team, admitted_at: float) -> None:
+    def refund(self, team: Team, admitted_at: float) -> None:
         """Return what was taken for a request that no leaf got.
 
         Args:
@@ -68,7 +68,7 @@
         """Return what a request means."""
         ...
 
-    def name_team(self, request: HttpRequest, team: str) -> HttpRequest:
+    def attach_team(self, request: HttpRequest, team: str) -> HttpRequest:
         """Return a request as leafs get it where requests need keys.
 
         Args:
--- a/walkcart/entry/executions.py
+++ b/walkcart/entry/executions.py
@@ -14,7 +14,7 @@
 from walkcart.entry.queries import Caller, CallerTools, identify_caller, make_question
 from walkcart.entry.replies import render_executed, render_verdict
 from walkcart.entry.requests import BadRequest, ExecuteBody, read_execute
-from walkcart.fanout.single import OnceRequest, SingleSender
+from walkcart.fanout.singlesender import OnceRequest, SingleSender
 from walkcart.leaves.attempts import Replied
 from walkcart.once.claimant import Claimant, Grant
 from walkcart.once.keys import (
@@ -25,7 +25,7 @@
     parse_key,
 )
 from walkcart.once.records import ClaimOutcome
-from walkcart.routing.admission import TurnedAway
+from walkcart.routing.admission import AdmissionRefused
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
@@ -84,20 +84,20 @@
     ) -> HttpReply:
         admission = self._tools.admissions.of(caller.service.name)
         remaining = caller.deadline - self._tools.clock.monotonic()
-        entered = await admission.enter(
+        entered = await admission.admit(
             caller.partner.name,
             caller.partner.share,
             caller.policy.queries_in_progress,
             remaining,
         )
-        if isinstance(entered, TurnedAway):
+        if isinstance(entered, AdmissionRefused):
             detail = "the service has more requests than it can serve in time"
             verdict = NotRun(Reason.OVERLOADED, detail, entered.retry_after)
             return self._fail(verdict)
         try:
             return await self._claim_and_send(caller, body, key, traceparent, content)
         finally:
-            admission.leave(caller.partner.name, None)
+            admission.release(caller.partner.name, None)
 
     async def _claim_and_send(
         self,
--- a/walkcart/entry/operators.py
+++ b/walkcart/entry/operators.py
@@ -8,7 +8,7 @@
 from walkcart.entry.requests import BadRequest
 from walkcart.fanout.gatherer import Gatherer
 from walkcart.fanout.questions import Question
-from walkcart.fanout.selection import describe_leaf
+from walkcart.fanout.selection import make_candidate
 from walkcart.intent.distribution import ConfigurationKeeper
 from walkcart.intent.policy import MERGED_FIELDS, Policy, find_intents
 from walkcart.kernel.clock import Clock
@@ -97,7 +97,7 @@
         )
         pin, layout = self._gatherer.choose(question)
         now = self._clock.monotonic()
-        usual = self._gateway.delay_of(service.shard_group).median(now)
+        usual = self._gateway.hedge_delay_of(service.shard_group).median(now)
         return {
             "service": name,
             "revision": document.revision,
@@ -108,7 +108,7 @@
             "policy": _describe_policy(policy),
             "snapshot": str(pin),
             "hedge_delay_ms": round(
-                1000 * self._gateway.delay_of(service.shard_group).current(now), 3
+                1000 * self._gateway.hedge_delay_of(service.shard_group).current(now), 3
             ),
             "shards": [
                 {
@@ -124,7 +124,7 @@
     def _describe_leaf(
         self, leaf: Leaf, policy: Policy, usual: float, now: float
     ) -> dict[str, Any]:
-        candidate = describe_leaf(leaf, policy, usual, now)
+        candidate = make_candidate(leaf, policy, usual, now)
         reason = "used"
         if not self._gateway.may_use(leaf):
             reason = "leaving"
--- a/walkcart/entry/roomgate.py
+++ b/walkcart/entry/overloadgate.py
@@ -1,7 +1,7 @@
 """Where questions wait for an instance that has fallen behind, or are refused.
 
 See Also:
-    `walkcart.routing.instanceroom`, which decides.
+    `walkcart.routing.instancelimiter`, which decides.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
-from walkcart.routing.comeback import find_return
-from walkcart.routing.instanceroom import (
+from walkcart.routing.instancelimiter import (
     BLIND_RETRY,
-    Crowded,
-    Entry,
-    InstanceRoom,
+    InstanceLimiter,
+    Overloaded,
+    PendingQuestion,
     Started,
 )
 from walkcart.routing.latency import DecayedLatency
+from walkcart.routing.retryafter import draw_retry_after
 from walkcart.wire.verdicts import NotRun, Reason
 
 #: Seconds between two looks at the event loop while questions are in progress: several
@@ -40,10 +40,10 @@
 
     turn: trio.Event = field(default_factory=trio.Event)
     started: bool = False
-    crowded: Crowded | None = None
+    crowded: Overloaded | None = None
 
 
-class RoomGate:
+class OverloadGate:
     """Lets questions in as the instance has room.
 
     Args:
@@ -70,7 +70,7 @@
         self._metrics = metrics
         self._find_weight = find_weight
         self._is_wanted = is_wanted
-        self.room: InstanceRoom[_Waiter] = InstanceRoom()
+        self.room: InstanceLimiter[_Waiter] = InstanceLimiter()
         self._times: dict[str, DecayedLatency] = {}
         self._busy = trio.Event()
 
@@ -95,7 +95,7 @@
             now = self._clock.monotonic()
             times = self._times.setdefault(question.kind, DecayedLatency())
             times.observe(now, now - start)
-            self.room.leave(now, now - start)
+            self.room.finish(now, now - start)
             self._let_in(now)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
@@ -113,7 +113,7 @@
     def look(self, delay: float, now: float) -> None:
         """Take in by how many seconds the event loop was behind at one look."""
         before = self.room.limit
-        self.room.note_delay(delay, now)
+        self.room.record_delay(delay, now)
         if self.room.limit != before:
             self._tell_limit(before)
         self._let_in(now)
@@ -133,12 +133,12 @@
     async def _enter(self, question: RoutedQuestion) -> NotRun | None:
         now = self._clock.monotonic()
         waiter = _Waiter()
-        found = self.room.enter(waiter, self._describe(question, now), now)
+        found = self.room.submit(waiter, self._describe(question, now), now)
         self._busy.set()
         match found:
             case Started():
                 return None
-            case Crowded():
+            case Overloaded():
                 return self._refuse(question, found, 0.0)
         self._let_in(now)
         try:
@@ -146,22 +146,22 @@
                 await waiter.turn.wait()
         except BaseException:
             if waiter.started:
-                self.room.withdraw()
+                self.room.cancel_started()
                 self._let_in(self._clock.monotonic())
             raise
         finally:
             if not waiter.turn.is_set():
-                self.room.give_up(waiter)
+                self.room.cancel_waiting(waiter)
         waited = self._clock.monotonic() - now
         self._metrics.time("room.wait", waited * 1000)
         if waiter.started:
             return None
-        crowded = waiter.crowded or Crowded(BLIND_RETRY, waited)
+        crowded = waiter.crowded or Overloaded(BLIND_RETRY, waited)
         return self._refuse(question, crowded, waited)
 
-    def _describe(self, question: RoutedQuestion, now: float) -> Entry:
+    def _describe(self, question: RoutedQuestion, now: float) -> PendingQuestion:
         times = self._times.get(question.kind)
-        return Entry(
+        return PendingQuestion(
             question.rank,
             question.objective_at,
             question.deadline,
@@ -174,20 +174,20 @@
         """Tell those whose turn has come."""
         if not self.room.waiting:
             return
-        for waiter in self.room.take_started(now):
+        for waiter in self.room.start_waiting(now):
             waiter.started = True
             waiter.turn.set()
 
     def _turn_away(self, now: float) -> None:
         """Tell those whose turn won't come in time."""
-        for waiter, crowded in self.room.take_hopeless(now):
+        for waiter, crowded in self.room.remove_late(now):
             waiter.crowded = crowded
             waiter.turn.set()
 
     def _refuse(
-        self, question: RoutedQuestion, crowded: Crowded, waited: float
+        self, question: RoutedQuestion, crowded: Overloaded, waited: float
     ) -> NotRun:
-        retry = find_return(crowded.retry_after, self._random)
+        retry = draw_retry_after(crowded.retry_after, self._random)
         self._metrics.count("room.refused")
         self._events.emit(
             Events.ROOM_REFUSED,
--- a/walkcart/entry/queries.py
+++ b/walkcart/entry/queries.py
@@ -29,7 +29,7 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.kernel.spans import Tracer
 from walkcart.leaves.table import LeafTable
-from walkcart.routing.admission import TurnedAway
+from walkcart.routing.admission import AdmissionRefused
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
@@ -141,20 +141,20 @@
             question = make_question(caller, bytes(body.query), traceparent)
             remaining = caller.deadline - start
             admission = tools.admissions.of(caller.service.name)
-            entered = await admission.enter(
+            entered = await admission.admit(
                 caller.partner.name,
                 caller.partner.share,
                 caller.policy.queries_in_progress,
                 remaining,
             )
-            if isinstance(entered, TurnedAway):
+            if isinstance(entered, AdmissionRefused):
                 return self._refuse(entered)
             typical_time = None
             try:
                 result = await self._gatherer.ask(question)
-                typical_time = result.map(lambda item: item.typical_time).value_or(None)
+                typical_time = result.map(lambda item: item.median_time).value_or(None)
             finally:
-                admission.leave(caller.partner.name, typical_time)
+                admission.release(caller.partner.name, typical_time)
             match result:
                 case Success(answer):
                     return self._answer(body, answer, caller, start)
@@ -176,7 +176,7 @@
             self._tools.metrics.count("query.partial")
         return render_answer(rows, answer, in_force)
 
-    def _refuse(self, turned_away: TurnedAway) -> HttpReply:
+    def _refuse(self, turned_away: AdmissionRefused) -> HttpReply:
         detail = "the service has more requests than it can serve in time"
         verdict = NotRun(Reason.OVERLOADED, detail, turned_away.retry_after)
         return self._fail(verdict)
--- a/walkcart/entry/routed.py
+++ b/walkcart/entry/routed.py
@@ -16,10 +16,10 @@
 
 from returns.result import Result, Success
 
-from walkcart.entry.callerports import CallerProtocol, CallerRequest, TeamLimits
+from walkcart.entry.callerports import CallerProtocol, CallerRequest, TeamRateLimiter
+from walkcart.entry.overloadgate import OverloadGate
 from walkcart.entry.requestlog import RequestLog
-from walkcart.entry.roomgate import RoomGate
-from walkcart.entry.starting import StartGate
+from walkcart.entry.startup import StartupGate
 from walkcart.entry.teamaccess import Access, find_access
 from walkcart.fanout.crashwatch import CrashWatch
 from walkcart.fanout.origins import RequestOrigins
@@ -40,8 +40,8 @@
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
 from walkcart.kernel.spans import Tracer
-from walkcart.routing.overshoot import Overshoot
-from walkcart.routing.quarantine import Standing
+from walkcart.routing.instancedelay import InstanceDelay
+from walkcart.routing.quarantine import QuarantineLevel
 from walkcart.routing.splits import WeightedSplit
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
@@ -70,7 +70,7 @@
         random: shifts where splits begin.
         gate: holds requests while the instance starts.
         origins: tells whose requests are.
-        find_age: returns the seconds since the configuration surely was the newest.
+        find_configuration_age: returns the seconds since the configuration surely was the newest.
         room: holds or refuses them while it has more to do than it can.
         limits: of the teams' requests; None where nobody keeps them.
     """
@@ -82,11 +82,11 @@
     metrics: Metrics
     tracer: Tracer
     random: Random
-    gate: StartGate
+    gate: StartupGate
     origins: RequestOrigins
-    find_age: Callable[[], float]
-    room: RoomGate
-    limits: TeamLimits | None = None
+    find_configuration_age: Callable[[], float]
+    room: OverloadGate
+    limits: TeamRateLimiter | None = None
 
 
 class RoutedHandler:
@@ -95,7 +95,7 @@
     def __init__(self, tools: RoutedEntryTools) -> None:
         self._tools = tools
         self._splits: dict[str, tuple[ToSplit, WeightedSplit]] = {}
-        self._overshoot = Overshoot()
+        self._overshoot = InstanceDelay()
         self._log = RequestLog(tools.events, tools.metrics)
 
     async def handle(self, request: HttpRequest) -> HttpReply:
@@ -119,7 +119,9 @@
         route = table.find(caller.host, caller.forwarded.target)
         if route is None:
             return self._refuse(caller, NotRun(Reason.NO_ROUTE, "no such route"))
-        access = find_access(table, route, caller.credential, tools.find_age())
+        access = find_access(
+            table, route, caller.credential, tools.find_configuration_age()
+        )
         if isinstance(access, NotRun):
             return self._refuse(caller, access)
         question = self._make_question(caller, table, route, access, start)
@@ -145,7 +147,7 @@
         if isinstance(admitted, NotRun):
             self._give_back(team, start)
             return self._refuse(caller, admitted, question.team)
-        question = replace(question, careful=admitted is Standing.CAREFUL)
+        question = replace(question, careful=admitted is QuarantineLevel.CAREFUL)
         return await self._answer(question, table, route, team, start)
 
     async def _take_from_limit(
@@ -162,7 +164,7 @@
         """Return to a team's limit what was taken for a request that didn't run."""
         limits = self._tools.limits
         if limits is not None and team is not None and team.limit is not None:
-            limits.give_back(team, start)
+            limits.refund(team, start)
 
     async def _answer(
         self,
@@ -184,7 +186,7 @@
             result,
         )
         match result:
-            case Success(answer) if question.whole_parts:
+            case Success(answer) if question.success_only:
                 reply = tools.protocol.render_merged(answer, top)
                 if answer.missing:
                     now = tools.gathering.clock.monotonic()
@@ -213,10 +215,10 @@
             )
             with self._tools.tracer.hold(span):
                 if tools.delegates is not None:
-                    tools.delegates.gatherers.note_question(len(question.services))
+                    tools.delegates.gatherers.record_question(len(question.services))
                 return await RoutedGathering(tools, question, top, watch=watch).run()
         finally:
-            tools.quarantines.note(question.fingerprint, watch, question.careful)
+            tools.quarantines.record(question.fingerprint, watch, question.careful)
 
     def _make_question(
         self,
@@ -227,8 +229,8 @@
         start: float,
     ) -> RoutedQuestion:
         time = route.timeout
-        if caller.patience is not None:
-            time = min(time, caller.patience - HOME_TIME)
+        if caller.timeout is not None:
+            time = min(time, caller.timeout - HOME_TIME)
         objective = float("inf")
         sharded = isinstance(route.target, ToShards)
         if route.objective is not None:
@@ -238,7 +240,7 @@
         team = access.grant.team
         request = caller.forwarded
         if table.document.teams is not None:
-            request = self._tools.protocol.name_team(request, team)
+            request = self._tools.protocol.attach_team(request, team)
         return RoutedQuestion(
             id=caller.id,
             kind=route.name,
@@ -249,7 +251,7 @@
             least_coverage=_least_coverage(route.target),
             idempotent=route.idempotent,
             most_attempts=route.most_attempts,
-            whole_parts=sharded,
+            success_only=sharded,
             traceparent=caller.traceparent,
             fingerprint=self._tools.origins.fingerprint(request),
             regions=table.regions_of(route.name, team),
@@ -277,7 +279,7 @@
     ) -> HttpReply:
         document = self._tools.keeper.table.document
         fingerprint = self._tools.origins.fingerprint(caller.forwarded)
-        age = None if document.teams is None else self._tools.find_age()
+        age = None if document.teams is None else self._tools.find_configuration_age()
         self._log.note_refusal(
             caller, verdict, document.version, fingerprint, team, age
         )
--- a/walkcart/entry/routedservice.py
+++ b/walkcart/entry/routedservice.py
@@ -60,7 +60,7 @@
             _make_limits(CallerLimits()),
             self._tell_fault,
             self._note_gone,
-            cancel_on_gone=True,
+            cancel_on_disconnect=True,
             on_error=self._note_error,
         )
         keeper.on_change(self._take_limits)
@@ -86,7 +86,7 @@
         self._accepting.cancel()
         await trio.aclose_forcefully(self._listener)
 
-    async def tell_readiness(self, request: HttpRequest) -> HttpReply:
+    async def handle_readiness(self, request: HttpRequest) -> HttpReply:
         """Answer the balancer: 200 when new connections are wanted, else 503."""
         return HttpReply(200 if self.ready else 503)
 
--- a/walkcart/entry/routedstop.py
+++ b/walkcart/entry/routedstop.py
@@ -12,7 +12,7 @@
 import trio
 
 from walkcart.entry.routedservice import RoutedService
-from walkcart.fanout.carrying import Carrier
+from walkcart.fanout.delegationserver import DelegationServer
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.membership.quotashares import QuotaShares
@@ -44,7 +44,7 @@
     def __init__(
         self,
         service: RoutedService,
-        carrier: Carrier,
+        carrier: DelegationServer,
         registration: Registration,
         events: EventLog,
         grace: timedelta,
@@ -63,11 +63,11 @@
         start = trio.current_time()
         self._service.stopping = True
         self._service.server.announce_stop()
-        self._carrier.stop_taking()
+        self._carrier.stop_accepting()
         with trio.move_on_after(LEASE_END_TIME.total_seconds()):
-            await self._quota_shares.leave()
+            await self._quota_shares.release_all()
         with trio.move_on_after(LEASE_END_TIME.total_seconds()):
-            await self._registration.leave()
+            await self._registration.deregister()
         await trio.sleep_until(start + BALANCER_TIME.total_seconds())
         bound = start + (self._grace - LEAVE_TIME).total_seconds()
         with trio.move_on_at(bound):
@@ -79,7 +79,7 @@
 
     async def _finish(self) -> None:
         server = self._service.server
-        while server.connections or self._carrier.carrying:
+        while server.connections or self._carrier.active_count:
             server.close_idle(IDLE_TIME)
             await trio.sleep(LOOK_INTERVAL)
         await self._service.stop_accepting()
--- a/walkcart/entry/starting.py
+++ b/walkcart/entry/startup.py
@@ -23,7 +23,7 @@
 START_PATIENCE = timedelta(milliseconds=200)
 
 
-class StartGate:
+class StartupGate:
     """Holds requests until what serves them is known.
 
     Args:
@@ -34,7 +34,7 @@
         self._is_known = is_known
         self._changed = trio.Event()
 
-    def note_change(self) -> None:
+    def recheck(self) -> None:
         """Look again whether all is known."""
         if self._is_known():
             self._changed.set()
--- a/walkcart/entry/stopping.py
+++ b/walkcart/entry/stopping.py
@@ -85,7 +85,7 @@
         return ended
 
     async def _finish(self) -> None:
-        while self._entry.server.connections or self._forwarder.carrying:
+        while self._entry.server.connections or self._forwarder.active_count:
             self._entry.server.close_idle(self._grace)
             await trio.sleep(LOOK_INTERVAL)
         with trio.move_on_after(SETTLE_BOUND):
--- a/walkcart/entry/teamaccess.py
+++ b/walkcart/entry/teamaccess.py
@@ -29,7 +29,7 @@
 #: Seconds after which a copy of the configuration is old: one that isn't confirmed for
 #: 1.8 s is read anew, which takes up to 0.3 s on a busy machine, and as much again.
 #: A caller with a new key is turned away wrongly for no longer than that.
-OLD_AGE = 2.5
+MAX_CONFIGURATION_AGE = 2.5
 #: When to ask again, and of whom is drawn anew: long enough for a new connection,
 #: short enough for the answer to keep its value.
 OLD_RETURN = timedelta(milliseconds=50)
@@ -68,7 +68,7 @@
         return Access(None, Grant())
     if credential is None:
         return NotRun(Reason.UNAUTHENTICATED, "the request has no usable key")
-    if age > OLD_AGE:
+    if age > MAX_CONFIGURATION_AGE:
         detail = "no team has the key, by a configuration that may be old"
         return NotRun(Reason.CONFIGURATION_OLD, detail, OLD_RETURN)
     return NotRun(Reason.UNAUTHENTICATED, "no team has the key")
--- a/walkcart/entry/teamlimits.py
+++ b/walkcart/entry/teamlimits.py
@@ -1,7 +1,7 @@
 """Admission of teams' requests under the rate limits that all instances share.
 
 See Also:
-    `walkcart.entry.callerports.TeamLimits`, the port that this serves.
+    `walkcart.entry.callerports.TeamRateLimiter`, the port that this serves.
     ``docs/design/quotas.md``.
 """
 
@@ -14,11 +14,11 @@
 from walkcart.intent.teams import RateLimit, Team
 from walkcart.kernel.clock import Clock
 from walkcart.kernel.metrics import Metrics
-from walkcart.membership.quotaanswers import FindLimit
-from walkcart.membership.quotaasks import QuotaAsks
+from walkcart.membership.quotaclient import QuotaClient
+from walkcart.membership.quotaserver import FindLimit
 from walkcart.routing.allowances import Allowance
-from walkcart.routing.comeback import find_return
-from walkcart.routing.quotas import QuotaBounds, Want, list_shares
+from walkcart.routing.quotas import QuotaBounds, QuotaRequest, list_shares
+from walkcart.routing.retryafter import draw_retry_after
 from walkcart.wire.verdicts import NotRun, Reason
 
 #: Turn that an accountant tells, in seconds, from which on a team is far above its
@@ -79,7 +79,7 @@
         return len(left) <= len(self.shares) * LEFT_PART
 
 
-class SharedTeamLimits:
+class DistributedRateLimiter:
     """Holds teams to their limits by asking the accountants.
 
     Args:
@@ -93,7 +93,7 @@
 
     def __init__(
         self,
-        asks: QuotaAsks,
+        asks: QuotaClient,
         bounds: QuotaBounds,
         find_limit: FindLimit,
         clock: Clock,
@@ -108,15 +108,15 @@
         self._metrics = metrics
         self._allowances: dict[str, Allowance] = {}
         self._denials: dict[str, LastDenial] = {}
-        asks.follow_late(self._put_late)
+        asks.on_late_grant(self._put_late)
 
-    def keep_only(self, teams: frozenset[str]) -> None:
+    def retain_teams(self, teams: frozenset[str]) -> None:
         """Forget all teams but these: the others have no limit any more."""
         for name in set(self._allowances) - teams:
             del self._allowances[name]
             self._denials.pop(name, None)
 
-    async def admit(self, team: Team, patience: float) -> NotRun | None:
+    async def admit(self, team: Team, max_wait: float) -> NotRun | None:
         """Take one request of a team from its limit; return why it may not run."""
         if team.limit is None or team.limit.rate <= 0.0:
             return None
@@ -124,18 +124,18 @@
         allowance = self._allowances.get(team.name)
         if allowance is None:
             allowance = self._allowances[team.name] = Allowance(self._bounds.hold)
-        if not allowance.take(start):
+        if not allowance.try_consume(start):
             shares = list_shares(team.limit, self._bounds, team.name)
-            deadline = start + min(patience, MOST_ASKING)
+            deadline = start + min(max_wait, MOST_ASKING)
             search = _Search(team.name, team.limit, shares, allowance, deadline)
             refusal = await self._ask(search)
             if refusal is not None:
                 return refusal
             self._metrics.time("quota.wait", (self._clock.monotonic() - start) * 1000)
-        allowance.note_use(start)
+        allowance.record_use(start)
         return None
 
-    def give_back(self, team: Team, admitted_at: float) -> None:
+    def refund(self, team: Team, admitted_at: float) -> None:
         """Return what was taken for a request that no leaf got.
 
         Only at once: a late return would let the team run more in a window than its
@@ -143,7 +143,7 @@
         """
         allowance = self._allowances.get(team.name)
         if allowance is not None:
-            allowance.give_back(admitted_at, self._clock.monotonic())
+            allowance.refund(admitted_at, self._clock.monotonic())
 
     async def _ask(self, search: _Search) -> NotRun | None:
         """Ask the shares in turn until one grants a request."""
@@ -170,12 +170,12 @@
         answer = await self._asks.ask(share, want, search.deadline)
         now = self._clock.monotonic()
         # What came for another request, or late, will do as well.
-        taken = allowance.take(now)
+        taken = allowance.try_consume(now)
         if answer is None:
             return taken
         if answer.reply.granted:
             allowance.full.forget(share)
-            allowance.put(answer.reply.granted - (not taken), answer.until)
+            allowance.add_grant(answer.reply.granted - (not taken), answer.until)
             return True
         allowance.full.take(answer.reply.full, now)
         allowance.full.note(share, answer.reply.wait, now)
@@ -184,7 +184,7 @@
         self._denials[search.team] = denial
         return taken
 
-    def _make_want(self, search: _Search) -> Want:
+    def _make_want(self, search: _Search) -> QuotaRequest:
         """Return what to ask for, by the configuration in force now.
 
         Where it has no limit for the team any more the request keeps its own, behind
@@ -194,19 +194,19 @@
         version, limit = self._find_limit(search.team)
         if limit is None:
             version, limit = 0, search.limit
-        wanted = search.allowance.find_wanted(now)
+        wanted = search.allowance.find_request_amount(now)
         told = search.allowance.full.tell(now)
-        return Want(search.team, limit, version, wanted, told)
+        return QuotaRequest(search.team, limit, version, wanted, told)
 
     def _put_late(self, team: str, amount: int, until: float) -> None:
         allowance = self._allowances.get(team)
         if allowance is not None:
-            allowance.put(amount, until)
+            allowance.add_grant(amount, until)
 
     def _refuse(self, search: _Search, wait: float) -> NotRun:
         """Refuse a request above the limit, with when there will be room."""
         limit = search.limit
-        told = max(SHORTEST_WAIT, find_return(wait, self._random))
+        told = max(SHORTEST_WAIT, draw_retry_after(wait, self._random))
         detail = f"the limit of {limit.rate:g} a second and {limit.burst:g} is used"
         denial = self._denials.get(search.team)
         if denial is not None:
@@ -217,6 +217,6 @@
 
     def _refuse_unknown(self, asked: int) -> NotRun:
         """Refuse a request since nobody can tell whether it is above the limit."""
-        told = find_return(UNKNOWN_WAIT, self._random)
+        told = draw_retry_after(UNKNOWN_WAIT, self._random)
         detail = f"no accountant of {asked} shares was reached"
         return NotRun(Reason.LIMIT_UNKNOWN, detail, told)
--- a/walkcart/entry/tests/quotafleet.py
+++ b/walkcart/entry/tests/quotafleet.py
@@ -8,9 +8,9 @@
 
 import trio
 
-from walkcart.entry.teamlimits import SharedTeamLimits
+from walkcart.entry.teamlimits import DistributedRateLimiter
 from walkcart.entry.tests.leasedstore import LeasedStore
-from walkcart.fanout.peerselection import MOST_GREETED
+from walkcart.fanout.peerselection import MAX_FULL_MESH
 from walkcart.intent.teams import Team
 from walkcart.kernel.clock import TrioClock
 from walkcart.kernel.eventlog import EventLog
@@ -18,12 +18,12 @@
 from walkcart.kernel.settings import HostPort
 from walkcart.membership.instancerecord import InstanceRecord
 from walkcart.membership.links import PeerLinks
-from walkcart.membership.quotaanswers import QuotaAnswers
-from walkcart.membership.quotaasks import QuotaAsks
+from walkcart.membership.quotaclient import QuotaClient
 from walkcart.membership.quotaholders import QuotaHolders
 from walkcart.membership.quotakeys import QuotaKeys
+from walkcart.membership.quotaserver import QuotaServer
 from walkcart.membership.quotashares import QuotaShares
-from walkcart.routing.quotas import SHARES, QuotaBounds
+from walkcart.routing.quotas import MAX_SHARES, QuotaBounds
 from walkcart.standins.memory import MemoryNetwork
 from walkcart.wire.delegations import Greeting
 
@@ -109,10 +109,10 @@
             events,
             self.metrics,
         )
-        QuotaAnswers(
+        QuotaServer(
             self.links, self.shares, holders, BOUNDS, self.fleet.find_limit, clock
         )
-        asks = QuotaAsks(
+        asks = QuotaClient(
             self.links,
             self,
             self.shares,
@@ -122,7 +122,7 @@
             self.fleet.random,
             self.metrics,
         )
-        self.limits = SharedTeamLimits(
+        self.limits = DistributedRateLimiter(
             asks,
             BOUNDS,
             self.fleet.find_limit,
@@ -132,7 +132,7 @@
         )
         self.links.on(Greeting, self._on_greeting)
         await nursery.start(self.links.run)
-        if len(self.fleet.members) <= MOST_GREETED:
+        if len(self.fleet.members) <= MAX_FULL_MESH:
             for record in self.others():
                 self.links.send(record.name, Greeting())
         self.read_keys()
@@ -152,13 +152,13 @@
 
     def read_keys(self):
         for item, _ in list(self.fleet.store.items.values()):
-            self.shares.take_item(item)
+            self.shares.handle_item(item)
 
     def kill(self):
         self.scope.cancel()
 
     async def stop(self):
-        await self.shares.leave()
+        await self.shares.release_all()
         await trio.sleep(STOP_TIME)
         self.scope.cancel()
 
@@ -166,7 +166,7 @@
         """Return the shares that this instance accounts now."""
         if self.scope.cancel_called:
             return []
-        return [n for n in range(SHARES) if self.shares.find_account(n)]
+        return [n for n in range(MAX_SHARES) if self.shares.find_account(n)]
 
 
 class Fleet:
@@ -213,7 +213,7 @@
 
     def check_shares(self):
         """Raise AssertionError if two account one share."""
-        for share in range(SHARES):
+        for share in range(MAX_SHARES):
             self.find_accountant(share)
 
     def cut(self, member, others=None):
@@ -260,4 +260,4 @@
         for first, start in enumerate(times):
             while last < len(times) and times[last] < start + BOUNDS.window:
                 last += 1
-            assert last - first <= BOUNDS.most(limit)
+            assert last - first <= BOUNDS.max_requests(limit)
--- a/walkcart/entry/tests/test_room_gate.py
+++ b/walkcart/entry/tests/test_room_gate.py
@@ -8,12 +8,12 @@
 import trio
 
 from walkcart.bench.harness import run_mocked
-from walkcart.entry.roomgate import RoomGate
+from walkcart.entry.overloadgate import OverloadGate
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.kernel.clock import TrioClock
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.metrics import Metrics
-from walkcart.routing.comeback import SPREAD
+from walkcart.routing.retryafter import MAX_SPREAD
 from walkcart.wire.http import HttpRequest
 from walkcart.wire.verdicts import NotRun, Reason
 
@@ -23,7 +23,7 @@
 def make_gate(log=None):
     clock = TrioClock()
     events = EventLog("one", clock, log or StringIO())
-    return RoomGate(clock, Random(1), events, Metrics(None, "one"))
+    return OverloadGate(clock, Random(1), events, Metrics(None, "one"))
 
 
 def make_question(patience=5.0, rank=0):
@@ -99,7 +99,7 @@
     assert refusal.reason is Reason.NO_ROOM
     # Two of 100 ms at a time: what waits is gone after so long.
     drained = timedelta(seconds=waiting * TIME / 2)
-    assert 0.8 * drained <= refusal.retry_after <= 2 * SPREAD * drained
+    assert 0.8 * drained <= refusal.retry_after <= 2 * MAX_SPREAD * drained
     assert "room_refused" in log
     assert all(refusal is None for _, refusal in found.values())
 
--- a/walkcart/entry/tests/test_team_access.py
+++ b/walkcart/entry/tests/test_team_access.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 
 from walkcart.entry.callerports import CallerRequest
-from walkcart.entry.teamaccess import OLD_AGE, Access, find_access
+from walkcart.entry.teamaccess import MAX_CONFIGURATION_AGE, Access, find_access
 from walkcart.intent.routes import Route, RouteTable, RoutingDocument, ToService
 from walkcart.intent.teams import Grant, Team, digest_key
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 from walkcart.wire.http import HttpRequest
 from walkcart.wire.verdicts import NotRun, Reason
 
@@ -97,7 +97,7 @@
 def test_an_instance_that_is_behind_turns_no_key_away_for_good(configuration, key):
     table, route = make_table(configuration)
     new = find_access(table, route, key, NEW)
-    old = find_access(table, route, key, OLD_AGE + 0.1)
+    old = find_access(table, route, key, MAX_CONFIGURATION_AGE + 0.1)
     if isinstance(new, Access):
         assert old == new
     elif key is None:
@@ -137,7 +137,7 @@
 )
 def test_regions_of_route_and_team_both_bind(of_route, of_team, both):
     def make(names):
-        return ANYWHERE if names is None else Regions(frozenset(names))
+        return ALL_REGIONS if names is None else Regions(frozenset(names))
 
     route = Route("r", "h", "/", ToService("s"), regions=make(of_route))
     team = Team("riders", regions=make(of_team))
--- a/walkcart/entry/tests/test_team_limit_faults.py
+++ b/walkcart/entry/tests/test_team_limit_faults.py
@@ -13,7 +13,7 @@
     send_usual,
     watch_shares,
 )
-from walkcart.routing.quotas import SHARES
+from walkcart.routing.quotas import MAX_SHARES
 from walkcart.wire.verdicts import Reason
 
 
@@ -95,12 +95,12 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send_usual, fleet, 20)
             await trio.sleep(5)
-            before = [fleet.find_accountant(share) for share in range(SHARES)]
+            before = [fleet.find_accountant(share) for share in range(MAX_SHARES)]
             fleet.store.silent = True
             await trio.sleep(5)
             fleet.store.silent = False
             await trio.sleep(1)
-            after = [fleet.find_accountant(share) for share in range(SHARES)]
+            after = [fleet.find_accountant(share) for share in range(MAX_SHARES)]
             assert after == before
         check_served(fleet)
         assert not fleet.refused["large"]
@@ -154,7 +154,7 @@
         assert reasons == {Reason.LIMIT_UNKNOWN}
         fleet.store.silent = False
         await trio.sleep(4)
-        assert all(fleet.find_accountant(share) for share in range(SHARES))
+        assert all(fleet.find_accountant(share) for share in range(MAX_SHARES))
 
     play(act)
 
--- a/walkcart/entry/tests/test_team_limits.py
+++ b/walkcart/entry/tests/test_team_limits.py
@@ -15,7 +15,12 @@
     send_usual,
 )
 from walkcart.intent.teams import RateLimit
-from walkcart.routing.quotas import DEPTH_PART, MOST_STARTS, SHARES, START_PART
+from walkcart.routing.quotas import (
+    DEPTH_FRACTION,
+    MAX_SHARES,
+    MAX_STARTS,
+    START_FRACTION,
+)
 from walkcart.wire.verdicts import Reason
 
 
@@ -23,7 +28,7 @@
 def test_calm_times_refuse_nothing_and_cost_the_store_little(count):
     async def act(fleet):
         store = fleet.store
-        accountants = [fleet.find_accountant(share) for share in range(SHARES)]
+        accountants = [fleet.find_accountant(share) for share in range(MAX_SHARES)]
         assert {member.region for member in accountants} == set(REGIONS)
         writes, reads = store.writes, store.reads
         store.renewals = 0
@@ -31,9 +36,9 @@
         check_served(fleet)
         assert not fleet.refused["large"]
         # One note for each share that it was held for long, and nothing else.
-        assert store.writes - writes <= SHARES
+        assert store.writes - writes <= MAX_SHARES
         assert store.reads == reads
-        assert store.renewals <= SHARES * 21
+        assert store.renewals <= MAX_SHARES * 21
         # An accountant of one's own region answers within some ms.
         waits = sorted(fleet.waits)
         assert waits[len(waits) // 2] < 0.006
@@ -129,6 +134,6 @@
     # The plays above measure what is admitted; its way to the leafs has room left.
     limit = LARGE.limit
     used = limit.rate * BOUNDS.window + limit.burst
-    used += BOUNDS.slack * (DEPTH_PART + MOST_STARTS * START_PART)
+    used += BOUNDS.slack * (DEPTH_FRACTION + MAX_STARTS * START_FRACTION)
     used += limit.rate * 0.75 * BOUNDS.tolerance * BOUNDS.window
-    assert used + BOUNDS.slack / 6 <= BOUNDS.most(limit)
+    assert used + BOUNDS.slack / 6 <= BOUNDS.max_requests(limit)
--- a/walkcart/fanout/__init__.py
+++ b/walkcart/fanout/__init__.py
@@ -8,11 +8,11 @@
     "GatherTools": "gathering",
     "Gatherer": "gatherer",
     "MissingShard": "answers",
-    "OnceRequest": "single",
+    "OnceRequest": "singlesender",
     "Question": "questions",
     "RoutedGathering": "routed",
     "RoutedQuestion": "routedquestion",
-    "SingleSender": "single",
+    "SingleSender": "singlesender",
     "choose_snapshot": "snapshots",
 }
 
--- a/walkcart/fanout/answers.py
+++ b/walkcart/fanout/answers.py
@@ -52,7 +52,7 @@
         coverage: what the replies cover.
         replies: body by shard, ascending; the partial ones included.
         sent: requests that went to leaves for this answer.
-        typical_time: median over the shards of the seconds to the reply; None
+        median_time: median over the shards of the seconds to the reply; None
             without replies. Stragglers don't move it, a queue everywhere does.
         may_have_run: whether any leaf ran the question or may yet do so.
     """
@@ -61,5 +61,5 @@
     coverage: Coverage
     replies: tuple[tuple[int, bytes], ...]
     sent: int
-    typical_time: float | None = None
+    median_time: float | None = None
     may_have_run: bool = True
--- a/walkcart/fanout/delegatedgroup.py
+++ b/walkcart/fanout/delegatedgroup.py
@@ -12,7 +12,7 @@
 from walkcart.fanout.lentrepeats import decode_services
 from walkcart.fanout.mergedanswer import MergedAnswer, MissingPart
 from walkcart.fanout.routedquestion import RoutedFailure
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.wire.verdicts import MayHaveRun, Reason
 
 Outcome = Result[MergedAnswer, RoutedFailure]
@@ -52,7 +52,7 @@
     def __init__(
         self,
         services: tuple[str, ...],
-        place: Place,
+        place: Location,
         kind: str,
         most_attempts: int,
         peer: str,
--- a/walkcart/fanout/delegates.py
+++ b/walkcart/fanout/delegationclient.py
@@ -5,7 +5,7 @@
 the answer is overdue, the asker goes on without it.
 
 See Also:
-    `walkcart.fanout.carrying.Carrier`, the other side.
+    `walkcart.fanout.delegationserver.DelegationServer`, the other side.
     `walkcart.fanout.groups.divide_services`, which decides what is asked of others.
 """
 
@@ -17,14 +17,14 @@
 from returns.result import Failure, Success
 
 from walkcart.fanout.delegatedgroup import DelegatedGroup, Loan, Outcome
-from walkcart.fanout.delegatetools import DelegateTools, take_in_messages
 from walkcart.fanout.delegationcodec import (
     Delegation,
     decode_missing,
     encode_question,
     read_reason,
 )
-from walkcart.fanout.gatherers import Gatherers
+from walkcart.fanout.delegationtools import DelegationTools, take_in_messages
+from walkcart.fanout.gatheringinstances import GatheringInstances
 from walkcart.fanout.groups import Group
 from walkcart.fanout.mergedanswer import MergedAnswer
 from walkcart.fanout.peerselection import PeerSelection
@@ -32,7 +32,7 @@
 from walkcart.kernel.events import Events
 from walkcart.kernel.taskfaults import note_task_fault
 from walkcart.routing.eligibility import may_carry
-from walkcart.routing.settling import GroupTimes
+from walkcart.routing.latetimes import PeerPartTimes
 from walkcart.wire.delegations import (
     DelegatedAnswer,
     DelegatedCancel,
@@ -50,7 +50,7 @@
 OVERDUE_TIME = 0.05
 
 #: Seconds between two renewals of a question that takes long: three go within
-#: `walkcart.fanout.carrying.HOLD_TIME`, so that a lost or late one does no harm.
+#: `walkcart.fanout.delegationserver.RENEWAL_TIMEOUT`, so that a lost or late one does no harm.
 RENEWAL_INTERVAL = 0.12
 
 #: Seconds between two looks at whether those links are up.
@@ -60,15 +60,15 @@
 LINK_PATIENCE = 0.05
 
 
-class Delegates:
+class DelegationClient:
     """Sends parts of questions to other instances."""
 
-    def __init__(self, tools: DelegateTools) -> None:
+    def __init__(self, tools: DelegationTools) -> None:
         self._tools = tools
         self._asked: dict[str, DelegatedGroup] = {}
         self._outcomes: dict[str, Outcome] = {}
         self._nursery: trio.Nursery | None = None
-        self.times = GroupTimes()
+        self.times = PeerPartTimes()
         self._selection = PeerSelection(tools)
         tools.links.on(DelegatedTaken, self._on_taken)
         tools.links.on(DelegatedAnswer, self._on_answer)
@@ -76,7 +76,7 @@
         tools.links.on(DelegatedFailure, self._on_failure)
 
     @property
-    def gatherers(self) -> Gatherers:
+    def gatherers(self) -> GatheringInstances:
         """The instances that gather."""
         return self._tools.gatherers
 
@@ -131,7 +131,7 @@
             on_end,
             loan,
         )
-        id = self._tools.ids.take()
+        id = self._tools.ids.next_id()
         way = self._tools.accounts.round_trip(peer.name)
         lent = loan.services if loan else frozenset()
         delegation = Delegation(id, wanted.services, top, way, lent)
@@ -139,7 +139,7 @@
         if not self._tools.links.send(peer.name, message):
             return None
         self._asked[id] = group
-        self._tools.accounts.note_sent(peer.name, now)
+        self._tools.accounts.record_sent(peer.name, now)
         self._nursery.start_soon(self._follow, message, group, question)
         return group
 
@@ -162,7 +162,7 @@
         finally:
             del self._asked[id]
             self._outcomes.pop(id, None)
-            self._tools.accounts.note_ended(group.peer)
+            self._tools.accounts.record_ended(group.peer)
             if outcome is None:
                 self._take_back(message, group)
             group.end(outcome)
@@ -175,12 +175,12 @@
         links = self._tools.links
         id = message.id
         group.unsent = links.withdraw(group.peer, message)
-        unheard = self._tools.accounts.heard_at(group.peer) < group.at
+        unheard = self._tools.accounts.last_heard_at(group.peer) < group.at
         lost = unheard and not group.scope.cancel_called
         if not group.unsent:
             links.send(group.peer, DelegatedCancel(id, lost))
         if lost:
-            links.renew(group.peer)
+            links.reconnect(group.peer)
 
     def _find_taken_due(
         self,
@@ -189,12 +189,14 @@
         question: RoutedQuestion,
     ) -> float:
         """Return until when the word that a question was taken is waited for."""
-        if self._tools.links.is_waiting(group.peer, message):
+        if self._tools.links.is_queued(group.peer, message):
             return group.at + LINK_PATIENCE
         until = question.objective_at
         if until <= group.at or until == float("inf"):
             until = question.deadline
-        return group.at + self._tools.accounts.patience(group.peer, until - group.at)
+        return group.at + self._tools.accounts.acceptance_timeout(
+            group.peer, until - group.at
+        )
 
     async def _wait(
         self,
@@ -217,7 +219,7 @@
                 due = self._find_taken_due(message, group, question)
             else:
                 due = question.deadline
-                if accounts.heard_at(group.peer) <= group.at + OVERDUE_TIME:
+                if accounts.last_heard_at(group.peer) <= group.at + OVERDUE_TIME:
                     due = min(due, question.objective_at + OVERDUE_TIME)
             if now >= due:
                 return None
@@ -233,7 +235,7 @@
             return
         now = self._tools.clock.monotonic()
         if now < question.deadline:
-            self._tools.accounts.note_silent(group.peer, now)
+            self._tools.accounts.record_timeout(group.peer, now)
         self._tools.events.emit(
             Events.DELEGATE_LOST,
             request=question.id,
@@ -248,10 +250,10 @@
         group = self._asked.get(message.id)
         if group is None or group.peer != sender:
             return
-        self._tools.accounts.note_taken(sender, now, now - group.at)
-        self.times.note_near(group.kind, message.usual_high)
+        self._tools.accounts.record_accepted(sender, now, now - group.at)
+        self.times.record_near(group.kind, message.usual_high)
         if group.place.region != self._tools.registration.own.region:
-            self.times.note_way(now - group.at)
+            self.times.record_round_trip(now - group.at)
         group.taken = True
         if group.most_attempts > 1:
             # From now on it may use all of them: it isn't asked for from here any more.
@@ -280,7 +282,7 @@
         if group is None or group.peer != sender:
             return
         now = self._tools.clock.monotonic()
-        self._tools.accounts.note_answer(sender, now, now - group.at)
+        self._tools.accounts.record_answer(sender, now, now - group.at)
         group.hand_over(answer)
         group.note()
 
@@ -300,7 +302,7 @@
         assert isinstance(message, DelegatedFailure)
         reason = read_reason(message.reason)
         if reason is Reason.STOPPING:
-            self._tools.accounts.note_silent(sender, self._tools.clock.monotonic())
+            self._tools.accounts.record_timeout(sender, self._tools.clock.monotonic())
         verdict: NotRun | MayHaveRun = MayHaveRun(reason, message.detail)
         if not message.may_have_run:
             verdict = NotRun(reason, message.detail)
@@ -314,6 +316,6 @@
         if group is None or group.peer != sender:
             return
         now = self._tools.clock.monotonic()
-        self._tools.accounts.note_answer(sender, now, now - group.at)
+        self._tools.accounts.record_answer(sender, now, now - group.at)
         self._outcomes[id] = outcome
         group.note()
--- a/walkcart/fanout/delegationcodec.py
+++ b/walkcart/fanout/delegationcodec.py
@@ -1,8 +1,8 @@
 """Delegated questions and their outcomes as messages between instances.
 
 See Also:
-    `walkcart.fanout.delegates.Delegates`, who asks.
-    `walkcart.fanout.carrying.Carrier`, who gathers.
+    `walkcart.fanout.delegationclient.DelegationClient`, who asks.
+    `walkcart.fanout.delegationserver.DelegationServer`, who gathers.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from walkcart.fanout.mergedanswer import MergedAnswer, MissingPart
 from walkcart.fanout.origins import RequestOrigins
 from walkcart.fanout.routedquestion import RoutedQuestion
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 from walkcart.wire.delegations import (
     NEVER,
     DelegatedAnswer,
@@ -93,7 +93,7 @@
 
 
 def _decode_regions(names: tuple[str, ...] | None) -> Regions:
-    return ANYWHERE if names is None else Regions(frozenset(names))
+    return ALL_REGIONS if names is None else Regions(frozenset(names))
 
 
 def read_request(message: DelegatedQuestion) -> HttpRequest:
@@ -122,7 +122,7 @@
         objective_at=now + message.objective,
         least_coverage=message.least_coverage,
         most_attempts=message.most_attempts,
-        whole_parts=True,
+        success_only=True,
         first_only=message.most_attempts > 1,
         settle_at=now + message.settle if message.settle < NEVER else float("inf"),
         granted=message.granted,
--- a/walkcart/fanout/carrying.py
+++ b/walkcart/fanout/delegationserver.py
@@ -5,7 +5,7 @@
 cancellation came first isn't begun, and one that isn't renewed is given up.
 
 See Also:
-    `walkcart.fanout.delegates.Delegates`, the asking side.
+    `walkcart.fanout.delegationclient.DelegationClient`, the asking side.
 """
 
 from __future__ import annotations
@@ -45,15 +45,15 @@
 #: Seconds after which a question that was on its way isn't begun: the asker went on
 #: without it long ago (`walkcart.routing.peerchoice.LONGEST_PATIENCE`), and its caller
 #: may have left. Leafs must be idle half a second after that.
-MOST_AGE = 0.2
+MAX_AGE = 0.2
 #: Seconds on its way that a question's times allow for: to another region and back,
 #: since its age is known to within one way.
 USUAL_AGE = 0.03
 #: Seconds without a renewal after which a question is given up: within the half second
 #: that leafs may work on for a caller that left, and three renewals.
-HOLD_TIME = 0.4
+RENEWAL_TIMEOUT = 0.4
 #: Seconds for which a question's coming, cancellation or end is kept, for the same one
-#: that comes after it, or once more. A question isn't begun `MOST_AGE` after it left,
+#: that comes after it, or once more. A question isn't begun `MAX_AGE` after it left,
 #: but said to be "not run", which its sender may rely on for as long as it waits.
 CLOSED_MEMORY = 5.0
 
@@ -74,7 +74,7 @@
 Gather = Callable[[RoutedQuestion, int, Handover], Awaitable[Outcome]]
 
 
-class Carrier:
+class DelegationServer:
     """Gathers for other instances.
 
     Args:
@@ -111,11 +111,11 @@
         self._begun: dict[tuple[str, str], float] = {}
         self._nursery: trio.Nursery | None = None
         self._stopping = False
-        links.on_work(DelegatedQuestion, self._on_question)
+        links.on_with_age(DelegatedQuestion, self._on_question)
         links.on(DelegatedCancel, self._on_cancel)
         links.on(DelegatedRenewal, self._on_renewal)
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Turn new questions down: this instance stops.
 
         Who asks goes on with another one at once. Where it went on taking them, it
@@ -124,7 +124,7 @@
         self._stopping = True
 
     @property
-    def carrying(self) -> int:
+    def active_count(self) -> int:
         """Questions of other instances that are in progress here."""
         return len(self._carried)
 
@@ -147,16 +147,16 @@
         if self._stopping:
             self._turn_down(sender, message, Reason.STOPPING, "the instance stops")
             return
-        if age > MOST_AGE:
+        if age > MAX_AGE:
             self._turn_down_stale(sender, message, age)
             return
-        if self._quarantines.is_kept(message, self._origins):
+        if self._quarantines.is_restricted(message, self._origins):
             detail = "leafs end when they run this request"
             self._turn_down(sender, message, Reason.QUARANTINED, detail)
             return
         high = self._usual_high(message.kind)
         self._links.send(sender, DelegatedTaken(message.id, high))
-        scope = trio.CancelScope(deadline=trio.current_time() + HOLD_TIME)
+        scope = trio.CancelScope(deadline=trio.current_time() + RENEWAL_TIMEOUT)
         send = partial(self._links.send, sender)
         handover = Handover(message.id, message.services, send)
         self._carried[key] = carried = _Carried(scope, handover)
@@ -200,7 +200,7 @@
         self._remember_closed(key)
         if message.unheard:
             # The connection by which this instance answers may have gone silent.
-            self._links.renew(sender)
+            self._links.reconnect(sender)
 
     def _remember_closed(self, key: QuestionKey) -> None:
         _remember(self._closed, key, self._clock.monotonic())
@@ -209,7 +209,7 @@
         assert isinstance(message, DelegatedRenewal)
         carried = self._carried.get((sender, message.id))
         if carried is not None:
-            carried.scope.deadline = trio.current_time() + HOLD_TIME
+            carried.scope.deadline = trio.current_time() + RENEWAL_TIMEOUT
             carried.handover.confirm()
 
     async def _carry(
--- a/walkcart/fanout/delegatetools.py
+++ b/walkcart/fanout/delegationtools.py
@@ -7,13 +7,13 @@
 
 import trio
 
-from walkcart.fanout.gatherers import Gatherers
+from walkcart.fanout.gatheringinstances import GatheringInstances
 from walkcart.fanout.ids import IdSource
 from walkcart.kernel.clock import Clock
 from walkcart.kernel.eventlog import EventLog
 from walkcart.membership.links import PeerLinks
 from walkcart.membership.registration import Registration
-from walkcart.routing.peerchoice import PeerAccounts
+from walkcart.routing.peerchoice import PeerStats
 
 #: Messages that are taken in before an instance counts as silent: one each turn of the
 #: event loop, of which a busy one has some waiting.
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DelegateTools:
+class DelegationTools:
     """What the delegates work with.
 
     Args:
@@ -37,12 +37,12 @@
 
     links: PeerLinks
     registration: Registration
-    accounts: PeerAccounts
+    accounts: PeerStats
     ids: IdSource
     clock: Clock
     random: Random
     events: EventLog
-    gatherers: Gatherers
+    gatherers: GatheringInstances
 
 
 async def take_in_messages() -> None:
--- a/walkcart/fanout/dependence.py
+++ b/walkcart/fanout/dependence.py
@@ -14,14 +14,14 @@
 
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedverdict import covers_share
-from walkcart.fanout.servicetry import ServiceTry
+from walkcart.fanout.serviceprogress import ServiceProgress
 from walkcart.routing.hedging import may_hedge
 
 
 def is_vital(
     question: RoutedQuestion,
-    tries: Collection[ServiceTry],
-    item: ServiceTry,
+    tries: Collection[ServiceProgress],
+    item: ServiceProgress,
     early: bool,
 ) -> bool:
     """Return whether too few other services have replied, or will in time.
@@ -42,7 +42,7 @@
     return not covers_share(least, len(question.services), others)
 
 
-def may_send_second_attempts(tries: Collection[ServiceTry]) -> bool:
+def may_send_second_attempts(tries: Collection[ServiceProgress]) -> bool:
     """Return whether few enough services that were asked from here are late.
 
     Groups that other instances gather come all at once, mostly later than second
--- a/walkcart/fanout/duetimes.py
+++ b/walkcart/fanout/duetimes.py
@@ -11,7 +11,7 @@
 from walkcart.fanout.crashwatch import CrashWatch
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedsends import RoutedSends
-from walkcart.fanout.servicetry import ServiceTry
+from walkcart.fanout.serviceprogress import ServiceProgress
 from walkcart.kernel.clock import Clock
 
 _NEVER = float("inf")
@@ -39,19 +39,19 @@
         self._watch = watch
         self._clock = clock
 
-    def attempt_at(self, item: ServiceTry) -> float:
+    def attempt_at(self, item: ServiceProgress) -> float:
         """Return when the next planned attempt at a service may be sent."""
         if not self._watch.may_send(item.service):
             return _NEVER
         return self._sends.due_at(item)
 
-    def hedge_at(self, item: ServiceTry) -> float:
+    def hedge_at(self, item: ServiceProgress) -> float:
         """Return when a second attempt beside one that is late may be sent."""
         return _NEVER if self._watch.holds else self._sends.hedge_at(item)
 
     def find_next(
         self,
-        tries: Iterable[ServiceTry],
+        tries: Iterable[ServiceProgress],
         answerable: bool,
         last_call: float,
         late_due: float,
--- a/walkcart/fanout/gatherer.py
+++ b/walkcart/fanout/gatherer.py
@@ -19,7 +19,7 @@
 from walkcart.leaves.leaf import Snapshot
 from walkcart.leaves.table import ResolvedLayout
 from walkcart.routing.budgets import ShareBudget
-from walkcart.routing.quarantine import Standing
+from walkcart.routing.quarantine import QuarantineLevel
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: When to come back after every leaf that was asked refused.
@@ -49,13 +49,13 @@
         admitted = await self._tools.quarantines.admit(question.fingerprint)
         if isinstance(admitted, NotRun):
             return Failure(admitted)
-        careful = admitted is Standing.CAREFUL
+        careful = admitted is QuarantineLevel.CAREFUL
         _, layout = self.choose(question)
         watch = CrashWatch(len(layout.shards), careful)
         try:
             return await self._gather(question, watch)
         finally:
-            self._tools.quarantines.note(question.fingerprint, watch, careful)
+            self._tools.quarantines.record(question.fingerprint, watch, careful)
 
     async def _gather(
         self, question: Question, watch: CrashWatch
@@ -84,7 +84,7 @@
     def _may_move(self, question: Question) -> bool:
         """Return whether there is time to ask all shards once more."""
         now = self._tools.clock.monotonic()
-        usual = self._tools.gateway.delay_of(question.group).median(now)
+        usual = self._tools.gateway.hedge_delay_of(question.group).median(now)
         return question.deadline - now > usual
 
     def _check(self, answer: Answer) -> None:
--- a/walkcart/fanout/gathering.py
+++ b/walkcart/fanout/gathering.py
@@ -27,8 +27,8 @@
 from walkcart.fanout.progress import (
     Sent,
     ShardProgress,
+    find_median_time,
     make_coverage,
-    typical_time,
 )
 from walkcart.fanout.quarantines import Quarantines
 from walkcart.fanout.questions import Question
@@ -39,7 +39,7 @@
 from walkcart.leaves.attempts import Attempt, Failed, Outcome, Refused, Replied
 from walkcart.leaves.gateway import LeafGateway
 from walkcart.leaves.leaf import ANY_VERSION, Leaf, Snapshot
-from walkcart.leaves.protocol import fits_pin
+from walkcart.leaves.protocol import matches_pin
 from walkcart.leaves.table import LeafTable, ResolvedLayout
 from walkcart.routing.budgets import ShareBudget
 from walkcart.routing.hedging import may_hedge
@@ -140,7 +140,7 @@
         self._hedges.earn(tries, policy.hedge_budget)
         self._retries.earn(tries, policy.retry_budget)
         group = self._question.group
-        learned = self._tools.gateway.delay_of(group)
+        learned = self._tools.gateway.hedge_delay_of(group)
         self._hedge_delay = learned.current(start)
         if policy.hedge_budget > 0 and not learned.is_group_slow(start):
             self._hedge_at = start + self._hedge_delay
@@ -243,7 +243,7 @@
             self._pin.layout
         ):
             self._adopt(reply.snapshot)
-        if not fits_pin(self._pin, reply.snapshot):
+        if not matches_pin(self._pin, reply.snapshot):
             # The leaf can't pin: its reply is of use only to another answer.
             self._others.setdefault(reply.snapshot, {})[item.shard] = reply
             item.reason = Reason.OTHER_VERSION
@@ -276,9 +276,9 @@
         now = self._tools.clock.monotonic()
         if item.lacks_version or item.tries >= MOST_TRIES:
             self._give_up(item)
-        elif untried and (free or self._retries.take()):
+        elif untried and (free or self._retries.try_spend()):
             item.retry_at = now
-        elif not untried and self._retries.take():
+        elif not untried and self._retries.try_spend():
             item.retry_at = now + FIRST_RETRY_DELAY * 2 ** (item.tries - 1)
         else:
             self._give_up(item)
@@ -312,7 +312,7 @@
             leaf = self._select(item, now, {item.tried[-1]} | item.lost_version)
             if leaf is None or not _has_free_slot(leaf, item, now):
                 continue
-            if not self._hedges.take():
+            if not self._hedges.try_spend():
                 return
             self._tools.metrics.count("leaf.hedged")
             for sent in item.under_way.values():
@@ -357,7 +357,7 @@
 
     def _send(self, item: ShardProgress, leaf: Leaf, now: float, hedge: bool) -> None:
         attempt = Attempt(
-            id=self._tools.ids.take(),
+            id=self._tools.ids.next_id(),
             shard=item.shard,
             pin=self._pin,
             scope=self._question.scope,
@@ -365,7 +365,7 @@
             body=self._question.body,
             traceparent=self._question.traceparent,
             fingerprint=self._fingerprint,
-            wary=self._watch.is_wary,
+            check_alive=self._watch.is_wary,
         )
         self._watch.note_sent(str(item.shard))
         item.under_way[attempt.id] = Sent(leaf, now, hedge)
@@ -403,7 +403,7 @@
             make_coverage(self._progress, replies),
             tuple((shard, replies[shard].body) for shard in sorted(replies)),
             self._sent,
-            typical_time(self._progress),
+            find_median_time(self._progress),
             self._may_have_run or any(item.under_way for item in self._progress),
         )
 
@@ -415,4 +415,4 @@
     it feeds the queue. What the shard has there itself is cancelled for it.
     """
     own = sum(1 for sent in item.under_way.values() if sent.leaf is leaf)
-    return leaf.outstanding - own + leaf.stated_load(now) < leaf.slots
+    return leaf.outstanding - own + leaf.reported_load(now) < leaf.slots
--- a/walkcart/fanout/gatherers.py
+++ b/walkcart/fanout/gatheringinstances.py
@@ -2,7 +2,7 @@
 
 See Also:
     `walkcart.routing.gatherers`, which decides by plain data.
-    `walkcart.fanout.delegates.Delegates`, which asks them.
+    `walkcart.fanout.delegationclient.DelegationClient`, which asks them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from walkcart.leaves.directory import LeafDirectory
 from walkcart.membership.instancerecord import InstanceRecord
 from walkcart.membership.registration import Registration
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.routing.gatherers import (
     PartRate,
     choose_gatherers,
@@ -24,19 +24,19 @@
 from walkcart.routing.shares import rank_rendezvous
 
 #: Returns the places that have leafs of the services that questions go to.
-FindPlaces = Callable[[], Collection[Place]]
+FindPlaces = Callable[[], Collection[Location]]
 
 
 def find_gathering_places(
     table: RouteTable, directory: LeafDirectory
-) -> frozenset[Place]:
+) -> frozenset[Location]:
     """Return the places that have leafs of any service that is asked with others.
 
     Args:
         table: of the routes.
         directory: of the leafs.
     """
-    places: set[Place] = set()
+    places: set[Location] = set()
     for route in table.document.routes:
         match route.target:
             case ToShards(services):
@@ -49,7 +49,7 @@
     return frozenset(places)
 
 
-class Gatherers:
+class GatheringInstances:
     """Knows who gathers in each data centre.
 
     Args:
@@ -69,24 +69,26 @@
         self._places: frozenset[str] | None = None
         registration.on_change(self._ranked.clear)
 
-    def note_change(self) -> None:
+    def invalidate_places(self) -> None:
         """Note that routes or leafs changed."""
         self._places = None
 
     def count(self) -> int:
         """Return how many instances gather, in all data centres."""
-        return sum(len(self.of(place)) for place in self._gathering_places())
+        return sum(
+            len(self.in_data_centre(place)) for place in self._gathering_places()
+        )
 
-    def note_question(self, parts: int) -> None:
+    def record_question(self, parts: int) -> None:
         """Note that a caller's question over so many parts was begun."""
-        self._rate.note(self._clock.monotonic(), parts)
+        self._rate.record(self._clock.monotonic(), parts)
 
     def is_own(self) -> bool:
         """Return whether this instance gathers."""
         own = self._registration.own
-        return own.name in self.of(own.data_centre)
+        return own.name in self.in_data_centre(own.data_centre)
 
-    def of(self, data_centre: str) -> list[str]:
+    def in_data_centre(self, data_centre: str) -> list[str]:
         """Return the names of those of a data centre, this instance's included."""
         ranked, capacities = self._rank(data_centre)
         rate = self._rate.estimate(self._clock.monotonic())
@@ -99,7 +101,7 @@
 
         Those that gather there; where no instance stands in it, all of them.
         """
-        found = self.of(data_centre)
+        found = self.in_data_centre(data_centre)
         if found:
             return found
         names = [record.name for record in self._list_instances()]
@@ -109,7 +111,12 @@
         """Return the names of the others that gather, of all data centres."""
         own = self._registration.own.name
         places = sorted(self._gathering_places())
-        return [name for place in places for name in self.of(place) if name != own]
+        return [
+            name
+            for place in places
+            for name in self.in_data_centre(place)
+            if name != own
+        ]
 
     def _gathering_places(self) -> frozenset[str]:
         if self._places is None:
--- a/walkcart/fanout/groups.py
+++ b/walkcart/fanout/groups.py
@@ -17,14 +17,14 @@
 from dataclasses import dataclass
 from random import Random
 
-from walkcart.routing.distance import Place, measure_distance
+from walkcart.routing.distance import Location, measure_distance
 
 #: Fewer services than this are asked directly: one reply more costs little, and a
 #: message to another instance costs about as much.
-LEAST_GROUP = 2
+MIN_GROUP = 2
 #: Services that one instance asks at once for a question. Each takes about half a
 #: millisecond of a fast processor, and small instances have half of one.
-MOST_SERVICES = 24
+MAX_SERVICES = 24
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,13 +37,13 @@
     """
 
     services: tuple[str, ...]
-    place: Place
+    place: Location
 
 
 def divide_services(
     services: Sequence[str],
-    places_of: Callable[[str], Collection[Place]],
-    own: Place,
+    places_of: Callable[[str], Collection[Location]],
+    own: Location,
     random: Random,
     gathers: bool = True,
 ) -> list[Group]:
@@ -64,17 +64,19 @@
         chosen = [name for name, places in left.items() if place in places]
         for name in chosen:
             del left[name]
-        chunks = cut_evenly(chosen, MOST_SERVICES)
+        chunks = split_evenly(chosen, MAX_SERVICES)
         if place == own and gathers:
             # The first chunk is asked from here.
             chunks = chunks[1:]
-        groups += [Group(chunk, place) for chunk in chunks if len(chunk) >= LEAST_GROUP]
+        groups += [Group(chunk, place) for chunk in chunks if len(chunk) >= MIN_GROUP]
     return groups
 
 
-def _choose_place(left: dict[str, set[Place]], own: Place, random: Random) -> Place:
+def _choose_place(
+    left: dict[str, set[Location]], own: Location, random: Random
+) -> Location:
     """Return the nearest place, of equally near ones one with the most services."""
-    counts: dict[Place, int] = {}
+    counts: dict[Location, int] = {}
     for places in left.values():
         for place in places:
             counts[place] = counts.get(place, 0) + 1
@@ -85,12 +87,12 @@
     return random.choice(sorted(place for place in ranks if ranks[place] == least))
 
 
-def cut_evenly(names: Sequence[str], most: int) -> list[tuple[str, ...]]:
-    """Return the names in as few chunks of about equal size as `most` allows.
+def split_evenly(names: Sequence[str], max_size: int) -> list[tuple[str, ...]]:
+    """Return the names in as few chunks of about equal size as `max_size` allows.
 
     Examples:
-        >>> cut_evenly("abcde", 3)
+        >>> split_evenly("abcde", 3)
         [('a', 'c', 'e'), ('b', 'd')]
     """
-    count = -(-len(names) // most)
+    count = -(-len(names) // max_size)
     return [tuple(names[start::count]) for start in range(count)]
--- a/walkcart/fanout/handover.py
+++ b/walkcart/fanout/handover.py
@@ -1,8 +1,8 @@
 """What an instance that gathers sends in pieces to the one that asked.
 
 See Also:
-    `walkcart.fanout.carrying.Carrier`, which makes one for each question.
-    `walkcart.fanout.handing.Handing`, which merges what is handed over.
+    `walkcart.fanout.delegationserver.DelegationServer`, which makes one for each question.
+    `walkcart.fanout.merginghandover.MergingHandover`, which merges what is handed over.
 """
 
 from __future__ import annotations
--- a/walkcart/fanout/ids.py
+++ b/walkcart/fanout/ids.py
@@ -11,7 +11,7 @@
         incarnation: number of its process life.
 
     Examples:
-        >>> IdSource("a", 7).take()
+        >>> IdSource("a", 7).next_id()
         'a.7.1'
     """
 
@@ -19,7 +19,7 @@
         self._prefix = f"{instance}.{incarnation:x}"
         self._count = 0
 
-    def take(self) -> str:
+    def next_id(self) -> str:
         """Return the next id."""
         self._count += 1
         return f"{self._prefix}.{self._count:x}"
--- a/walkcart/fanout/lateparts.py
+++ b/walkcart/fanout/lateparts.py
@@ -1,7 +1,7 @@
 """The late parts of one question, asked for together in another region.
 
 See Also:
-    `walkcart.routing.settling`, which says when.
+    `walkcart.routing.latetimes`, which says when.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 from walkcart.fanout.delegatedgroup import DelegatedGroup
 from walkcart.fanout.delegationcodec import find_least_part
-from walkcart.fanout.groups import MOST_SERVICES, divide_services
+from walkcart.fanout.groups import MAX_SERVICES, divide_services
 from walkcart.fanout.repeatloans import submit_with_loan
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedsends import RoutedSends
 from walkcart.fanout.routedtools import RoutedTools
-from walkcart.fanout.servicetry import ServiceTry
+from walkcart.fanout.serviceprogress import ServiceProgress
 from walkcart.kernel.events import Events
-from walkcart.routing.distance import Distance, Place
+from walkcart.routing.distance import Distance, Location
 from walkcart.routing.hedging import may_hedge
-from walkcart.routing.settling import SETTLE_GRACE, find_settle_time
+from walkcart.routing.latetimes import LATE_REPLY_GRACE, find_late_request_time
 
 
 def plan_settling(
@@ -30,15 +30,15 @@
 
     Questions of few services have one or two late ones, which are asked for directly.
     """
-    few = len(question.services) <= MOST_SERVICES
+    few = len(question.services) <= MAX_SERVICES
     if not top or few or tools.delegates is None or question.most_attempts < 2:
         return question
     now = tools.clock.monotonic()
     kind = question.kind
     own = tools.pool.times_of(kind, Distance.SAME_DATA_CENTRE).high(now)
     times = tools.delegates.times
-    near, late = times.expect_near(kind, own), times.expect_late(kind, own)
-    at = find_settle_time(now, question.objective_at, near, late)
+    near, late = times.estimate_near(kind, own), times.estimate_late(kind, own)
+    at = find_late_request_time(now, question.objective_at, near, late)
     return replace(question, settle_at=at)
 
 
@@ -76,7 +76,7 @@
             busy: whether attempts from here are under way.
         """
         if pending:
-            return self._question.settle_at + SETTLE_GRACE
+            return self._question.settle_at + LATE_REPLY_GRACE
         return self._question.settle_at if busy else float("-inf")
 
     def note_asked(self, group: DelegatedGroup) -> None:
@@ -87,12 +87,14 @@
         """Return whether a group was asked for here."""
         return group in self._asked
 
-    def ask(self, tries: Collection[ServiceTry], now: float) -> list[DelegatedGroup]:
+    def ask(
+        self, tries: Collection[ServiceProgress], now: float
+    ) -> list[DelegatedGroup]:
         """Ask for what is late; return the groups that other instances gather."""
         late = self._choose(tries, now)
         if not late:
             return []
-        places: dict[str, set[Place]] = {}
+        places: dict[str, set[Location]] = {}
         for item in late:
             item.left, item.regrouped = False, True
             found = self._tools.pool.places_of(item.service)
@@ -109,7 +111,9 @@
         self._asked += groups
         return groups
 
-    def _choose(self, tries: Collection[ServiceTry], now: float) -> list[ServiceTry]:
+    def _choose(
+        self, tries: Collection[ServiceProgress], now: float
+    ) -> list[ServiceProgress]:
         """Return the services whose parts are late, or were left to be asked for."""
         waiting = [
             item
@@ -127,17 +131,17 @@
             left += [item for item in late if self._sends.take_repeat(item, now)]
         return left
 
-    def _is_one(self, item: ServiceTry) -> bool:
+    def _is_one(self, item: ServiceProgress) -> bool:
         """Return whether one attempt is under way and another is allowed."""
         return len(item.under_way) == 1 and item.may_run < self._question.most_attempts
 
-    def _find_fair_coverage(self, tries: Collection[ServiceTry]) -> float:
+    def _find_fair_coverage(self, tries: Collection[ServiceProgress]) -> float:
         """Return the share of what isn't in that the answer can't do without."""
         open_count = sum(1 for item in tries if not item.covered)
         return find_least_part(self._question, open_count)
 
     def _submit(
-        self, places: dict[str, set[Place]], fair_coverage: float
+        self, places: dict[str, set[Location]], fair_coverage: float
     ) -> list[DelegatedGroup]:
         question = replace(
             self._question,
@@ -157,7 +161,7 @@
         ]
         return [group for group in asked if group is not None]
 
-    def _note(self, late: list[ServiceTry], groups: list[DelegatedGroup]) -> None:
+    def _note(self, late: list[ServiceProgress], groups: list[DelegatedGroup]) -> None:
         self._tools.events.emit(
             Events.LATE_PARTS,
             request=self._question.id,
--- a/walkcart/fanout/lateturns.py
+++ b/walkcart/fanout/lateturns.py
@@ -8,14 +8,14 @@
 
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedtools import RoutedTools
-from walkcart.fanout.servicetry import ServiceTry
-from walkcart.routing.comeback import find_return
-from walkcart.routing.leafroom import comes_too_late
+from walkcart.fanout.serviceprogress import ServiceProgress
+from walkcart.routing.leaflimiter import is_too_late
+from walkcart.routing.retryafter import draw_retry_after
 from walkcart.wire.verdicts import NotRun, Reason
 
 
 def find_late_turn(
-    tools: RoutedTools, question: RoutedQuestion, item: ServiceTry
+    tools: RoutedTools, question: RoutedQuestion, item: ServiceProgress
 ) -> NotRun | None:
     """Return why a service's part can't come before the caller leaves; None if it can.
 
@@ -24,8 +24,8 @@
         question: of which nothing was sent yet.
         item: the service.
     """
-    delay = tools.pool.find_delay(item.service, question.rank)
-    if not comes_too_late(delay, question.deadline - tools.clock.monotonic()):
+    delay = tools.pool.estimate_wait(item.service, question.rank)
+    if not is_too_late(delay, question.deadline - tools.clock.monotonic()):
         return None
-    retry = find_return(delay, tools.random)
+    retry = draw_retry_after(delay, tools.random)
     return NotRun(Reason.NO_ROOM, "its turn at the leafs would come too late", retry)
--- a/walkcart/fanout/leafchoice.py
+++ b/walkcart/fanout/leafchoice.py
@@ -13,12 +13,12 @@
 
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedtools import RoutedTools
-from walkcart.fanout.servicetry import ServiceTry
+from walkcart.fanout.serviceprogress import ServiceProgress
 from walkcart.leaves.leaf import Leaf
 
 #: Times that one leaf gets a question whose answers it loses: with three, a leaf that
 #: loses two of five answers brings nine parts of ten.
-MOST_TIMES = 3
+MAX_SENDS_PER_LEAF = 3
 
 
 class LeafChoice:
@@ -37,20 +37,20 @@
         self._question = question
         self._objective = objective
 
-    def may_add(self, item: ServiceTry) -> bool:
+    def may_add(self, item: ServiceProgress) -> bool:
         """Return whether a further leaf may get the question."""
         return not item.closed and item.may_run < self._question.most_attempts
 
-    def find_askable(self, item: ServiceTry) -> set[str]:
+    def find_askable(self, item: ServiceProgress) -> set[str]:
         """Return the ids of leafs that may be asked once more for a lost answer.
 
         None are while another instance sees to the part.
         """
         if item.may_repeat or item.delegated or not self._question.idempotent:
             return set()
-        return {id for id in item.lost_at if item.tried.count(id) < MOST_TIMES}
+        return {id for id in item.lost_at if item.tried.count(id) < MAX_SENDS_PER_LEAF}
 
-    def choose(self, item: ServiceTry, now: float) -> Leaf | None:
+    def choose(self, item: ServiceProgress, now: float) -> Leaf | None:
         """Return the leaf for the next attempt, or None when none may get it.
 
         Args:
@@ -65,17 +65,19 @@
             leaf = self._choose(item, set(), now)
         return leaf
 
-    def choose_untried(self, item: ServiceTry, now: float) -> Leaf | None:
+    def choose_untried(self, item: ServiceProgress, now: float) -> Leaf | None:
         """Return the leaf for a second attempt beside the first."""
         return self._choose(item, set(item.tried), now)
 
-    def choose_elsewhere(self, item: ServiceTry, now: float) -> Leaf | None:
+    def choose_elsewhere(self, item: ServiceProgress, now: float) -> Leaf | None:
         """Return a leaf in a place that wasn't asked yet."""
         leaves = self._tools.pool.leaves_of(item.service)
         asked = {leaf.id for leaf in leaves if leaf.place in item.places}
         return self._choose(item, asked.union(item.tried), now)
 
-    def _choose(self, item: ServiceTry, without: set[str], now: float) -> Leaf | None:
+    def _choose(
+        self, item: ServiceProgress, without: set[str], now: float
+    ) -> Leaf | None:
         return self._tools.pool.choose(
             item.service, self._question.kind, frozenset(without), self._objective, now
         )
--- a/walkcart/fanout/handing.py
+++ b/walkcart/fanout/merginghandover.py
@@ -1,7 +1,7 @@
 """Handing over what was gathered for another instance, before the late parts are in.
 
 See Also:
-    `walkcart.fanout.carrying.Handover`, which sends it.
+    `walkcart.fanout.delegationserver.Handover`, which sends it.
     `walkcart.fanout.lateparts.LateParts`, the other side.
 """
 
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handing:
+class MergingHandover:
     """Merges answers and hands them over.
 
     Args:
--- a/walkcart/fanout/progress.py
+++ b/walkcart/fanout/progress.py
@@ -77,7 +77,7 @@
     return Coverage(len(progress), tuple(whole), tuple(partial), missing)
 
 
-def typical_time(progress: list[ShardProgress]) -> float | None:
+def find_median_time(progress: list[ShardProgress]) -> float | None:
     """Return the median seconds to a reply, or None without replies."""
     times = sorted(item.time for item in progress if item.reply is not None)
     return times[len(times) // 2] if times else None
--- a/walkcart/fanout/quarantinepeers.py
+++ b/walkcart/fanout/quarantinepeers.py
@@ -1,15 +1,15 @@
 """Which other instances are told of requests under which leafs ended.
 
 See Also:
-    `walkcart.membership.quarantinenews.QuarantineSpread`, which tells them.
+    `walkcart.membership.quarantinegossip.QuarantineGossip`, which tells them.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-from walkcart.fanout.gatherers import Gatherers
-from walkcart.fanout.peerselection import MOST_GREETED
+from walkcart.fanout.gatheringinstances import GatheringInstances
+from walkcart.fanout.peerselection import MAX_FULL_MESH
 from walkcart.membership.registration import Registration
 
 
@@ -21,7 +21,9 @@
         gatherers: those that gather.
     """
 
-    def __init__(self, registration: Registration, gatherers: Gatherers) -> None:
+    def __init__(
+        self, registration: Registration, gatherers: GatheringInstances
+    ) -> None:
         self._registration = registration
         self._gatherers = gatherers
 
@@ -43,4 +45,4 @@
         return self._is_large() and self._gatherers.is_own()
 
     def _is_large(self) -> bool:
-        return len(self._registration.others()) > MOST_GREETED
+        return len(self._registration.others()) > MAX_FULL_MESH
--- a/walkcart/fanout/quarantines.py
+++ b/walkcart/fanout/quarantines.py
@@ -20,7 +20,7 @@
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
-from walkcart.routing.quarantine import Quarantine, Standing
+from walkcart.routing.quarantine import Quarantine, QuarantineLevel
 from walkcart.wire.delegations import DelegatedQuestion
 from walkcart.wire.fingerprint import make_fingerprint
 from walkcart.wire.verdicts import NotRun, Reason
@@ -70,21 +70,23 @@
         self._tell: Listener = lambda fingerprint: None
         self._keep: Listener = lambda fingerprint: None
 
-    def follow(self, tell: Listener, keep: Listener) -> None:
+    def set_listeners(self, notify: Listener, store_refused: Listener) -> None:
         """Name who is told of what is noted here.
 
         Args:
-            tell: tells the other instances.
-            keep: stores a request that is refused from now on.
+            notify: tells the other instances.
+            store_refused: stores a request that is refused from now on.
         """
-        self._tell = tell
-        self._keep = keep
+        self._tell = notify
+        self._keep = store_refused
 
-    def find_standing(self, fingerprint: bytes) -> Standing:
+    def find_standing(self, fingerprint: bytes) -> QuarantineLevel:
         """Return what a request may do."""
-        return self._quarantine.find_standing(fingerprint, self._clock.monotonic())
+        return self._quarantine.find_level(fingerprint, self._clock.monotonic())
 
-    def is_kept(self, question: DelegatedQuestion, origins: RequestOrigins) -> bool:
+    def is_restricted(
+        self, question: DelegatedQuestion, origins: RequestOrigins
+    ) -> bool:
         """Return whether a question of another instance isn't asked as a whole.
 
         Its sender doesn't know yet what is known here.
@@ -92,24 +94,24 @@
         if not len(self._quarantine):
             return False
         fingerprint = origins.fingerprint(read_request(question))
-        return self.find_standing(fingerprint) is not Standing.USUAL
+        return self.find_standing(fingerprint) is not QuarantineLevel.USUAL
 
-    async def admit(self, fingerprint: bytes) -> Standing | NotRun:
+    async def admit(self, fingerprint: bytes) -> QuarantineLevel | NotRun:
         """Return what a request may do, or why it isn't run.
 
         Of requests that are tried at one leaf first, one at a time is; the others wait
         a moment for what comes of it.
         """
         standing = self.find_standing(fingerprint)
-        if standing is Standing.USUAL:
+        if standing is QuarantineLevel.USUAL:
             return standing
         with trio.move_on_after(TRIAL_PATIENCE):
-            while standing is Standing.CAREFUL and fingerprint in self._trials:
+            while standing is QuarantineLevel.CAREFUL and fingerprint in self._trials:
                 await self._trials[fingerprint].wait()
                 standing = self.find_standing(fingerprint)
-        if standing is Standing.REFUSED:
+        if standing is QuarantineLevel.REFUSED:
             return self.refuse(fingerprint)
-        if standing is Standing.CAREFUL:
+        if standing is QuarantineLevel.CAREFUL:
             if fingerprint in self._trials:
                 detail = "the same request, under which leafs ended, is being tried"
                 return NotRun(Reason.QUARANTINED, detail, TRIAL_TIME)
@@ -125,7 +127,7 @@
         retry_after = timedelta(seconds=wait) if wait else TRIAL_TIME
         return NotRun(Reason.QUARANTINED, detail, retry_after)
 
-    def note(self, fingerprint: bytes, watch: CrashWatch, careful: bool) -> None:
+    def record(self, fingerprint: bytes, watch: CrashWatch, careful: bool) -> None:
         """Note how leafs fared under one try of a request.
 
         Args:
@@ -140,12 +142,12 @@
         if careful and (trial := self._trials.pop(fingerprint, None)) is not None:
             trial.set()
 
-    def note_news(self, fingerprint: bytes) -> None:
+    def log_news(self, fingerprint: bytes) -> None:
         """Log what another instance told, where it changes what a request may do."""
         self._log_standing(fingerprint, "told")
 
     def _note_answer(self, fingerprint: bytes) -> None:
-        if self._quarantine.note_answer(fingerprint, self._clock.monotonic()):
+        if self._quarantine.record_answer(fingerprint, self._clock.monotonic()):
             self._events.emit(Events.QUARANTINE_LIFTED, question=fingerprint.hex())
             self._tell(fingerprint)
 
@@ -153,16 +155,16 @@
         name = make_fingerprint(self._instance, self._random.randbytes(STRIKE_BYTES))
         strike = int.from_bytes(name[:STRIKE_BYTES], "big")
         now = self._clock.monotonic()
-        self._quarantine.note_strike(fingerprint, strike, now)
+        self._quarantine.record_strike(fingerprint, strike, now)
         self._log_standing(fingerprint, "seen")
         self._tell(fingerprint)
-        if self.find_standing(fingerprint) is Standing.REFUSED:
+        if self.find_standing(fingerprint) is QuarantineLevel.REFUSED:
             self._keep(fingerprint)
 
     def _log_standing(self, fingerprint: bytes, source: str) -> None:
         self._metrics.gauge("quarantine.entries", len(self._quarantine))
         standing = self.find_standing(fingerprint)
-        if standing is not Standing.USUAL:
+        if standing is not QuarantineLevel.USUAL:
             self._events.emit(
                 Events.QUARANTINED,
                 question=fingerprint.hex(),
--- a/walkcart/fanout/elsewhere.py
+++ b/walkcart/fanout/remoteparts.py
@@ -14,15 +14,15 @@
 
 from walkcart.fanout.crashwatch import CrashWatch
 from walkcart.fanout.delegatedgroup import DelegatedGroup
-from walkcart.fanout.groups import LEAST_GROUP, Group, divide_services
+from walkcart.fanout.groups import MIN_GROUP, Group, divide_services
 from walkcart.fanout.lateparts import LateParts
 from walkcart.fanout.mergedanswer import MergedAnswer, MissingPart
 from walkcart.fanout.repeatloans import submit_with_loan
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedsends import RoutedSends
 from walkcart.fanout.routedtools import RoutedTools
-from walkcart.fanout.servicetry import ServiceTry
-from walkcart.routing.distance import Place
+from walkcart.fanout.serviceprogress import ServiceProgress
+from walkcart.routing.distance import Location
 from walkcart.wire.verdicts import Reason
 
 #: Times that a group of one question is given to another instance after one didn't take
@@ -30,7 +30,7 @@
 MOST_DETOURS = 12
 
 
-class GatheredElsewhere:
+class RemoteParts:
     """Has other instances gather parts of one question, and takes what they send.
 
     Args:
@@ -49,7 +49,7 @@
         question: RoutedQuestion,
         top: int,
         sends: RoutedSends,
-        tries: Mapping[str, ServiceTry],
+        tries: Mapping[str, ServiceProgress],
         watch: CrashWatch,
         wake: Callable[[], None],
     ) -> None:
@@ -155,7 +155,7 @@
         for name in group.services:
             self._end_waiting(self._tries[name])
 
-    def _end_waiting(self, item: ServiceTry) -> None:
+    def _end_waiting(self, item: ServiceProgress) -> None:
         """Ask once more for a part that another instance waited for in vain."""
         was_awaited, item.awaited = item.awaited, False
         if not was_awaited or item.open or item.covered or self._late is None:
@@ -164,7 +164,7 @@
             return
         item.left = self._sends.take_repeat(item, self._tools.clock.monotonic())
 
-    def _take_part(self, item: ServiceTry, part: MergedAnswer) -> None:
+    def _take_part(self, item: ServiceProgress, part: MergedAnswer) -> None:
         """Take a part that came after the other instance had handed over."""
         self._watch.note_answer()
         if item.covered:
@@ -209,7 +209,7 @@
             self._watch.note_refused()
 
     def _ask_missing(
-        self, group: DelegatedGroup, missing: list[ServiceTry], now: float
+        self, group: DelegatedGroup, missing: list[ServiceProgress], now: float
     ) -> None:
         """Ask for what an instance didn't gather: of another one, or from here."""
         waiting = [item for item in missing if not (item.left or item.awaited)]
@@ -227,16 +227,16 @@
         for item in others:
             self._sends.plan(item, now)
 
-    def _may_ask_another(self, waiting: list[ServiceTry], now: float) -> bool:
+    def _may_ask_another(self, waiting: list[ServiceProgress], now: float) -> bool:
         """Return whether what an instance didn't take may go to another one."""
-        few = len(waiting) < LEAST_GROUP
+        few = len(waiting) < MIN_GROUP
         if few or self._detours >= MOST_DETOURS or now >= self._question.deadline:
             return False
         return all(item.may_run < self._question.most_attempts for item in waiting)
 
     def _ask_another(
-        self, group: DelegatedGroup, waiting: list[ServiceTry], now: float
-    ) -> list[ServiceTry]:
+        self, group: DelegatedGroup, waiting: list[ServiceProgress], now: float
+    ) -> list[ServiceProgress]:
         """Have another instance gather what one didn't take; return what none does.
 
         Asked from here, 24 parts keep a machine of half a core busy for 30 ms, and
@@ -260,7 +260,9 @@
             left |= self._hand_on(question, other, items, group, late, now)
         return list(left.values())
 
-    def _regroup(self, group: DelegatedGroup, waiting: list[ServiceTry]) -> list[Group]:
+    def _regroup(
+        self, group: DelegatedGroup, waiting: list[ServiceProgress]
+    ) -> list[Group]:
         """Return where what an instance didn't take is gathered now.
 
         What never left goes to the same place. What may have arrived has one attempt
@@ -270,7 +272,7 @@
         if not group.may_have_arrived:
             return [Group(services, group.place)]
 
-        def find_places(service: str) -> frozenset[Place]:
+        def find_places(service: str) -> frozenset[Location]:
             places = self._tools.pool.places_of(service)
             return (places - {group.place, self._tools.place}) or places
 
@@ -281,11 +283,11 @@
         self,
         question: RoutedQuestion,
         other: Group,
-        items: list[ServiceTry],
+        items: list[ServiceProgress],
         group: DelegatedGroup,
         late: bool,
         now: float,
-    ) -> dict[str, ServiceTry]:
+    ) -> dict[str, ServiceProgress]:
         """Have an instance gather a part of a lost group; return what it doesn't."""
         delegates = self._tools.delegates
         lost = frozenset(self._lost)
@@ -310,7 +312,7 @@
         self._note_asked(asked)
         return {}
 
-    def _take_gathered(self, item: ServiceTry) -> None:
+    def _take_gathered(self, item: ServiceProgress) -> None:
         """Take a part that another instance gathered; one of this instance gives way.
 
         The merged records can't be told apart any more, so that one can't.
--- a/walkcart/fanout/repeatloans.py
+++ b/walkcart/fanout/repeatloans.py
@@ -68,7 +68,7 @@
 ) -> DelegatedGroup | None:
     """Have another instance gather some services, and lend it repeats for them.
 
-    See `walkcart.fanout.delegates.Delegates.submit` for the arguments.
+    See `walkcart.fanout.delegationclient.DelegationClient.submit` for the arguments.
     """
     assert tools.delegates is not None
     now, instances = tools.clock.monotonic(), tools.instances()
--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -27,15 +27,15 @@
 from walkcart.fanout.crashwatch import CrashWatch
 from walkcart.fanout.dependence import is_vital, may_send_second_attempts
 from walkcart.fanout.duetimes import DueTimes
-from walkcart.fanout.elsewhere import GatheredElsewhere
-from walkcart.fanout.handing import Handing
 from walkcart.fanout.lateparts import plan_settling
 from walkcart.fanout.lateturns import find_late_turn
+from walkcart.fanout.merginghandover import MergingHandover
+from walkcart.fanout.remoteparts import RemoteParts
 from walkcart.fanout.routedquestion import RoutedAnswer, RoutedFailure, RoutedQuestion
 from walkcart.fanout.routedsends import RoutedSends
 from walkcart.fanout.routedtools import RoutedTools
 from walkcart.fanout.routedverdict import covers, judge, make_answer, make_failure
-from walkcart.fanout.servicetry import ServiceTry
+from walkcart.fanout.serviceprogress import ServiceProgress
 from walkcart.leaves.attempts import Attempt, Failed, Outcome, Refused, Replied
 from walkcart.routing.hedging import may_hedge
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
@@ -54,7 +54,7 @@
         question: what to ask.
         top: records of a merged answer at the most; 0 where nothing is merged, and
             then nothing is delegated.
-        handing: hands over to another instance what is in before the late parts.
+        handover: hands over to another instance what is in before the late parts.
         watch: counts the leafs that end under it; None for one that nobody reads.
     """
 
@@ -63,7 +63,7 @@
         tools: RoutedTools,
         question: RoutedQuestion,
         top: int = 0,
-        handing: Handing | None = None,
+        handover: MergingHandover | None = None,
         watch: CrashWatch | None = None,
     ) -> None:
         pool = tools.pool.limit_to(question.kind, question.regions, question.grant)
@@ -72,13 +72,13 @@
         self._tools = tools
         self._question = question
         self._top = top
-        self._tries = {name: ServiceTry(name) for name in question.services}
+        self._tries = {name: ServiceProgress(name) for name in question.services}
         self._watch = watch or CrashWatch(len(question.services), question.careful)
         self._sends = RoutedSends(
             tools, question, self._receive, self._is_vital, self._watch
         )
         self._due = DueTimes(question, self._sends, self._watch, tools.clock)
-        self._elsewhere = GatheredElsewhere(
+        self._elsewhere = RemoteParts(
             tools,
             question,
             top,
@@ -87,15 +87,15 @@
             self._watch,
             wake=lambda: self._wakeup.set(),
         )
-        self._handing = handing
+        self._handing = handover
         self._handed = False
         self._inbox: deque[tuple[Attempt, Outcome]] = deque()
         self._wakeup = trio.Event()
         self._closed = False
         self._covered = 0
         self._last_call = self._sends.find_last_call()
-        if handing is not None:
-            handing.handover.on_confirmed(self._allow_repeats)
+        if handover is not None:
+            handover.handover.on_confirmed(self._allow_repeats)
 
     async def run(self) -> Result[RoutedAnswer, RoutedFailure]:
         """Ask the services until the answer is whole, or must do as it is."""
@@ -138,18 +138,18 @@
                 served += 1
             else:
                 item.reason = Reason.NO_LEAF
-                wait = self._tools.pool.find_room(item.service)
+                wait = self._tools.pool.find_retry_after(item.service)
                 item.refusal = NotRun(Reason.NO_LEAF, "no leaf has room", wait)
         return covers(self._question, served)
 
-    def _may_be_served(self, item: ServiceTry) -> bool:
+    def _may_be_served(self, item: ServiceProgress) -> bool:
         """Return whether a service has leafs that may get the question now.
 
         Cold ones without room here may have some at the instances that gather.
         """
         if self._top:
             return bool(self._tools.pool.leaves_of(item.service))
-        return bool(self._tools.pool.leaves_with_room(item.service))
+        return bool(self._tools.pool.available_leaves(item.service))
 
     def _start(self, now: float) -> None:
         """Send the first attempts, and delegate what is far."""
@@ -160,7 +160,7 @@
         for item in self._tries.values():
             if item.service not in far:
                 if not self._question.granted:
-                    self._tools.budget.note_request(item.service, now)
+                    self._tools.budget.record_request(item.service, now)
                 self._sends.try_next(item, now)
         if self._top:
             spent = self._tools.clock.monotonic() - now
@@ -172,7 +172,7 @@
         They are sent from here then: such questions are few.
         """
         for item in self._tries.values():
-            self._tools.budget.note_request(item.service, now)
+            self._tools.budget.record_request(item.service, now)
             item.next_at = now
 
     def _is_done(self) -> bool:
@@ -192,7 +192,7 @@
         objective = self._question.objective_at
         return now >= objective and covers(self._question, self._covered)
 
-    def _is_vital(self, item: ServiceTry) -> bool:
+    def _is_vital(self, item: ServiceProgress) -> bool:
         """Return whether there is no answer in time without a service's part."""
         early = self._tools.clock.monotonic() < self._last_call
         return is_vital(self._question, self._tries.values(), item, early)
@@ -291,7 +291,9 @@
             self._take_outcome(item, attempt.leaf_id, outcome)
         self._covered += self._elsewhere.take_in()
 
-    def _take_outcome(self, item: ServiceTry, leaf_id: str, outcome: Outcome) -> None:
+    def _take_outcome(
+        self, item: ServiceProgress, leaf_id: str, outcome: Outcome
+    ) -> None:
         now = self._tools.clock.monotonic()
         match outcome:
             case Replied(status=status) if (
@@ -327,7 +329,7 @@
                 item.reason = verdict.reason
         self._sends.plan(item, now)
 
-    def _watch_reply(self, item: ServiceTry, status: int) -> None:
+    def _watch_reply(self, item: ServiceProgress, status: int) -> None:
         """Note that a leaf replied; only a success shows that it ran the question.
 
         One that fails part of what it gets may do so before it begins.
@@ -337,7 +339,7 @@
         else:
             self._watch.note_failed(item.service)
 
-    def _accept(self, item: ServiceTry, reply: Replied) -> None:
+    def _accept(self, item: ServiceProgress, reply: Replied) -> None:
         if item.covered:
             self._tools.metrics.count("leaf.late")
             return
@@ -377,7 +379,7 @@
             return False
         return now >= self._question.settle_at
 
-    def _try_next(self, item: ServiceTry, now: float) -> None:
+    def _try_next(self, item: ServiceProgress, now: float) -> None:
         before = self._sends.sent
         self._sends.try_next(item, now)
         if self._sends.sent > before:
--- a/walkcart/fanout/routedquestion.py
+++ b/walkcart/fanout/routedquestion.py
@@ -8,7 +8,7 @@
 from walkcart.fanout.mergedanswer import MergedAnswer, MissingPart
 from walkcart.intent.teams import Grant
 from walkcart.leaves.attempts import Replied
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 from walkcart.wire.http import HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun
 
@@ -28,7 +28,7 @@
         least_coverage: share of the services that an answer must cover.
         idempotent: whether it may run more than once at a service.
         most_attempts: leafs that may run it, for each service.
-        whole_parts: whether only successes count, as over many shards.
+        success_only: whether only successes count, as over many shards.
         first_only: whether no service gets an attempt beside, or after, one that may
             have run, until whoever asked is known to leave the others to this instance.
         settle_at: when late parts are asked for in another region, all together; on
@@ -55,14 +55,14 @@
     least_coverage: float = 1.0
     idempotent: bool = True
     most_attempts: int = 1
-    whole_parts: bool = False
+    success_only: bool = False
     first_only: bool = False
     settle_at: float = float("inf")
     granted: bool = False
     traceparent: str | None = None
     fingerprint: bytes = b""
     careful: bool = False
-    regions: Regions = ANYWHERE
+    regions: Regions = ALL_REGIONS
     team: str = ""
     rank: int = 0
     grant: Grant | None = None
--- a/walkcart/fanout/routedsends.py
+++ b/walkcart/fanout/routedsends.py
@@ -9,15 +9,15 @@
 from walkcart.fanout.leafchoice import LeafChoice
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedtools import RoutedTools
-from walkcart.fanout.servicetry import Sent, ServiceTry
+from walkcart.fanout.serviceprogress import Sent, ServiceProgress
 from walkcart.leaves.attempts import Attempt, Deliver
 from walkcart.leaves.leaf import Leaf
 from walkcart.routing.distance import Distance
-from walkcart.routing.kindtimes import (
+from walkcart.routing.requesttimes import (
     HEDGE_RESERVE,
     find_hedge_time,
     find_last_hedge_time,
-    find_second_look,
+    find_recheck_time,
 )
 from walkcart.wire.verdicts import Reason
 
@@ -48,7 +48,7 @@
         tools: RoutedTools,
         question: RoutedQuestion,
         deliver: Deliver,
-        is_vital: Callable[[ServiceTry], bool],
+        is_vital: Callable[[ServiceProgress], bool],
         watch: CrashWatch,
     ) -> None:
         self._tools = tools
@@ -56,11 +56,11 @@
         self._deliver = deliver
         self._is_vital = is_vital
         self._watch = watch
-        self._attempts: dict[str, ServiceTry] = {}
+        self._attempts: dict[str, ServiceProgress] = {}
         time = min(question.objective_at, question.deadline) - tools.clock.monotonic()
         self._choice = LeafChoice(tools, question, max(0.0, time))
         #: When second attempts that were put off are considered again, in seconds.
-        self._second_look = find_second_look(
+        self._second_look = find_recheck_time(
             tools.clock.monotonic(), question.objective_at, question.deadline
         )
         #: Whether attempts at leafs in other regions are left to be sent together.
@@ -73,17 +73,17 @@
         """Make attempts beside, or after, those that may have run, from now on."""
         self._may_repeat = True
 
-    def find(self, attempt: Attempt) -> ServiceTry:
+    def find(self, attempt: Attempt) -> ServiceProgress:
         """Return the service that an attempt was sent to."""
         return self._attempts[attempt.id]
 
-    def try_next(self, item: ServiceTry, now: float) -> None:
+    def try_next(self, item: ServiceProgress, now: float) -> None:
         """Send the next attempt, to a leaf that wasn't tried if there is one."""
         item.next_at = None
         leaf = self._choice.choose(item, now)
         if leaf is None:
             item.reason = Reason.NO_LEAF
-            if not self._question.whole_parts:
+            if not self._question.success_only:
                 self.plan(item, now)
             return
         if item.arrived and not self.take_repeat(item, now):
@@ -94,7 +94,7 @@
             return
         self._send(item, leaf, now)
 
-    def send_elsewhere(self, item: ServiceTry, now: float) -> None:
+    def send_elsewhere(self, item: ServiceProgress, now: float) -> None:
         """Send an attempt that the budget holds, to a leaf in a place not asked yet."""
         leaf = self._choice.choose_elsewhere(item, now)
         if leaf is None:
@@ -111,7 +111,7 @@
         )
         return self._question.objective_at - times.high(now) - HEDGE_RESERVE
 
-    def send_left(self, tries: Iterable[ServiceTry], now: float) -> None:
+    def send_left(self, tries: Iterable[ServiceProgress], now: float) -> None:
         """Send each attempt by itself from now on, also those that were left."""
         self._leaves_far = False
         for item in tries:
@@ -119,7 +119,7 @@
                 item.left = False
                 self.send_elsewhere(item, now)
 
-    def plan(self, item: ServiceTry, now: float) -> None:
+    def plan(self, item: ServiceProgress, now: float) -> None:
         """Decide whether and when a service is tried again after a failure."""
         if item.covered or item.under_way or item.delegated:
             return
@@ -131,13 +131,13 @@
         ready = ready or bool(self._choice.find_askable(item))
         item.next_at = now if ready else now + RETRY_DELAY
 
-    def due_at(self, item: ServiceTry) -> float:
+    def due_at(self, item: ServiceProgress) -> float:
         """Return when the next planned attempt is due; infinite when none may be."""
         if item.next_at is None or (item.ran and not self._may_repeat):
             return float("inf")
         return item.next_at
 
-    def hedge_at(self, item: ServiceTry) -> float:
+    def hedge_at(self, item: ServiceProgress) -> float:
         """Return when a second attempt is due beside, or instead of, the first."""
         if len(item.under_way) != 1 or not self._may_repeat:
             return float("inf")
@@ -145,7 +145,7 @@
             return float("inf")
         return next(iter(item.under_way.values())).hedge_at
 
-    def hedge(self, item: ServiceTry, now: float) -> None:
+    def hedge(self, item: ServiceProgress, now: float) -> None:
         """Send a second attempt beside the one that is late, or instead of it.
 
         One that still waits for a connection is taken back, which costs nothing, and
@@ -165,7 +165,7 @@
             item.given_up = True
             return
         for sent in item.under_way.values():
-            pool.note_waiting(sent.leaf, kind, now - sent.at)
+            pool.record_waiting(sent.leaf, kind, now - sent.at)
         self._tools.metrics.count("leaf.hedged")
         self._send(item, leaf, now)
 
@@ -173,7 +173,7 @@
         """Return whether a reply that is missing now is likely lost, not just late."""
         return now >= self._second_look
 
-    def put_off(self, item: ServiceTry, now: float) -> None:
+    def put_off(self, item: ServiceProgress, now: float) -> None:
         """Put a second attempt off to the second look: too many are late for it now."""
         if self.is_long_late(now):
             item.given_up = True
@@ -181,7 +181,7 @@
         for id, sent in item.under_way.items():
             item.under_way[id] = replace(sent, hedge_at=self._second_look)
 
-    def _withdraw(self, item: ServiceTry) -> bool:
+    def _withdraw(self, item: ServiceProgress) -> bool:
         """Take back an attempt that waits inside this instance, for another leaf.
 
         Where all leafs had one it keeps its place in the order.
@@ -198,27 +198,27 @@
             return pool.withdraw(sent.leaf, id)
         return False
 
-    def _postpone(self, item: ServiceTry, leaf: Leaf, now: float) -> bool:
+    def _postpone(self, item: ServiceProgress, leaf: Leaf, now: float) -> bool:
         """Put a second attempt off while its leaf is busy; return whether it was."""
-        busy = leaf.outstanding + leaf.stated_load(now) >= leaf.slots
+        busy = leaf.outstanding + leaf.reported_load(now) >= leaf.slots
         for id, sent in item.under_way.items():
             if busy and now < sent.last_hedge_at:
                 item.under_way[id] = replace(sent, hedge_at=sent.last_hedge_at)
                 return True
         return False
 
-    def cancel(self, item: ServiceTry) -> None:
+    def cancel(self, item: ServiceProgress) -> None:
         """Cancel what is under way at a service."""
         now = self._tools.clock.monotonic()
         for id, sent in list(item.under_way.items()):
             self._tools.pool.cancel(sent.leaf, id, self._question.kind, now - sent.at)
 
-    def _may_try(self, item: ServiceTry, now: float) -> bool:
+    def _may_try(self, item: ServiceProgress, now: float) -> bool:
         if item.ran and not self._question.idempotent:
             return False
         if not (self._choice.may_add(item) or self._choice.find_askable(item)):
             return False
-        if not self._tools.pool.is_open:
+        if not self._tools.pool.may_send:
             return False
         return len(item.tried) < MOST_TRIES and self._has_time(now)
 
@@ -235,7 +235,7 @@
         return self._leaves_far and far
 
     def take_repeat(
-        self, item: ServiceTry, now: float, vital: bool | None = None
+        self, item: ServiceProgress, now: float, vital: bool | None = None
     ) -> bool:
         """Take a repeat from the budget; return False when none is left.
 
@@ -250,7 +250,7 @@
         if vital is None:
             vital = self._is_vital(item)
         instances = self._tools.instances()
-        if (vital and self._take_lent(item)) or self._tools.budget.take(
+        if (vital and self._take_lent(item)) or self._tools.budget.try_spend(
             item.service, now, instances, vital
         ):
             self.repeats += 1
@@ -260,7 +260,7 @@
         item.held_back = not vital
         return False
 
-    def _take_lent(self, item: ServiceTry) -> bool:
+    def _take_lent(self, item: ServiceProgress) -> bool:
         """Take a repeat that who asked lends; only once its word has come."""
         lent = self._question.lent
         if not self._may_repeat or lent is None or not lent.take(item.service):
@@ -292,19 +292,19 @@
             find_last_hedge_time(now, objective, late, other),
         )
 
-    def _send(self, item: ServiceTry, leaf: Leaf, now: float) -> None:
+    def _send(self, item: ServiceProgress, leaf: Leaf, now: float) -> None:
         question = self._question
         attempt = Attempt(
-            id=self._tools.ids.take(),
+            id=self._tools.ids.next_id(),
             shard=0,
             deadline=question.deadline,
-            routed=question.request,
+            caller_request=question.request,
             leaf_id=leaf.id,
             idempotent=question.idempotent,
-            whole_part=question.whole_parts,
+            success_only=question.success_only,
             traceparent=question.traceparent,
             fingerprint=question.fingerprint,
-            wary=self._watch.is_wary,
+            check_alive=self._watch.is_wary,
             kind=question.kind,
             regions=question.regions,
             grant=question.grant,
--- a/walkcart/fanout/routedtools.py
+++ b/walkcart/fanout/routedtools.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from walkcart.fanout.delegates import Delegates
+from walkcart.fanout.delegationclient import DelegationClient
 from walkcart.fanout.ids import IdSource
 from walkcart.fanout.quarantines import Quarantines
 from walkcart.kernel.clock import Clock
@@ -14,8 +14,8 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.leaves.pool import LeafPool
 from walkcart.leaves.scopedpool import ScopedPool
-from walkcart.routing.distance import Place
-from walkcart.routing.overshoot import Overshoot
+from walkcart.routing.distance import Location
+from walkcart.routing.instancedelay import InstanceDelay
 from walkcart.routing.repeats import RepeatBudget
 
 
@@ -46,8 +46,8 @@
     clock: Clock
     metrics: Metrics
     events: EventLog
-    place: Place
+    place: Location
     random: Random
     quarantines: Quarantines
-    delegates: Delegates | None = None
-    send_time: Overshoot = field(default_factory=Overshoot)
+    delegates: DelegationClient | None = None
+    send_time: InstanceDelay = field(default_factory=InstanceDelay)
--- a/walkcart/fanout/routedverdict.py
+++ b/walkcart/fanout/routedverdict.py
@@ -8,7 +8,7 @@
 
 from walkcart.fanout.mergedanswer import MergedAnswer, MissingPart
 from walkcart.fanout.routedquestion import RoutedAnswer, RoutedFailure, RoutedQuestion
-from walkcart.fanout.servicetry import ServiceTry
+from walkcart.fanout.serviceprogress import ServiceProgress
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: When to come back after nothing could be run, in the absence of a leaf's word.
@@ -27,7 +27,7 @@
 
 def judge(
     question: RoutedQuestion,
-    tries: tuple[ServiceTry, ...],
+    tries: tuple[ServiceProgress, ...],
     merged: tuple[MergedAnswer, ...],
     now: float,
     sent: int,
@@ -54,7 +54,7 @@
 
 
 def make_answer(
-    tries: tuple[ServiceTry, ...],
+    tries: tuple[ServiceProgress, ...],
     merged: tuple[MergedAnswer, ...],
     sent: int,
     repeats: int,
@@ -76,7 +76,7 @@
 
 
 def make_failure(
-    tries: tuple[ServiceTry, ...],
+    tries: tuple[ServiceProgress, ...],
     late: bool,
     sent: int = 0,
     ends_leafs: bool = False,
@@ -103,7 +103,7 @@
 
 
 def _find_refusal(
-    tries: tuple[ServiceTry, ...], missing: tuple[MissingPart, ...]
+    tries: tuple[ServiceProgress, ...], missing: tuple[MissingPart, ...]
 ) -> Reason:
     """Return why nothing was run: what was refused weighs more than what followed."""
     refusals = (item.refusal.reason for item in tries if item.refusal is not None)
@@ -112,7 +112,7 @@
     return missing[0].reason if missing else Reason.COVERAGE
 
 
-def _missing(tries: tuple[ServiceTry, ...]) -> tuple[MissingPart, ...]:
+def _missing(tries: tuple[ServiceProgress, ...]) -> tuple[MissingPart, ...]:
     return tuple(
         MissingPart(item.service, item.why_missing, item.may_run, item.may_repeat)
         for item in tries
@@ -120,7 +120,7 @@
     )
 
 
-def _find_retry_time(tries: tuple[ServiceTry, ...]) -> timedelta:
+def _find_retry_time(tries: tuple[ServiceProgress, ...]) -> timedelta:
     """Return when to come back: the longest time that a leaf asked for."""
     asked = [
         item.refusal.retry_after
--- a/walkcart/fanout/selection.py
+++ b/walkcart/fanout/selection.py
@@ -30,8 +30,8 @@
             leaves = [leaf for leaf in leaves if not policy.excludes(leaf.labels)]
         if len(leaves) <= 1:
             return leaves[0] if leaves else None
-        usual = self._gateway.delay_of(question.group).median(now)
-        candidates = [describe_leaf(leaf, policy, usual, now) for leaf in leaves]
+        usual = self._gateway.hedge_delay_of(question.group).median(now)
+        candidates = [make_candidate(leaf, policy, usual, now) for leaf in leaves]
         key = (question.group, shard)
         chosen = self._chooser.choose(policy.replica_policy, key, candidates)
         if chosen is None:
@@ -39,13 +39,15 @@
         return next(leaf for leaf in leaves if leaf.address == chosen.key)
 
 
-def describe_leaf(leaf: Leaf, policy: Policy, usual: float, now: float) -> Candidate:
+def make_candidate(
+    leaf: Leaf, policy: Policy, median_latency: float, now: float
+) -> Candidate:
     """Return a leaf as its choice sees it."""
     return Candidate(
         key=leaf.address,
         outstanding=leaf.outstanding,
-        stated=leaf.stated_load(now),
-        latency=leaf.latency.estimate(now, usual),
+        reported_load=leaf.reported_load(now),
+        latency=leaf.latency.estimate(now, median_latency),
         preferred=policy.prefers(leaf.labels),
         ejected=leaf.ejection.is_ejected(now),
         age=leaf.age(now),
--- a/walkcart/fanout/servicetry.py
+++ b/walkcart/fanout/serviceprogress.py
@@ -7,7 +7,7 @@
 from walkcart.fanout.mergedanswer import MergedAnswer
 from walkcart.leaves.attempts import Replied
 from walkcart.leaves.leaf import Leaf
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.wire.verdicts import NotRun, Reason
 
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class ServiceTry:
+class ServiceProgress:
     """One service of one question.
 
     Args:
@@ -80,7 +80,7 @@
     held_back: bool = False
     reason: Reason = Reason.DEADLINE
     refusal: NotRun | None = None
-    places: set[Place] = field(default_factory=set)
+    places: set[Location] = field(default_factory=set)
     left: bool = False
     may_repeat: bool = False
     regrouped: bool = False
--- a/walkcart/fanout/single.py
+++ b/walkcart/fanout/singlesender.py
@@ -17,7 +17,7 @@
 from walkcart.fanout.questions import Question
 from walkcart.leaves.attempts import Attempt, Failed, Outcome, Refused, Replied
 from walkcart.leaves.leaf import ANY_VERSION, Leaf, Snapshot
-from walkcart.routing.quarantine import Standing
+from walkcart.routing.quarantine import QuarantineLevel
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: Seconds past the deadline after which a reply isn't waited for any longer.
@@ -60,12 +60,12 @@
         admitted = await self._tools.quarantines.admit(fingerprint)
         if isinstance(admitted, NotRun):
             return Failure(admitted)
-        careful = admitted is Standing.CAREFUL
+        careful = admitted is QuarantineLevel.CAREFUL
         watch = CrashWatch(1, careful)
         try:
             return await self._send(request, watch)
         finally:
-            self._tools.quarantines.note(fingerprint, watch, careful)
+            self._tools.quarantines.record(fingerprint, watch, careful)
 
     async def _send(
         self, request: OnceRequest, watch: CrashWatch
@@ -106,7 +106,7 @@
         assert pin.version == ANY_VERSION
         question = request.question
         attempt = Attempt(
-            id=self._tools.ids.take(),
+            id=self._tools.ids.next_id(),
             shard=shard,
             pin=pin,
             scope=question.scope,
--- a/walkcart/fanout/tests/test_dependence.py
+++ b/walkcart/fanout/tests/test_dependence.py
@@ -2,7 +2,7 @@
 
 from walkcart.fanout.dependence import is_vital, may_send_second_attempts
 from walkcart.fanout.routedquestion import RoutedQuestion
-from walkcart.fanout.servicetry import Sent, ServiceTry
+from walkcart.fanout.serviceprogress import Sent, ServiceProgress
 from walkcart.wire.http import HttpRequest
 
 NAMES = tuple("abcde")
@@ -15,7 +15,7 @@
 
 def make_tries(replied, waiting):
     """Return tries of which so many have replied and so many are under way."""
-    tries = [ServiceTry(name) for name in NAMES]
+    tries = [ServiceProgress(name) for name in NAMES]
     for item in tries[:replied]:
         item.gathered = True
     for item in tries[replied : replied + waiting]:
--- a/walkcart/fanout/tests/test_foreign_messages.py
+++ b/walkcart/fanout/tests/test_foreign_messages.py
@@ -16,7 +16,7 @@
 from returns.result import Success
 
 from walkcart.bench.harness import run_mocked
-from walkcart.fanout.carrying import HOLD_TIME, Carrier
+from walkcart.fanout.delegationserver import RENEWAL_TIMEOUT, DelegationServer
 from walkcart.fanout.mergedanswer import MergedAnswer
 from walkcart.fanout.origins import RequestOrigins
 from walkcart.intent.routekeeper import RouteKeeper
@@ -25,8 +25,8 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.kernel.settings import HostPort
 from walkcart.membership.links import PeerLinks
-from walkcart.membership.quarantinenews import QuarantineSpread
-from walkcart.routing.quarantine import MOST_ENTRIES, Quarantine
+from walkcart.membership.quarantinegossip import QuarantineGossip
+from walkcart.routing.quarantine import MAX_ENTRIES, Quarantine
 from walkcart.standins.memory import MemoryNetwork
 from walkcart.wire.codec import encode_envelope
 from walkcart.wire.delegations import (
@@ -94,13 +94,13 @@
         sent = []
         links.send = lambda name, message: sent.append((name, message)) or True
         quarantine = Quarantine()
-        QuarantineSpread(
+        QuarantineGossip(
             quarantine, links, clock, lambda: [], lambda: False, lambda item: None
         )
         gathering = Gathering()
         quarantines = SimpleNamespace(is_kept=lambda message, origins: False)
         origins = RequestOrigins(RouteKeeper(clock, events, metrics), b"team")
-        carrier = Carrier(
+        carrier = DelegationServer(
             links,
             clock,
             gathering.gather,
@@ -189,7 +189,7 @@
         carried.gathering.gather_time = 1
         carried.take("a", make_question("s"))
         for _ in range(4):
-            await trio.sleep(HOLD_TIME / 4)
+            await trio.sleep(RENEWAL_TIMEOUT / 4)
             carried.take("c", DelegatedRenewal("s"))
         return answers, carried.carrier.carrying
 
@@ -259,11 +259,11 @@
                 asked.setdefault((sender, message.id), target.encode())
             carried.take(sender, message)
             await trio.sleep(pause)
-        await trio.sleep(HOLD_TIME + WORK)
+        await trio.sleep(RENEWAL_TIMEOUT + WORK)
         for sender, id, body in carried.answers():
             assert body == asked[sender, id]
         assert carried.carrier.carrying == 0
-        assert len(carried.quarantine) <= MOST_ENTRIES
+        assert len(carried.quarantine) <= MAX_ENTRIES
 
     play(act)
 
--- a/walkcart/fanout/tests/test_hedging.py
+++ b/walkcart/fanout/tests/test_hedging.py
@@ -8,7 +8,7 @@
 
 def make_leaf(outstanding=0, stated=0):
     leaf = Leaf("127.0.0.1:1", {}, slots=2)
-    leaf.note_stated(0.0, stated)
+    leaf.record_load(0.0, stated)
     leaf.outstanding = outstanding
     return leaf
 
--- a/walkcart/fanout/tests/test_origins.py
+++ b/walkcart/fanout/tests/test_origins.py
@@ -123,9 +123,9 @@
         quarantine, clock, "one", Random(1), NO_EVENTS, Metrics(None, "one")
     )
     for strike in range(3):
-        quarantine.note_strike(question.fingerprint, strike, 10.0)
+        quarantine.record_strike(question.fingerprint, strike, 10.0)
     kept = [
-        quarantines.is_kept(encode_question(item, GROUP, 10.0), origins)
+        quarantines.is_restricted(encode_question(item, GROUP, 10.0), origins)
         for item in (question, other)
     ]
     assert kept == [True, False]
--- a/walkcart/fanout/tests/test_repeat_loans.py
+++ b/walkcart/fanout/tests/test_repeat_loans.py
@@ -6,7 +6,7 @@
 from walkcart.fanout.delegatedgroup import DelegatedGroup
 from walkcart.fanout.lentrepeats import decode_services, encode_services
 from walkcart.fanout.repeatloans import RepeatLoan
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.routing.repeats import RepeatBudget, RepeatLimits
 
 NAMES = ("a", "b", "c")
@@ -29,7 +29,7 @@
 
 
 def make_group(loan, taken, most_attempts=2):
-    place = Place("south", "south-a")
+    place = Location("south", "south-a")
     group = DelegatedGroup(
         NAMES, place, "k", most_attempts, "peer", 100.0, lambda: None, loan
     )
--- a/walkcart/fanout/tests/test_service_try.py
+++ b/walkcart/fanout/tests/test_service_try.py
@@ -5,7 +5,7 @@
 from walkcart.fanout.crashwatch import CrashWatch
 from walkcart.fanout.routedquestion import RoutedQuestion
 from walkcart.fanout.routedsends import RoutedSends
-from walkcart.fanout.servicetry import Sent, ServiceTry
+from walkcart.fanout.serviceprogress import Sent, ServiceProgress
 from walkcart.wire.http import HttpRequest
 
 
@@ -19,7 +19,7 @@
 
 
 def test_what_another_instance_was_asked_for_counts_beside_an_attempt_from_here():
-    item = ServiceTry("s")
+    item = ServiceProgress("s")
     item.under_way["a"] = Sent(None, 0.0, 1.0)
     assert make_sends().hedge_at(item) == 1.0
     item.delegated = True
@@ -31,7 +31,7 @@
 
 
 def test_a_leaf_that_gets_a_question_once_more_counts_once():
-    item = ServiceTry("s")
+    item = ServiceProgress("s")
     item.note_ran("leaf-1")
     item.under_way["a"] = Sent(None, 0.0, 1.0, again=True)
     assert item.may_run == 1
@@ -43,7 +43,7 @@
 
 
 def test_a_late_part_of_another_instance_covers_its_service():
-    item = ServiceTry("s", awaited=True)
+    item = ServiceProgress("s", awaited=True)
     assert item.open
     item.part = object()
     assert item.covered
--- a/walkcart/intent/routes.py
+++ b/walkcart/intent/routes.py
@@ -19,7 +19,7 @@
 from datetime import timedelta
 
 from walkcart.intent.teams import Grant, Team, TeamBook
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 
 #: Attempts at one leaf or shard where a route sets no bound.
 MOST_ATTEMPTS = 3
@@ -94,7 +94,7 @@
     objective: timedelta | None = None
     most_attempts: int = MOST_ATTEMPTS
     rank: int = 0
-    regions: Regions = ANYWHERE
+    regions: Regions = ALL_REGIONS
     public: bool = False
 
 
@@ -180,7 +180,7 @@
         """
         route = self._by_name.get(name)
         asker = self.teams.named(team) if team else None
-        regions = route.regions if route else ANYWHERE
+        regions = route.regions if route else ALL_REGIONS
         return regions.intersect(asker.regions) if asker else regions
 
     def rank_of(self, name: str, team: str = "") -> int:
--- a/walkcart/intent/teams.py
+++ b/walkcart/intent/teams.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 
 #: Bytes of a key's digest: two keys never share one by chance.
 DIGEST_SIZE = 16
@@ -58,7 +58,7 @@
     keys: frozenset[bytes] = field(default=frozenset(), repr=False)
     rank: int | None = None
     limit: RateLimit | None = None
-    regions: Regions = ANYWHERE
+    regions: Regions = ALL_REGIONS
 
 
 @dataclass(frozen=True, slots=True)
--- a/walkcart/kernel/tests/test_clock.py
+++ b/walkcart/kernel/tests/test_clock.py
@@ -61,7 +61,7 @@
     """The receiver was suspended for 5 s, with the envelope in its socket."""
     there = ClockReadings("there")
     boot, steady = ClockReadings("here"), ClockReadings("here")
-    there.note("here", Stamp("here", sent_at=100.0), now=50.0)
+    there.record_stamp("here", Stamp("here", sent_at=100.0), now=50.0)
     stamp = there.make_stamp("here", now=51.0)
     assert boot.find_age(stamp, now=106.0) >= 4.9
     # By a clock that stood still meanwhile the same envelope looks new.
--- a/walkcart/leaves/access.py
+++ b/walkcart/leaves/access.py
@@ -1,7 +1,7 @@
 """Which leaves a request may go to now: regions, grants, obstacles and cold limits.
 
 See Also:
-    `walkcart.routing.eligibility` and `walkcart.routing.coldleafs`, which make
+    `walkcart.routing.eligibility` and `walkcart.routing.coldleaves`, which make
     the decisions.
 """
 
@@ -13,8 +13,8 @@
 from walkcart.leaves.attempts import Attempt
 from walkcart.leaves.leaf import Leaf
 from walkcart.leaves.pooltools import PoolTools
-from walkcart.routing.distance import Place
-from walkcart.routing.eligibility import ANYWHERE, NOWHERE, Obstacle, Regions
+from walkcart.routing.distance import Location
+from walkcart.routing.eligibility import ALL_REGIONS, NO_REGIONS, Obstacle, Regions
 from walkcart.wire.verdicts import NotRun, Reason
 
 
@@ -43,18 +43,20 @@
             grant: grant that admitted it; None where that isn't checked.
         """
         if not self.is_grant_valid(kind, grant):
-            return NOWHERE
+            return NO_REGIONS
         table = self._tools.keeper.table
         return regions.intersect(table.regions_of(kind, grant.team if grant else ""))
 
-    def leaves_of(self, service: str, regions: Regions = ANYWHERE) -> tuple[Leaf, ...]:
+    def leaves_of(
+        self, service: str, regions: Regions = ALL_REGIONS
+    ) -> tuple[Leaf, ...]:
         """Return the leaves of a service in `regions` that may get new work."""
         leaves = self._tools.directory.leaves_of(service)
         if regions.names is None:
             return leaves
         return tuple(leaf for leaf in leaves if regions.allows(leaf.region))
 
-    def leaves_with_room(self, service: str, regions: Regions) -> list[Leaf]:
+    def available_leaves(self, service: str, regions: Regions) -> list[Leaf]:
         """Return the leaves of a service in `regions` that may get a request now.
 
         Cold leaves that have reached their limit are left out. A leaf that was cold
@@ -75,7 +77,9 @@
         ]
         return offered or leaves
 
-    def places_of(self, service: str, regions: Regions = ANYWHERE) -> frozenset[Place]:
+    def places_of(
+        self, service: str, regions: Regions = ALL_REGIONS
+    ) -> frozenset[Location]:
         """Return the places in `regions` with leaves of a service that may get work."""
         places = self._tools.directory.places_of(service)
         if regions.names is None:
@@ -103,7 +107,7 @@
         regions = self.current_regions(attempt.kind, attempt.regions, attempt.grant)
         return self._tools.directory.find_obstacle(leaf, regions)
 
-    def find_room(self, service: str, regions: Regions) -> timedelta | None:
+    def find_retry_after(self, service: str, regions: Regions) -> timedelta | None:
         """Return the time until a leaf of a service may get a request.
 
         None where leaves have no cold limits or the service has no leaves.
--- a/walkcart/leaves/attempts.py
+++ b/walkcart/leaves/attempts.py
@@ -8,7 +8,7 @@
 
 from walkcart.intent.teams import Grant
 from walkcart.leaves.leaf import UNPINNED, Snapshot
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 from walkcart.wire.http import Headers, HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
@@ -29,15 +29,15 @@
         expires: for a non-repeatable request, the time of day, in seconds since
             1970, after which the leaf must not begin it.
         traceparent: W3C trace context.
-        routed: the caller's request, which is passed to the leaf unchanged; None
+        caller_request: the caller's request, which is passed to the leaf unchanged; None
             for a question of the product's own interface.
         leaf_id: process of the leaf that the attempt is meant for; empty where
             leaves have no such ids.
         idempotent: whether a second run of the routed request does no harm.
-        whole_part: whether only a success is of use, as for a question over many
+        success_only: whether only a success is of use, as for a question over many
             shards.
         fingerprint: fingerprint of the question, the same whenever it is repeated.
-        wary: whether the leaf must be seen to be alive before the send, so that a
+        check_alive: whether the leaf must be seen to be alive before the send, so that a
             leaf that had ended before isn't counted as one that ended under the
             request.
         kind: name of the route that matched a routed request.
@@ -58,14 +58,14 @@
     once_key: str = ""
     expires: float = 0.0
     traceparent: str | None = None
-    routed: HttpRequest | None = None
+    caller_request: HttpRequest | None = None
     leaf_id: str = ""
     idempotent: bool = True
-    whole_part: bool = False
+    success_only: bool = False
     fingerprint: bytes = b""
-    wary: bool = False
+    check_alive: bool = False
     kind: str = ""
-    regions: Regions = ANYWHERE
+    regions: Regions = ALL_REGIONS
     grant: Grant | None = None
     rank: int = 0
     objective_at: float = float("inf")
--- a/walkcart/leaves/coldroom.py
+++ b/walkcart/leaves/coldlimiter.py
@@ -4,7 +4,7 @@
 rate of requests. The instances share this rate.
 
 See Also:
-    `walkcart.routing.coldleafs`, which makes the decisions.
+    `walkcart.routing.coldleaves`, which makes the decisions.
     `walkcart.membership.coldshares`, which assigns the shares of the rate.
 """
 
@@ -17,19 +17,19 @@
 from walkcart.kernel.clock import Clock
 from walkcart.leaves.directory import LeafDirectory
 from walkcart.leaves.leaf import Leaf
-from walkcart.routing.coldleafs import (
+from walkcart.routing.coldleaves import (
     ColdBound,
+    ColdShare,
     SendLog,
-    Share,
     find_offered_share,
 )
 
 #: Returns this instance's present share of the rates that the cold leaves of a data
 #: centre can serve; None when it holds none.
-FindShare = Callable[[str], Share | None]
+FindShare = Callable[[str], ColdShare | None]
 
 
-class ColdRoom:
+class ColdLimiter:
     """Keeps requests to cold leaves within this instance's share of their limits.
 
     Args:
@@ -53,7 +53,7 @@
         self._logs: dict[str, SendLog] = {}
         self._find_share: FindShare = lambda data_centre: None
 
-    def follow(self, find_share: FindShare) -> None:
+    def set_share_source(self, find_share: FindShare) -> None:
         """Use `find_share` to find this instance's shares."""
         self._find_share = find_share
 
@@ -67,7 +67,8 @@
         if share is None:
             return until_warm
         return min(
-            until_warm, self._send_log_of(leaf).wait(now, share.of(max_requests))
+            until_warm,
+            self._send_log_of(leaf).wait(now, share.find_limit(max_requests)),
         )
 
     def try_acquire(self, leaf: Leaf, now: float) -> bool:
@@ -77,8 +78,8 @@
             self._logs.pop(leaf.id, None)
             return True
         share = self._find_share(leaf.data_centre)
-        return share is not None and self._send_log_of(leaf).take(
-            now, share.of(max_requests)
+        return share is not None and self._send_log_of(leaf).try_send(
+            now, share.find_limit(max_requests)
         )
 
     def find_offered_share(self, leaf: Leaf, now: float) -> float:
@@ -87,12 +88,12 @@
             # It never was cold, or it still is and the limit applies.
             return 1.0
         spec = self._spec_of(leaf)
-        if spec is None or self._bound.most(spec.cold_rate) is None:
+        if spec is None or self._bound.max_requests(spec.cold_rate) is None:
             return 1.0
         cold_time = spec.cold_time.total_seconds()
         return find_offered_share(now, leaf.cold_until, cold_time)
 
-    def note_returned(self, data_centres: frozenset[str]) -> None:
+    def mark_cold(self, data_centres: frozenset[str]) -> None:
         """Treat the leaves of data centres that return from evacuation as cold."""
         now = self._clock.monotonic()
         for leaf in self._directory.leaves():
@@ -131,7 +132,7 @@
         if now >= leaf.cold_until:
             return None
         spec = self._spec_of(leaf)
-        return None if spec is None else self._bound.most(spec.cold_rate)
+        return None if spec is None else self._bound.max_requests(spec.cold_rate)
 
     def _spec_of(self, leaf: Leaf) -> ServiceSpec | None:
         return self._keeper.table.services.get(leaf.labels["service"])
--- a/walkcart/leaves/directory.py
+++ b/walkcart/leaves/directory.py
@@ -19,10 +19,10 @@
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.leaves.leaf import Leaf
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.routing.eligibility import (
     NO_DATA_CENTRES,
-    LeafStanding,
+    LeafState,
     Obstacle,
     Regions,
     find_obstacle,
@@ -87,7 +87,7 @@
         self._entries: dict[str, LeafEntry] = {}
         self._leaves: dict[str, Leaf] = {}
         self._by_service: dict[str, tuple[Leaf, ...]] = {}
-        self._places: dict[str, frozenset[Place]] = {}
+        self._places: dict[str, frozenset[Location]] = {}
         self._lapsed: dict[str, float] = {}
         self._replaced: dict[tuple[str, int, str], None] = {}
         self._evacuated = NO_DATA_CENTRES
@@ -102,7 +102,7 @@
         """Return the leaves of a service that may get new work."""
         return self._by_service.get(service, ())
 
-    def places_of(self, service: str) -> frozenset[Place]:
+    def places_of(self, service: str) -> frozenset[Location]:
         """Return the places where a service has leaves that may get new work."""
         return self._places.get(service, frozenset())
 
@@ -130,11 +130,11 @@
             return Obstacle.GONE
         return find_obstacle(self._describe(entry), regions, self._evacuated)
 
-    def _describe(self, entry: LeafEntry) -> LeafStanding:
+    def _describe(self, entry: LeafEntry) -> LeafState:
         replaced = entry.life in self._replaced
-        return LeafStanding(entry.region, entry.data_centre, entry.leaving, replaced)
+        return LeafState(entry.region, entry.data_centre, entry.leaving, replaced)
 
-    def forget(self, leaf: Leaf) -> None:
+    def mark_replaced(self, leaf: Leaf) -> None:
         """Record that another leaf now answers at the address of this one."""
         entry = self._entries.get(leaf.id)
         if entry is None or self._leaves.get(leaf.id) is not leaf:
--- a/walkcart/leaves/exchange.py
+++ b/walkcart/leaves/exchange.py
@@ -154,7 +154,7 @@
                     return False, await self._classify_failure(error, attempt)
                 elapsed = tools.clock.monotonic() - start
                 found = dict(reply.headers)
-                if not tools.protocol.is_ours(attempt, found):
+                if not tools.protocol.is_reply_to(attempt, found):
                     tools.events.emit(
                         Events.LEAF_WRONG_ATTEMPT, leaf=self._leaf.address
                     )
@@ -162,7 +162,7 @@
                     return False, Failed(MayHaveRun(Reason.LEAF_FAILED, detail))
                 self._record_reply(found)
                 outcome = tools.protocol.read_outcome(attempt, reply, found, elapsed)
-                return connection.renew(), outcome
+                return connection.prepare_next(), outcome
         if pending.abandoned:
             return False, Failed(MayHaveRun(Reason.CANCELLED))
         return False, timed_out
@@ -172,17 +172,17 @@
     ) -> HttpReply:
         protocol = self._tools.protocol
         request = protocol.encode(attempt, remaining)
-        if not protocol.reads_over_strays:
+        if not protocol.skips_stray_replies:
             return await connection.exchange(request)
         return await connection.exchange(
-            request, lambda reply: protocol.is_ours(attempt, dict(reply.headers))
+            request, lambda reply: protocol.is_reply_to(attempt, dict(reply.headers))
         )
 
     def _record_reply(self, found: Mapping[bytes, bytes]) -> None:
         """Record what the leaf states about itself in the headers of a reply."""
         protocol = self._tools.protocol
         self._tools.on_status(self._leaf, protocol.read_status(found))
-        idle_timeout = protocol.read_idle_time(found)
+        idle_timeout = protocol.read_idle_timeout(found)
         if idle_timeout is not None:
             self.idle_timeout = min(idle_timeout, IDLE_TIMEOUT.total_seconds())
 
--- a/walkcart/leaves/forwarding.py
+++ b/walkcart/leaves/forwarding.py
@@ -99,7 +99,7 @@
         self._asks: dict[str, list[ForwardedAttempt]] = {}
         self._replies: dict[str, list[ForwardedOutcome]] = {}
         self._wakeup = trio.Event()
-        links.on_work(ForwardAsk, self._on_ask)
+        links.on_with_age(ForwardAsk, self._on_ask)
         links.on(ForwardReply, self._on_reply)
         links.on(ForwardCancel, self._on_cancel)
         view.on_change(self._on_member_change)
@@ -122,7 +122,7 @@
         self._find_leaf = find_leaf
 
     @property
-    def carrying(self) -> int:
+    def active_count(self) -> int:
         """Number of attempts of other instances that are in progress here."""
         return len(self._accepted)
 
--- a/walkcart/leaves/gateway.py
+++ b/walkcart/leaves/gateway.py
@@ -24,7 +24,7 @@
 from walkcart.membership.view import MembershipView
 from walkcart.routing.ejection import may_eject
 from walkcart.routing.hedging import HedgeDelay
-from walkcart.routing.holders import HeldLeaf, HolderTable
+from walkcart.routing.holders import HolderTable, SharedLeaf
 from walkcart.routing.shares import ConnectionShares
 from walkcart.wire.network import Network
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
@@ -73,7 +73,7 @@
         self._events = events
         self._metrics = metrics
         self._tools = LinkTools(
-            network, clock, events, metrics, tracer, self.note_status
+            network, clock, events, metrics, tracer, self.record_status
         )
         self._links: dict[str, LeafLink] = {}
         self._caps: dict[str, int] = {}
@@ -88,7 +88,7 @@
         self._nursery: trio.Nursery | None = None
         forwarder.set_local_access(self._submit_here, self._cancel_here, table.find)
 
-    def delay_of(self, group: str) -> HedgeDelay:
+    def hedge_delay_of(self, group: str) -> HedgeDelay:
         """Return the hedge delay of a shard group, from its observed latencies."""
         return self._delays.setdefault(group, HedgeDelay())
 
@@ -135,16 +135,16 @@
         """Return whether `leaf` may get new work."""
         return not self._marks.is_leaving(leaf.address)
 
-    def note_status(self, leaf: Leaf, status: LeafStatus) -> None:
+    def record_status(self, leaf: Leaf, status: LeafStatus) -> None:
         """Record what a leaf stated about itself."""
         if status.incarnation:
             leaf.update_incarnation(status.incarnation)
         if status.leaving:
-            self._marks.note_leaving(leaf.address, status.incarnation)
+            self._marks.record_leaving(leaf.address, status.incarnation)
         elif status.incarnation:
-            self._marks.note_live(leaf.address, status.incarnation)
+            self._marks.record_live(leaf.address, status.incarnation)
         if status.load is not None:
-            leaf.note_stated(self._clock.monotonic(), status.load)
+            leaf.record_load(self._clock.monotonic(), status.load)
         if status.held is not None and status.held != leaf.held:
             leaf.held = status.held
             self._table.version += 1
@@ -168,7 +168,7 @@
     def _apply_groups(self) -> None:
         """Set the leaves of all groups; close the links to leaves that are gone."""
         held = {
-            leaf.address: HeldLeaf(
+            leaf.address: SharedLeaf(
                 leaf.address,
                 leaf.region,
                 ConnectionShares(resolved.group.connections),
@@ -226,7 +226,9 @@
         holders = self._holders.holders(address)
         shares = ConnectionShares(self._caps[address])
         holds = self._view.own.name in holders
-        self._apply_share(leaf, shares.share_of(len(holders)) if holds else 0)
+        self._apply_share(
+            leaf, shares.connections_per_holder(len(holders)) if holds else 0
+        )
 
     def _apply_share(self, leaf: Leaf, wanted: int) -> None:
         """Shrink a share at once, but let it grow only after `SETTLE_TIME`."""
@@ -305,10 +307,10 @@
                 self._record_failure(leaf, group, now)
 
     def _record_reply(self, leaf: Leaf, group: str, now: float, elapsed: float) -> None:
-        delay = self.delay_of(group)
+        delay = self.hedge_delay_of(group)
         leaf.latency.observe(now, elapsed)
         delay.observe(now, elapsed)
-        if leaf.ejection.note_success():
+        if leaf.ejection.record_success():
             self._events.emit(Events.LEAF_RETURNED, leaf=leaf.address)
 
     def _record_failure(self, leaf: Leaf, group: str, now: float) -> None:
@@ -316,5 +318,5 @@
         resolved = self._groups.get(group)
         leaves = resolved.leaves if resolved else ()
         ejected = sum(1 for item in leaves if item.ejection.is_ejected(now))
-        if leaf.ejection.note_failure(now, may_eject(len(leaves), ejected)):
+        if leaf.ejection.record_failure(now, may_eject(len(leaves), ejected)):
             self._events.emit(Events.LEAF_EJECTED, leaf=leaf.address)
--- a/walkcart/leaves/leaf.py
+++ b/walkcart/leaves/leaf.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 from walkcart.kernel.numbers import read_number
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 from walkcart.routing.ejection import Ejection
 from walkcart.routing.latency import DecayedLatency
-from walkcart.routing.leafroom import LeafRoom
-from walkcart.routing.replyshare import ReplyShare
+from walkcart.routing.leaflimiter import LeafLimiter
+from walkcart.routing.successrate import SuccessRate
 
 #: Seconds after which a leaf's reported load counts for half.
 LOAD_HALF_LIFE = 0.1
@@ -72,10 +72,10 @@
         self.slots = slots
         self.incarnation = 0
         self.outstanding = 0
-        self.room = LeafRoom(slots)
+        self.room = LeafLimiter(slots)
         self.latency = DecayedLatency()
         self.ejection = Ejection()
-        self.replies = ReplyShare()
+        self.replies = SuccessRate()
         self.held: frozenset[int] | None = None
         self.first_used: float | None = None
         #: Until when it is cold, by its own statement or because of an evacuation.
@@ -97,11 +97,11 @@
         return self.labels.get("data-centre", "")
 
     @property
-    def place(self) -> Place:
+    def place(self) -> Location:
         """Region and data centre of the leaf."""
-        return Place(self.region, self.data_centre)
+        return Location(self.region, self.data_centre)
 
-    def note_stated(self, now: float, outstanding: int, waiting: int = 0) -> None:
+    def record_load(self, now: float, outstanding: int, waiting: int = 0) -> None:
         """Record the load that the leaf reported, less this instance's own requests.
 
         Args:
@@ -113,7 +113,7 @@
         self._reported = max(0.0, float(outstanding - own))
         self._reported_at = now
 
-    def stated_load(self, now: float) -> float:
+    def reported_load(self, now: float) -> float:
         """Return the estimated number of requests of other instances at the leaf."""
         return self._reported * 0.5 ** ((now - self._reported_at) / LOAD_HALF_LIFE)
 
--- a/walkcart/leaves/link.py
+++ b/walkcart/leaves/link.py
@@ -19,7 +19,7 @@
 from walkcart.leaves.attempts import Attempt, Deliver, Failed, Outcome
 from walkcart.leaves.exchange import IDLE_TIMEOUT, LeafExchanges, LinkTools, Pending
 from walkcart.leaves.leaf import Leaf
-from walkcart.leaves.linkqueue import HasRoom, LinkQueue, has_always_room
+from walkcart.leaves.linkqueue import HasRoom, LinkQueue, always_has_room
 from walkcart.leaves.protocol import MAX_REPLY_BYTES
 from walkcart.wire.http import (
     ExchangeFailed,
@@ -27,7 +27,7 @@
 )
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-CONNECT_TIME = timedelta(seconds=1)
+CONNECT_TIMEOUT = timedelta(seconds=1)
 #: Seconds between a failure to connect and the next try; doubles up to `MAX_BACKOFF`.
 INITIAL_BACKOFF = 0.05
 MAX_BACKOFF = 2.0
@@ -52,7 +52,7 @@
         share: int,
         tools: LinkTools,
         nursery: trio.Nursery,
-        has_room: HasRoom = has_always_room,
+        has_room: HasRoom = always_has_room,
     ) -> None:
         self.leaf = leaf
         self._share = share
@@ -223,7 +223,7 @@
         """Connect and request the status; None if the leaf can't be reached."""
         address = parse_host_port(self.leaf.address)
         try:
-            with trio.fail_after(CONNECT_TIME.total_seconds()):
+            with trio.fail_after(CONNECT_TIMEOUT.total_seconds()):
                 if stream is None:
                     stream = await self._tools.network.connect(address)
                 connection = HttpConnection(stream, self.leaf.address, MAX_REPLY_BYTES)
@@ -252,7 +252,7 @@
             return
         reply = await connection.exchange(request)
         self._tools.on_status(self.leaf, protocol.read_status(dict(reply.headers)))
-        if not connection.renew():
+        if not connection.prepare_next():
             raise OSError("the leaf closes the connection")
 
     async def _process_queue(self, connection: HttpConnection) -> None:
@@ -305,7 +305,7 @@
         if attempt.deadline <= now:
             self._finish(pending, Failed(NotRun(Reason.DEADLINE, "it waited too long")))
             return True
-        if attempt.wary and await self._exchanges.has_ended():
+        if attempt.check_alive and await self._exchanges.has_ended():
             detail = f"the leaf at {self.leaf.address} had ended"
             self._finish(pending, Failed(NotRun(Reason.UNREACHABLE, detail)))
             return False
@@ -340,7 +340,7 @@
         return refusal is None
 
     async def _still_serves(self, connection: HttpConnection) -> bool:
-        with trio.move_on_after(CONNECT_TIME.total_seconds()):
+        with trio.move_on_after(CONNECT_TIMEOUT.total_seconds()):
             try:
                 await self._check(connection)
             except (OSError, ExchangeFailed):
@@ -373,12 +373,12 @@
             return True
         request = self._tools.protocol.make_cancel_request(attempt_id)
         assert request is not None
-        with trio.move_on_after(CONNECT_TIME.total_seconds()):
+        with trio.move_on_after(CONNECT_TIMEOUT.total_seconds()):
             try:
                 await connection.exchange(request)
             except ExchangeFailed:
                 return False
-            return connection.renew()
+            return connection.prepare_next()
         return False
 
     def _finish(self, pending: Pending, outcome: Outcome) -> None:
--- a/walkcart/leaves/linkqueue.py
+++ b/walkcart/leaves/linkqueue.py
@@ -23,7 +23,7 @@
 HasRoom = Callable[[Leaf, Attempt], bool]
 
 
-def has_always_room(leaf: Leaf, attempt: Attempt) -> bool:
+def always_has_room(leaf: Leaf, attempt: Attempt) -> bool:
     """Return True: only the number of connections limits what is sent."""
     return True
 
@@ -86,7 +86,7 @@
         if self._front:
             return self._front.popleft()
         now = self._tools.clock.monotonic()
-        pending = self._attempts.take(now, self._is_sendable)
+        pending = self._attempts.pop(now, self._is_sendable)
         if pending is not None and pending.blocked_since is not None:
             waited = now - pending.blocked_since
             self._tools.metrics.time("leaf.wait", waited * 1000)
@@ -133,6 +133,6 @@
             leaf_id=leaf.id,
             outstanding=leaf.outstanding,
             waiting=self.waiting,
-            others=round(leaf.stated_load(now), 1),
+            others=round(leaf.reported_load(now), 1),
             pace=round(leaf.latency.estimate(now, 1.0), 1),
         )
--- a/walkcart/leaves/pool.py
+++ b/walkcart/leaves/pool.py
@@ -18,16 +18,16 @@
 from walkcart.leaves.attempts import Attempt, Deliver, Failed, Outcome, Refused, Replied
 from walkcart.leaves.leaf import Leaf
 from walkcart.leaves.link import LeafLink
-from walkcart.leaves.poolroom import PoolRoom
+from walkcart.leaves.poolcapacity import PoolCapacity
 from walkcart.leaves.pooltools import Gathering, PoolTools
 from walkcart.leaves.protocol import LeafStatus
 from walkcart.leaves.scopedpool import ScopedPool
 from walkcart.leaves.stalls import is_stalled
 from walkcart.routing.distance import Distance, measure_distance
 from walkcart.routing.ejection import may_eject
-from walkcart.routing.eligibility import ANYWHERE, Regions
-from walkcart.routing.kindtimes import KindTimes
-from walkcart.routing.placement import Standing, choose_leaf
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
+from walkcart.routing.placement import LeafCandidate, choose_leaf
+from walkcart.routing.requesttimes import RequestTimes
 from walkcart.routing.shares import ConnectionShares
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
@@ -63,15 +63,15 @@
         #: Number of instances that gather, or 0 if this one doesn't; set each round.
         self._gatherers = 0
         self._links: dict[str, LeafLink] = {}
-        self._times: dict[tuple[str, Distance], KindTimes] = {}
+        self._times: dict[tuple[str, Distance], RequestTimes] = {}
         self._nursery: trio.Nursery | None = None
-        self.room = PoolRoom(self._links, self.median_time, tools.link.clock)
+        self.room = PoolCapacity(self._links, self.median_time, tools.link.clock)
 
-    def times_of(self, kind: str, distance: Distance) -> KindTimes:
+    def times_of(self, kind: str, distance: Distance) -> RequestTimes:
         """Return the observed times of a kind of request at leaves at a distance."""
         key = (kind, distance)
         if key not in self._times:
-            self._times[key] = KindTimes(INITIAL_TIMES[distance])
+            self._times[key] = RequestTimes(INITIAL_TIMES[distance])
         return self._times[key]
 
     def distance_to(self, leaf: Leaf) -> Distance:
@@ -82,7 +82,7 @@
         """Return the median seconds of a kind of request at leaves so far away."""
         return self.times_of(kind, self.distance_to(leaf)).median(now)
 
-    def follow_gathering(self, gathering: Gathering) -> None:
+    def set_gathering(self, gathering: Gathering) -> None:
         """Allow more connections while this instance is one of those that gather."""
         self._gathering = gathering
 
@@ -96,7 +96,9 @@
         """
         return ScopedPool(self, kind, regions, grant)
 
-    def leaves_of(self, service: str, regions: Regions = ANYWHERE) -> tuple[Leaf, ...]:
+    def leaves_of(
+        self, service: str, regions: Regions = ALL_REGIONS
+    ) -> tuple[Leaf, ...]:
         """Return the leaves of a service in `regions` that may get new work."""
         return self.access.leaves_of(service, regions)
 
@@ -107,7 +109,7 @@
         without: frozenset[str],
         objective: float,
         now: float,
-        regions: Regions = ANYWHERE,
+        regions: Regions = ALL_REGIONS,
     ) -> Leaf | None:
         """Return the leaf for the next request, or None if no leaf may get it.
 
@@ -121,7 +123,7 @@
         """
         leaves = [
             leaf
-            for leaf in self.access.leaves_with_room(service, regions)
+            for leaf in self.access.available_leaves(service, regions)
             if leaf.id not in without
         ]
         if len(leaves) <= 1:
@@ -135,7 +137,7 @@
         now = self._tools.link.clock.monotonic()
         leaf.outstanding += 1
         leaf.in_flight[attempt.id] = now
-        leaf.room.note_urgent(attempt.rank, attempt.objective_at - now, now)
+        leaf.room.record_urgent(attempt.rank, attempt.objective_at - now, now)
 
         def finish(attempt: Attempt, outcome: Outcome) -> None:
             leaf.outstanding -= 1
@@ -171,19 +173,19 @@
         link = self._links.get(leaf.id)
         if link is None or link.cancel(attempt_id):
             # An attempt that was still queued here would say nothing about the leaf.
-            self.note_waiting(leaf, kind, waited)
+            self.record_waiting(leaf, kind, waited)
 
-    def note_waiting(self, leaf: Leaf, kind: str, waited: float) -> None:
+    def record_waiting(self, leaf: Leaf, kind: str, waited: float) -> None:
         """Record that a request has been at a leaf for `waited` seconds."""
         now = self._tools.link.clock.monotonic()
         slowness = waited / self.median_time(leaf, kind, now)
         leaf.latency.observe_at_least(now, slowness)
 
-    def note_status(self, leaf: Leaf, status: LeafStatus) -> None:
+    def record_status(self, leaf: Leaf, status: LeafStatus) -> None:
         """Record what a leaf stated about itself."""
         now = self._tools.link.clock.monotonic()
         if status.load is not None:
-            leaf.note_stated(now, status.load, self.room.count_waiting(leaf))
+            leaf.record_load(now, status.load, self.room.count_waiting(leaf))
         if status.cold_time:
             leaf.extend_cold(now + status.cold_time.total_seconds())
 
@@ -221,8 +223,12 @@
         spec = self._tools.keeper.table.services.get(leaf.labels["service"])
         cap = spec.most_connections if spec else DEFAULT_CONNECTIONS
         shares = ConnectionShares(cap)
-        share = shares.share_of(self._tools.instances())
-        return max(share, shares.gatherer_share(gatherers)) if gatherers else share
+        share = shares.connections_per_holder(self._tools.instances())
+        return (
+            max(share, shares.connections_per_gatherer(gatherers))
+            if gatherers
+            else share
+        )
 
     def _tidy(self, with_idle: bool) -> None:
         """Close links to leaves that are gone and update the shares of the others."""
@@ -239,18 +245,18 @@
         total = sum(link.connections for link in self._links.values())
         self._tools.link.metrics.gauge("leaf.connections", total)
 
-    def _describe(self, leaf: Leaf, kind: str, now: float) -> Standing:
+    def _describe(self, leaf: Leaf, kind: str, now: float) -> LeafCandidate:
         usual = self.median_time(leaf, kind, now)
-        return Standing(
+        return LeafCandidate(
             key=leaf.id,
-            load=leaf.outstanding + leaf.stated_load(now),
+            load=leaf.outstanding + leaf.reported_load(now),
             slots=leaf.slots,
             time=usual * leaf.latency.estimate(now, 1.0),
             distance=self.distance_to(leaf),
             cold=now < leaf.cold_until,
             stalled=is_stalled(leaf, usual, now),
             ejected=leaf.ejection.is_ejected(now),
-            good_share=leaf.replies.estimate(now),
+            success_rate=leaf.replies.estimate(now),
         )
 
     def _account(
@@ -261,10 +267,10 @@
             case Replied(status=status, elapsed=elapsed) if status < 500:
                 self._record_reply(leaf, kind, now, elapsed)
             case Refused(reason=Reason.LEAF_REPLACED):
-                self._tools.directory.forget(leaf)
+                self._tools.directory.mark_replaced(leaf)
             case Refused():
                 leaf.last_reply_at = now
-                leaf.replies.note(now, good=False)
+                leaf.replies.record(now, good=False)
             case Failed(NotRun(reason)) if reason in UNINFORMATIVE_REASONS:
                 pass
             case Failed(MayHaveRun(Reason.CANCELLED)):
@@ -280,14 +286,14 @@
         self._tools.link.metrics.time("leaf.time", elapsed * 1000)
         leaf.latency.observe(now, elapsed / times.median(now))
         leaf.last_reply_at = now
-        leaf.replies.note(now, good=True)
-        if leaf.ejection.note_success():
+        leaf.replies.record(now, good=True)
+        if leaf.ejection.record_success():
             self._tools.link.events.emit(Events.LEAF_RETURNED, leaf=leaf.id)
 
     def _note_failure(self, leaf: Leaf, now: float, lost: bool = False) -> None:
         self._tools.link.metrics.count("leaf.failed")
-        leaf.replies.note(now, good=False, lost=lost)
+        leaf.replies.record(now, good=False, lost=lost)
         leaves = self.leaves_of(leaf.labels["service"])
         ejected = sum(1 for item in leaves if item.ejection.is_ejected(now))
-        if leaf.ejection.note_failure(now, may_eject(len(leaves), ejected)):
+        if leaf.ejection.record_failure(now, may_eject(len(leaves), ejected)):
             self._tools.link.events.emit(Events.LEAF_EJECTED, leaf=leaf.id)
--- a/walkcart/leaves/poolroom.py
+++ b/walkcart/leaves/poolcapacity.py
@@ -1,7 +1,7 @@
 """Spare capacity of leaves, given what waits for them inside this instance.
 
 See Also:
-    `walkcart.routing.leafroom`, which makes the decisions.
+    `walkcart.routing.leaflimiter`, which makes the decisions.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from walkcart.leaves.attempts import Attempt
 from walkcart.leaves.leaf import Leaf
 from walkcart.leaves.link import LeafLink
-from walkcart.routing.leafroom import Demand, find_turn
+from walkcart.routing.leaflimiter import SlotRequest, estimate_queue_delay
 
 
-class PoolRoom:
+class PoolCapacity:
     """Tells whether leaves have spare capacity, and when they will have it.
 
     Args:
@@ -52,10 +52,10 @@
             return True
         now = self._clock.monotonic()
         time = self._estimate_time(leaf, attempt.kind, now)
-        demand = Demand(attempt.rank, attempt.objective_at - now, time)
-        return leaf.room.allows(demand, sent, leaf.stated_load(now), now)
+        demand = SlotRequest(attempt.rank, attempt.objective_at - now, time)
+        return leaf.room.allows(demand, sent, leaf.reported_load(now), now)
 
-    def find_delay(self, leaves: Iterable[Leaf], kind: str, rank: int) -> float:
+    def estimate_wait(self, leaves: Iterable[Leaf], kind: str, rank: int) -> float:
         """Return the seconds until a request is likely to be sent to one of `leaves`.
 
         Args:
@@ -70,7 +70,9 @@
             if link is None or not link.waiting:
                 return 0.0
             time = self._estimate_time(leaf, kind, now)
-            delays.append(find_turn(link.count_ahead(rank), leaf.slots, time))
+            delays.append(
+                estimate_queue_delay(link.count_ahead(rank), leaf.slots, time)
+            )
         return min(delays, default=0.0)
 
     def _estimate_time(self, leaf: Leaf, kind: str, now: float) -> float:
--- a/walkcart/leaves/pooltools.py
+++ b/walkcart/leaves/pooltools.py
@@ -8,10 +8,10 @@
 from typing import Protocol
 
 from walkcart.intent.routekeeper import RouteKeeper
-from walkcart.leaves.coldroom import ColdRoom
+from walkcart.leaves.coldlimiter import ColdLimiter
 from walkcart.leaves.directory import LeafDirectory
 from walkcart.leaves.exchange import LinkTools
-from walkcart.routing.distance import Place
+from walkcart.routing.distance import Location
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,9 +33,9 @@
     keeper: RouteKeeper
     link: LinkTools
     instances: Callable[[], int]
-    place: Place
+    place: Location
     random: Random
-    cold: ColdRoom | None = None
+    cold: ColdLimiter | None = None
 
 
 class Gathering(Protocol):
