--- a/walkcart/leaves/protocol.py
+++ b/walkcart/leaves/protocol.py
@@ -45,7 +45,7 @@
 STATUS_NOT_HELD = 409
 STATUS_CANCELLED = 499
 STATUS_SHED = 503
-STATUS_TOO_LATE = 504
+STATUS_DEADLINE_PASSED = 504
 
 #: Headers of a reply by name.
 HeaderMap = Mapping[bytes, bytes]
@@ -137,17 +137,17 @@
     """The protocol that a link uses to talk to leaves.
 
     Attributes:
-        reads_over_strays: whether a reply to an earlier request is skipped; else it
+        skips_stray_replies: whether a reply to an earlier request is skipped; else it
             ends the connection.
     """
 
-    reads_over_strays: bool
+    skips_stray_replies: bool
 
     def encode(self, attempt: Attempt, remaining: float) -> HttpRequest:
         """Return the request of `attempt`, with `remaining` seconds to its deadline."""
         ...
 
-    def is_ours(self, attempt: Attempt, found: HeaderMap) -> bool:
+    def is_reply_to(self, attempt: Attempt, found: HeaderMap) -> bool:
         """Return whether a reply with these headers belongs to `attempt`."""
         ...
 
@@ -161,7 +161,7 @@
         """Return the outcome of `attempt`, given the reply that belongs to it."""
         ...
 
-    def read_idle_time(self, found: HeaderMap) -> float | None:
+    def read_idle_timeout(self, found: HeaderMap) -> float | None:
         """Return the seconds that the leaf keeps an idle connection, if stated."""
         ...
 
@@ -177,15 +177,15 @@
 class QuestionProtocol:
     """The protocol of the product's own leaves, as described at the top."""
 
-    reads_over_strays = False
+    skips_stray_replies = False
 
     def encode(self, attempt: Attempt, remaining: float) -> HttpRequest:
         """Return the request of `attempt`, with `remaining` seconds to its deadline."""
         return encode_attempt(attempt, remaining)
 
-    def is_ours(self, attempt: Attempt, found: HeaderMap) -> bool:
+    def is_reply_to(self, attempt: Attempt, found: HeaderMap) -> bool:
         """Return whether a reply with these headers belongs to `attempt`."""
-        return is_ours(attempt, found)
+        return is_reply_to(attempt, found)
 
     def read_status(self, found: HeaderMap) -> LeafStatus:
         """Return what the leaf states about itself on a reply."""
@@ -197,7 +197,7 @@
         """Return the outcome of `attempt`, given the reply that belongs to it."""
         return read_outcome(attempt, reply, found, elapsed)
 
-    def read_idle_time(self, found: HeaderMap) -> float | None:
+    def read_idle_timeout(self, found: HeaderMap) -> float | None:
         """Return None: these leaves keep idle connections until they leave."""
         return None
 
@@ -210,7 +210,7 @@
         return HttpRequest("DELETE", CANCEL_TARGET + attempt_id)
 
 
-def is_ours(attempt: Attempt, found: HeaderMap) -> bool:
+def is_reply_to(attempt: Attempt, found: HeaderMap) -> bool:
     """Return whether a reply echoes the attempt's id and scope."""
     if found.get(ATTEMPT) != attempt.id.encode():
         return False
@@ -262,7 +262,7 @@
     return None if milliseconds is None else timedelta(milliseconds=milliseconds)
 
 
-def fits_pin(pin: Snapshot, snapshot: Snapshot) -> bool:
+def matches_pin(pin: Snapshot, snapshot: Snapshot) -> bool:
     """Return whether a reply of `snapshot` satisfies `pin`."""
     if pin.layout != snapshot.layout:
         return False
--- a/walkcart/leaves/scopedpool.py
+++ b/walkcart/leaves/scopedpool.py
@@ -12,9 +12,9 @@
 from walkcart.intent.teams import Grant
 from walkcart.leaves.attempts import Attempt, Deliver
 from walkcart.leaves.leaf import Leaf
-from walkcart.routing.distance import Distance, Place
+from walkcart.routing.distance import Distance, Location
 from walkcart.routing.eligibility import Regions
-from walkcart.routing.kindtimes import KindTimes
+from walkcart.routing.requesttimes import RequestTimes
 
 if TYPE_CHECKING:
     from walkcart.leaves.pool import LeafPool
@@ -48,7 +48,7 @@
         return self._access.current_regions(self._kind, self._regions, self._grant)
 
     @property
-    def is_open(self) -> bool:
+    def may_send(self) -> bool:
         """Whether the question may send further requests at all."""
         return self._access.is_grant_valid(self._kind, self._grant)
 
@@ -56,21 +56,21 @@
         """Return the leaves of a service that may get the question."""
         return self._access.leaves_of(service, self.regions)
 
-    def leaves_with_room(self, service: str) -> list[Leaf]:
+    def available_leaves(self, service: str) -> list[Leaf]:
         """Return the leaves of a service that may get a request now.
 
         Cold leaves that have reached their limit are left out.
         """
-        return self._access.leaves_with_room(service, self.regions)
+        return self._access.available_leaves(service, self.regions)
 
-    def find_room(self, service: str) -> timedelta | None:
+    def find_retry_after(self, service: str) -> timedelta | None:
         """Return the time until a leaf of a service may get a request.
 
         None where leaves have no cold limits or the service has no leaves.
         """
-        return self._access.find_room(service, self.regions)
+        return self._access.find_retry_after(service, self.regions)
 
-    def places_of(self, service: str) -> frozenset[Place]:
+    def places_of(self, service: str) -> frozenset[Location]:
         """Return the places with leaves of a service that may get the question."""
         return self._access.places_of(service, self.regions)
 
@@ -87,7 +87,7 @@
             service, kind, without, objective, now, regions=self.regions
         )
 
-    def times_of(self, kind: str, distance: Distance) -> KindTimes:
+    def times_of(self, kind: str, distance: Distance) -> RequestTimes:
         """Return the observed times of a kind of request at leaves at a distance."""
         return self._pool.times_of(kind, distance)
 
@@ -104,9 +104,9 @@
         """Whether any attempt is queued inside this instance."""
         return self._pool.room.has_waiting
 
-    def find_delay(self, service: str, rank: int) -> float:
+    def estimate_wait(self, service: str, rank: int) -> float:
         """Return the seconds until a request to a service is likely to be sent."""
-        return self._pool.room.find_delay(self.leaves_of(service), self._kind, rank)
+        return self._pool.room.estimate_wait(self.leaves_of(service), self._kind, rank)
 
     def is_waiting(self, leaf: Leaf, attempt_id: str) -> bool:
         """Return whether an attempt is still queued inside this instance."""
@@ -120,6 +120,6 @@
         """Cancel an attempt whose result isn't needed, after it `waited` seconds."""
         self._pool.cancel(leaf, attempt_id, kind, waited)
 
-    def note_waiting(self, leaf: Leaf, kind: str, waited: float) -> None:
+    def record_waiting(self, leaf: Leaf, kind: str, waited: float) -> None:
         """Record that a request has been at a leaf for `waited` seconds."""
-        self._pool.note_waiting(leaf, kind, waited)
+        self._pool.record_waiting(leaf, kind, waited)
--- a/walkcart/membership/coldshares.py
+++ b/walkcart/membership/coldshares.py
@@ -10,7 +10,7 @@
 While no service has a bound nothing is stored; while no leaf is cold nothing is read.
 
 See Also:
-    `walkcart.routing.coldleafs`, for what a share stands for.
+    `walkcart.routing.coldleaves`, for what a share stands for.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.membership.registration import Registration
-from walkcart.routing.coldleafs import WINDOW, WINDOW_MARGIN, Share
+from walkcart.routing.coldleaves import WINDOW, WINDOW_MARGIN, ColdShare
 from walkcart.store.calls import StoreUnavailable
 from walkcart.store.items import (
     ABSENT,
@@ -65,7 +65,7 @@
         usable_from: when no former holder uses it any more, in seconds.
     """
 
-    share: Share
+    share: ColdShare
     key: str
     revision: int
     lease: Lease
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdNeeds:
+class ColdShareDemand:
     """Which shares are of use.
 
     Args:
@@ -102,7 +102,7 @@
         self,
         store: SharedStore,
         registration: Registration,
-        needs: ColdNeeds,
+        needs: ColdShareDemand,
         clock: Clock,
         events: EventLog,
     ) -> None:
@@ -116,7 +116,7 @@
         self._retry_at: dict[str, float] = {}
         self._retry: dict[str, float] = {}
 
-    def find_share(self, data_centre: str) -> Share | None:
+    def find_share(self, data_centre: str) -> ColdShare | None:
         """Return the share of a data centre's cold leafs that may be used now."""
         held = self._held.get(data_centre)
         now = self._clock.monotonic()
@@ -132,10 +132,10 @@
         while True:
             with suppress(StoreUnavailable):
                 # Logged by the calls, which know whether it is the first failure.
-                await self.look()
+                await self.refresh()
             await trio.sleep(LOOK)
 
-    async def look(self) -> None:
+    async def refresh(self) -> None:
         """Take the shares that this instance is to hold, and see to those it uses.
 
         Raises:
@@ -187,7 +187,7 @@
         """Take a share of a data centre, this instance's own number first."""
         first = self._needs.rank(data_centre).index(self._registration.own.name)
         for step in range(SHARES):
-            share = Share((first + step) % SHARES, SHARES)
+            share = ColdShare((first + step) % SHARES, SHARES)
             if await self._try(data_centre, share):
                 self._retry.pop(data_centre, None)
                 return
@@ -195,7 +195,7 @@
         self._retry_at[data_centre] = self._clock.monotonic() + retry
         self._retry[data_centre] = min(LONGEST_RETRY, retry * 2)
 
-    async def _try(self, data_centre: str, share: Share) -> bool:
+    async def _try(self, data_centre: str, share: ColdShare) -> bool:
         """Take one share; return whether it is this instance's."""
         lease = self._registration.lease
         if lease is None:
@@ -222,7 +222,9 @@
             return True
         return False
 
-    def _take(self, data_centre: str, share: Share, item: Item, lease: Lease) -> None:
+    def _take(
+        self, data_centre: str, share: ColdShare, item: Item, lease: Lease
+    ) -> None:
         """Hold a share whose key is stored; it is used once no former holder is."""
         usable_from = self._clock.monotonic() + TRUST + WINDOW + WINDOW_MARGIN
         self._held[data_centre] = HeldShare(
--- a/walkcart/membership/detector.py
+++ b/walkcart/membership/detector.py
@@ -183,14 +183,14 @@
 
         Also when another suspected it before: that one may be gone itself.
         """
-        if self._view.mark(target, MemberState.SUSPECT):
+        if self._view.raise_state(target, MemberState.SUSPECT):
             self.push_soon()
         suspected = self._view.find(target)
         if suspected is None or suspected.state != MemberState.SUSPECT:
             return
         await trio.sleep(self._interval * SUSPICION_ROUNDS)
         if self._view.find(target) == suspected:
-            self._view.mark(target, MemberState.DEAD)
+            self._view.raise_state(target, MemberState.DEAD)
             self.push_soon()
 
     def _next_number(self) -> int:
@@ -244,7 +244,7 @@
         self._take_in(message.digest)
 
     def _take_in(self, digest: object) -> None:
-        if self._gossip.take_in(digest):
+        if self._gossip.merge_digest(digest):
             self.push_soon()
 
     def _on_member_change(self, old: MemberRecord | None, new: MemberRecord) -> None:
--- a/walkcart/membership/gossip.py
+++ b/walkcart/membership/gossip.py
@@ -59,14 +59,14 @@
             if record is not None and name != self._view.own.name:
                 members.append(record)
         addresses = _take(self._leaves, MARKS_PER_MESSAGE)
-        marks = [self._marks.mark_of(address) for address in addresses]
+        marks = [self._marks.find_mark(address) for address in addresses]
         return Digest(
             self._view.own.revision,
             tuple(members),
             tuple(mark for mark in marks if mark is not None),
         )
 
-    def take_in(self, digest: Digest) -> bool:
+    def merge_digest(self, digest: Digest) -> bool:
         """Merge a received digest; return whether it held urgent news."""
         urgent = False
         for record in digest.members:
@@ -82,7 +82,7 @@
         return held is None or held.state != record.state
 
     def _take_mark(self, mark: LeafMark) -> bool:
-        if not self._marks.note_leaving(mark.address, mark.incarnation):
+        if not self._marks.record_leaving(mark.address, mark.incarnation):
             return False
         self.add_mark(mark.address)
         return True
--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -15,7 +15,7 @@
 from walkcart.kernel.taskfaults import note_task_fault
 from walkcart.membership.messageages import ClockReadings, Stamp
 from walkcart.membership.outbox import Outbox
-from walkcart.membership.peerbook import PeerBook, read_address
+from walkcart.membership.peerdirectory import PeerDirectory, read_address
 from walkcart.wire.codec import BadMessage, decode_envelope, encode_envelope
 from walkcart.wire.messages import Envelope, Message
 from walkcart.wire.peers import PeerListener, PeerTransport
@@ -32,7 +32,7 @@
 #: Called with the sender's name and the message; must not wait.
 MessageHandler = Callable[[str, Message], None]
 #: The same, with the most seconds that the message was on its way; infinite if unknown.
-WorkHandler = Callable[[str, Message, float], None]
+AgedMessageHandler = Callable[[str, Message, float], None]
 
 
 class PeerLinks:
@@ -50,7 +50,7 @@
         self,
         listener: PeerListener,
         transport: PeerTransport,
-        view: PeerBook,
+        view: PeerDirectory,
         events: EventLog,
         metrics: Metrics,
     ) -> None:
@@ -60,7 +60,7 @@
         self._events = events
         self._metrics = metrics
         self._handlers: dict[type[Message], MessageHandler] = {}
-        self._work_handlers: dict[type[Message], WorkHandler] = {}
+        self._work_handlers: dict[type[Message], AgedMessageHandler] = {}
         self._readings = ClockReadings(secrets.token_hex(LIFE_BYTES))
         self._links: dict[tuple[str, HostPort], Outbox] = {}
         #: Addresses that senders gave or the book held last, for answers to those that
@@ -74,13 +74,13 @@
         """Give messages of `kind` to `handler`."""
         self._handlers[kind] = handler
 
-    def on_work(self, kind: type[Message], handler: WorkHandler) -> None:
+    def on_with_age(self, kind: type[Message], handler: AgedMessageHandler) -> None:
         """Give messages of `kind`, which start work, to `handler`, with their age."""
         self._work_handlers[kind] = handler
 
-    def has_heard_of(self, name: str) -> bool:
+    def has_received_from(self, name: str) -> bool:
         """Return whether a life of the instance called `name` was heard of."""
-        return self._readings.has_heard_of(name)
+        return self._readings.has_received_from(name)
 
     def has_link(self, name: str) -> bool:
         """Return whether there is a link to an instance, or one is being made."""
@@ -106,10 +106,12 @@
             self._heard[name] = record.peer_address
         return read_address(self._heard.get(name, ""))
 
-    def is_waiting(self, name: str, message: Message) -> bool:
+    def is_queued(self, name: str, message: Message) -> bool:
         """Return whether a message to an instance wasn't sent yet."""
         return any(
-            link.holds(message) for key, link in self._links.items() if key[0] == name
+            link.is_queued(message)
+            for key, link in self._links.items()
+            if key[0] == name
         )
 
     def withdraw(self, name: str, message: Message) -> bool:
@@ -143,7 +145,7 @@
             return False
         return True
 
-    def renew(self, name: str) -> None:
+    def reconnect(self, name: str) -> None:
         """Make new connections to a peer that seems silent, with the next message.
 
         The old ones still send what was queued.
@@ -191,7 +193,7 @@
             envelope.life, envelope.sent_at, envelope.to_life, envelope.least_reading
         )
         if stamp.life:
-            self._readings.note(envelope.sender, stamp, now)
+            self._readings.record_stamp(envelope.sender, stamp, now)
         age = self._readings.find_age(stamp, now)
         self._metrics.count("peer.received", len(envelope.messages))
         for message in envelope.messages:
--- a/walkcart/membership/listing.py
+++ b/walkcart/membership/listing.py
@@ -152,7 +152,7 @@
             self._connection = HttpConnection(stream, str(self._address), BODY_LIMIT)
         request = HttpRequest("GET", f"/instances?after={self._revision}")
         reply = await self._connection.exchange(request)
-        if not self._connection.renew():
+        if not self._connection.prepare_next():
             await self._drop_connection()
         if reply.status == 304:
             return None
@@ -204,9 +204,9 @@
             except BadValue:
                 continue
             if row.state == STATE_LEAVING:
-                self._marks.note_leaving(address, row.incarnation)
+                self._marks.record_leaving(address, row.incarnation)
             else:
-                self._marks.note_live(address, row.incarnation)
+                self._marks.record_live(address, row.incarnation)
 
 
 def _seed_record(row: ListedInstance) -> MemberRecord:
--- a/walkcart/membership/marks.py
+++ b/walkcart/membership/marks.py
@@ -7,13 +7,13 @@
 
 Examples:
     >>> marks = LeafMarks()
-    >>> marks.note_leaving("127.0.0.1:1", 5)
+    >>> marks.record_leaving("127.0.0.1:1", 5)
     True
-    >>> marks.note_live("127.0.0.1:1", 5)
+    >>> marks.record_live("127.0.0.1:1", 5)
     False
     >>> marks.is_leaving("127.0.0.1:1")
     True
-    >>> marks.note_live("127.0.0.1:1", 6)
+    >>> marks.record_live("127.0.0.1:1", 6)
     True
     >>> marks.is_leaving("127.0.0.1:1")
     False
@@ -46,7 +46,7 @@
         leaving = self._leaving.get(address)
         return leaving is not None and leaving >= self._live.get(address, 0)
 
-    def note_leaving(self, address: str, incarnation: int) -> bool:
+    def record_leaving(self, address: str, incarnation: int) -> bool:
         """Note that this life of the leaf is leaving; return whether that is news.
 
         An `incarnation` of 0, from a source that knows none, means the newest
@@ -60,7 +60,7 @@
         self._tell(address, was)
         return not was and self.is_leaving(address)
 
-    def note_live(self, address: str, incarnation: int) -> bool:
+    def record_live(self, address: str, incarnation: int) -> bool:
         """Note that this life of the leaf is live; return whether that is news."""
         if self._live.get(address, 0) >= incarnation:
             return False
@@ -69,7 +69,7 @@
         self._tell(address, was)
         return was and not self.is_leaving(address)
 
-    def mark_of(self, address: str) -> LeafMark | None:
+    def find_mark(self, address: str) -> LeafMark | None:
         """Return the mark to pass on, or None when the leaf isn't leaving."""
         if not self.is_leaving(address):
             return None
--- a/walkcart/membership/messageages.py
+++ b/walkcart/membership/messageages.py
@@ -12,7 +12,7 @@
 
 Examples:
     >>> here, there = ClockReadings("here"), ClockReadings("there")
-    >>> there.note("a", Stamp("here", 100.0), now=5.0)
+    >>> there.record_stamp("a", Stamp("here", 100.0), now=5.0)
     >>> stamp = there.make_stamp("a", now=6.0)
     >>> round(here.find_age(stamp, now=101.01), 2)
     0.01
@@ -75,7 +75,7 @@
         self.life = life
         self._readings: dict[str, _Reading] = {}
 
-    def note(self, peer: str, stamp: Stamp, now: float) -> None:
+    def record_stamp(self, peer: str, stamp: Stamp, now: float) -> None:
         """Take in what an envelope of a peer said.
 
         Args:
@@ -91,7 +91,7 @@
             del self._readings[next(iter(self._readings))]
         self._readings[peer] = _Reading(stamp.life, ahead, now)
 
-    def has_heard_of(self, peer: str) -> bool:
+    def has_received_from(self, peer: str) -> bool:
         """Return whether a life of the peer was heard of."""
         return peer in self._readings
 
--- a/walkcart/membership/outbox.py
+++ b/walkcart/membership/outbox.py
@@ -43,7 +43,7 @@
         self._wakeup.set()
         return True
 
-    def holds(self, message: Message) -> bool:
+    def is_queued(self, message: Message) -> bool:
         """Return whether `message` is queued still."""
         return any(queued is message for _, queued in self._messages)
 
--- a/walkcart/membership/peerbook.py
+++ b/walkcart/membership/peerdirectory.py
@@ -31,7 +31,7 @@
         ...
 
 
-class PeerBook(Protocol):
+class PeerDirectory(Protocol):
     """The instances and their addresses."""
 
     @property
--- a/walkcart/membership/quarantinenews.py
+++ b/walkcart/membership/quarantinegossip.py
@@ -21,8 +21,8 @@
 
 from walkcart.kernel.clock import Clock
 from walkcart.membership.links import PeerLinks
-from walkcart.routing.quarantine import REFUSED_STRIKES, Quarantine, Suspicion
-from walkcart.wire.fingerprint import SIZE
+from walkcart.routing.quarantine import REFUSED_STRIKES, Quarantine, StrikeRecord
+from walkcart.wire.fingerprint import FINGERPRINT_BYTES
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quarantines import NEVER, QuarantineEntry, QuarantineNews
 
@@ -33,7 +33,7 @@
 MOST_TOLD = 32
 
 
-class QuarantineSpread:
+class QuarantineGossip:
     """Tells other instances, and takes what they tell.
 
     Args:
@@ -61,9 +61,9 @@
         self._may_relay = may_relay
         self._on_news = on_news
         self._turn = 0
-        links.on_work(QuarantineNews, self._on_told)
+        links.on_with_age(QuarantineNews, self._on_told)
 
-    def tell_all(self, fingerprint: bytes, without: str = "") -> None:
+    def broadcast(self, fingerprint: bytes, without: str = "") -> None:
         """Tell all that are told what is known of a request."""
         held = self._quarantine.find(fingerprint)
         if held is None:
@@ -92,7 +92,7 @@
         told = tuple(self._encode(*item) for item in chosen)
         self._links.send(peers[self._turn % len(peers)], QuarantineNews(told))
 
-    def _encode(self, fingerprint: bytes, held: Suspicion) -> QuarantineEntry:
+    def _encode(self, fingerprint: bytes, held: StrikeRecord) -> QuarantineEntry:
         now = self._clock.monotonic()
         answered = now - held.answered_at
         return QuarantineEntry(
@@ -112,16 +112,19 @@
                 continue
             self._on_news(fingerprint)
             if self._may_relay():
-                self.tell_all(fingerprint, without=sender)
+                self.broadcast(fingerprint, without=sender)
 
 
 def _read(
     entries: Sequence[QuarantineEntry], sent_at: float
-) -> Iterable[tuple[bytes, Suspicion]]:
+) -> Iterable[tuple[bytes, StrikeRecord]]:
     """Return what a message tells, without what can't be."""
     for entry in entries[:MOST_TOLD]:
         ages = (entry.struck_age, entry.answered_age)
-        if len(entry.fingerprint) != SIZE or len(entry.strikes) > REFUSED_STRIKES:
+        if (
+            len(entry.fingerprint) != FINGERPRINT_BYTES
+            or len(entry.strikes) > REFUSED_STRIKES
+        ):
             continue
         if not all(isfinite(age) and age >= 0.0 for age in ages):
             continue
@@ -129,4 +132,7 @@
         if entry.answered_age < NEVER:
             answered = sent_at - entry.answered_age
         struck = sent_at - entry.struck_age
-        yield entry.fingerprint, Suspicion(frozenset(entry.strikes), struck, answered)
+        yield (
+            entry.fingerprint,
+            StrikeRecord(frozenset(entry.strikes), struck, answered),
+        )
--- a/walkcart/membership/quarantinekeys.py
+++ b/walkcart/membership/quarantinekeys.py
@@ -22,13 +22,13 @@
 from walkcart.routing.quarantine import (
     REFUSED_STRIKES,
     Quarantine,
-    Standing,
-    Suspicion,
+    QuarantineLevel,
+    StrikeRecord,
 )
 from walkcart.store.backoff import Backoff
 from walkcart.store.calls import StoreUnavailable
 from walkcart.store.items import Committed, Item, Put, SharedStore, Transaction
-from walkcart.wire.fingerprint import SIZE
+from walkcart.wire.fingerprint import FINGERPRINT_BYTES
 
 #: Start of the keys; read with the prefix that it shares with the instances' keys.
 QUARANTINE_PREFIX = "walkcart/quarantine/"
@@ -70,7 +70,7 @@
         self._waiting: deque[bytes] = deque()
         self._wakeup = trio.Event()
 
-    def keep(self, fingerprint: bytes) -> None:
+    def enqueue(self, fingerprint: bytes) -> None:
         """Store a request that this instance refuses from now on."""
         if len(self._waiting) < MOST_WAITING and fingerprint not in self._waiting:
             self._waiting.append(fingerprint)
@@ -88,7 +88,9 @@
     async def _store_next(self) -> None:
         fingerprint = self._waiting[0]
         now = self._clock.monotonic()
-        wanted = self._quarantine.find_standing(fingerprint, now) is Standing.REFUSED
+        wanted = (
+            self._quarantine.find_level(fingerprint, now) is QuarantineLevel.REFUSED
+        )
         if wanted and not await self._put(fingerprint):
             await trio.sleep(self._backoff.advance().total_seconds())
             return
@@ -111,7 +113,7 @@
             return False
         return isinstance(outcome, Committed)
 
-    def take(self, item: Item) -> None:
+    def merge_item(self, item: Item) -> None:
         """Take a stored key, unless its request is known: how old it is isn't."""
         try:
             fingerprint = bytes.fromhex(item.key.removeprefix(QUARANTINE_PREFIX))
@@ -121,10 +123,10 @@
                 Events.PEER_BAD_MESSAGE, key=item.key, detail=str(error)[:200]
             )
             return
-        if len(fingerprint) != SIZE or len(strikes) > REFUSED_STRIKES:
+        if len(fingerprint) != FINGERPRINT_BYTES or len(strikes) > REFUSED_STRIKES:
             return
         if self._quarantine.find(fingerprint) is not None:
             return
         now = self._clock.monotonic()
-        if self._quarantine.merge(fingerprint, Suspicion(strikes, now), now):
+        if self._quarantine.merge(fingerprint, StrikeRecord(strikes, now), now):
             self._on_news(fingerprint)
--- a/walkcart/membership/quotaasks.py
+++ b/walkcart/membership/quotaclient.py
@@ -1,7 +1,7 @@
 """Asks for parts of teams' rate limits.
 
 See Also:
-    `walkcart.membership.quotaanswers`, the side that is asked.
+    `walkcart.membership.quotaserver`, the side that is asked.
     `walkcart.routing.allowances.Allowance`, which decides what is asked for.
 """
 
@@ -19,8 +19,8 @@
 from walkcart.membership.quotaholders import Holder, QuotaHolders
 from walkcart.membership.quotashares import QuotaShares
 from walkcart.membership.registration import Registration
-from walkcart.routing.allowances import ReplyPatience
-from walkcart.routing.quotas import QuotaBounds, Reply, ShareAccount, Want
+from walkcart.routing.allowances import ReplyTimeout
+from walkcart.routing.quotas import QuotaBounds, QuotaReply, QuotaRequest, ShareAccount
 from walkcart.wire.delegations import Greeting
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quotas import QuotaAsk, QuotaElsewhere, QuotaGrant
@@ -54,7 +54,7 @@
     team: str
     sent_at: float
     done: trio.Event = field(default_factory=trio.Event)
-    reply: Reply | None = None
+    reply: QuotaReply | None = None
     left: bool = False
 
 
@@ -68,12 +68,12 @@
         until: to when what it granted holds, in seconds.
     """
 
-    reply: Reply
+    reply: QuotaReply
     accountant: str
     until: float
 
 
-class QuotaAsks:
+class QuotaClient:
     """Asks the accountants of shares, this instance itself among them.
 
     Args:
@@ -109,13 +109,13 @@
         self._pending: dict[int, _Pending] = {}
         self._last_id = 0
         self._silent_until: dict[str, float] = {}
-        self._patience: dict[str, ReplyPatience] = {}
+        self._patience: dict[str, ReplyTimeout] = {}
         self._on_late: LateGrant = lambda team, amount, until: None
         holders.follow(self._open_link)
         links.on(QuotaGrant, self._on_grant)
         links.on(QuotaElsewhere, self._on_elsewhere)
 
-    def follow_late(self, listener: LateGrant) -> None:
+    def on_late_grant(self, listener: LateGrant) -> None:
         """Give `listener` what is granted after nobody waits for it any more."""
         self._on_late = listener
 
@@ -144,7 +144,9 @@
 
         return sorted(shares, key=rank)
 
-    async def ask(self, share: int, want: Want, deadline: float) -> Answer | None:
+    async def ask(
+        self, share: int, want: QuotaRequest, deadline: float
+    ) -> Answer | None:
         """Ask the accountant of a share; return None if none answered.
 
         Args:
@@ -166,10 +168,10 @@
                 return answer
         return None
 
-    def _ask_own(self, account: ShareAccount, want: Want) -> Answer:
+    def _ask_own(self, account: ShareAccount, want: QuotaRequest) -> Answer:
         now = self._clock.monotonic()
         until = now + self._bounds.hold
-        return Answer(account.ask(want, now), self._holders.own, until)
+        return Answer(account.grant(want, now), self._holders.own, until)
 
     def _choose(self, share: int, asked: set[str]) -> str | None:
         """Return whom to ask: the accountant, or who may know it."""
@@ -185,11 +187,11 @@
         return self._clock.monotonic() < self._silent_until.get(name, 0.0)
 
     async def _ask_other(
-        self, name: str, share: int, want: Want, deadline: float
+        self, name: str, share: int, want: QuotaRequest, deadline: float
     ) -> Answer | None:
         """Ask one instance; return None if it has no say or doesn't answer."""
         now = self._clock.monotonic()
-        patience = self._patience.setdefault(name, ReplyPatience()).find()
+        patience = self._patience.setdefault(name, ReplyTimeout()).find_timeout()
         pending = _Pending(name, share, want.team, now)
         if not self._send(pending, want):
             self._note_silence(name)
@@ -204,7 +206,7 @@
             return None
         return Answer(pending.reply, name, now + self._bounds.hold)
 
-    def _send(self, pending: _Pending, want: Want) -> bool:
+    def _send(self, pending: _Pending, want: QuotaRequest) -> bool:
         """Send an ask; return False if it will surely not arrive."""
         self._forget_old(pending.sent_at)
         self._last_id += 1
@@ -228,7 +230,7 @@
         """Leave an instance out for a while."""
         if name in self._silent_until:
             # Silent again: the connection may have gone silent for good.
-            self._links.renew(name)
+            self._links.reconnect(name)
         self._silent_until[name] = self._clock.monotonic() + SILENCE_TIME
 
     def _forget_old(self, now: float) -> None:
@@ -249,7 +251,7 @@
         if pending.left:
             self._on_late(pending.team, message.granted, until)
         elif self._clock.monotonic() < until:
-            pending.reply = Reply(
+            pending.reply = QuotaReply(
                 message.granted,
                 message.wait,
                 message.turn,
@@ -274,5 +276,5 @@
         del self._pending[number]
         self._silent_until.pop(sender, None)
         taken = self._clock.monotonic() - pending.sent_at
-        self._patience[sender].note(taken)
+        self._patience[sender].record(taken)
         return pending
--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -18,11 +18,11 @@
 from walkcart.membership.registration import Registration
 from walkcart.routing.accountants import (
     Site,
-    find_retry,
-    find_try_wait,
+    find_attempt_delay,
+    find_retry_delay,
     rank_candidates,
 )
-from walkcart.routing.quotas import SHARES
+from walkcart.routing.quotas import MAX_SHARES
 from walkcart.store.items import Item
 
 
@@ -79,7 +79,7 @@
         self._registration = registration
         self._clock = clock
         self._events = events
-        self._known = [_Known() for _ in range(SHARES)]
+        self._known = [_Known() for _ in range(MAX_SHARES)]
         self._candidates: dict[int, list[str]] = {}
         self._on_holder: Callable[[str], None] = lambda name: None
         registration.on_change(self._candidates.clear)
@@ -148,7 +148,7 @@
     def read_item(self, item: Item) -> tuple[int, StoredKey] | None:
         """Note a stored key; return its share and what it says."""
         share = read_share(item.key)
-        if share is None or share >= SHARES:
+        if share is None or share >= MAX_SHARES:
             return None
         try:
             stored = read_key(item)
@@ -202,11 +202,11 @@
         order = sorted(candidates, key=lambda name: name == known.last)
         was_heard = bool(known.holder.name) and known.heard_at is not None
         begun = max(since, known.heard_at or since)
-        wait = find_try_wait(order.index(self.own), is_busy, was_heard)
+        wait = find_attempt_delay(order.index(self.own), is_busy, was_heard)
         return now >= begun + wait
 
     def note_try(self, share: int) -> None:
         """Note that this instance tries to take a share."""
         known = self._known[share]
         known.tries += 1
-        known.retry_at = self._clock.monotonic() + find_retry(known.tries)
+        known.retry_at = self._clock.monotonic() + find_retry_delay(known.tries)
--- a/walkcart/membership/quotakeys.py
+++ b/walkcart/membership/quotakeys.py
@@ -16,7 +16,7 @@
 
 from walkcart.kernel.clock import Clock
 from walkcart.membership.instancerecord import InstanceRecord
-from walkcart.routing.quotas import MOST_STARTS
+from walkcart.routing.quotas import MAX_STARTS
 from walkcart.store.calls import StoreUnavailable
 from walkcart.store.items import (
     ABSENT,
@@ -155,7 +155,7 @@
         """
         sent_at = self._clock.monotonic()
         lease = await self._store.grant_lease(self._lease_time)
-        starts = min(stored.key.starts, MOST_STARTS) + 1 if stored else 1
+        starts = min(stored.key.starts, MAX_STARTS) + 1 if stored else 1
         key = QuotaKey(self._own.name, self._own.started, starts)
         expected = stored.revision if stored else ABSENT
         revision = await self._put(share, key, expected, lease)
--- a/walkcart/membership/quotaanswers.py
+++ b/walkcart/membership/quotaserver.py
@@ -1,7 +1,7 @@
 """Answers to asks for parts of teams' rate limits, by the accountant of a share.
 
 See Also:
-    `walkcart.membership.quotaasks`, by which others ask.
+    `walkcart.membership.quotaclient`, by which others ask.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from walkcart.membership.links import PeerLinks
 from walkcart.membership.quotaholders import QuotaHolders
 from walkcart.membership.quotashares import QuotaShares
-from walkcart.routing.quotas import SHARES, QuotaBounds, Want
-from walkcart.routing.tokenbucket import LONGEST_TURN
+from walkcart.routing.quotas import MAX_SHARES, QuotaBounds, QuotaRequest
+from walkcart.routing.tokenbucket import MAX_TURN_WAIT
 from walkcart.wire.messagebase import Message
 from walkcart.wire.quotas import QuotaAsk, QuotaElsewhere, QuotaGrant
 
@@ -23,7 +23,7 @@
 FindLimit = Callable[[str], tuple[int, RateLimit | None]]
 
 
-class QuotaAnswers:
+class QuotaServer:
     """Grants from the shares that this instance accounts.
 
     Args:
@@ -50,7 +50,7 @@
         self._bounds = bounds
         self._find_limit = find_limit
         self._clock = clock
-        links.on_work(QuotaAsk, self._on_ask)
+        links.on_with_age(QuotaAsk, self._on_ask)
 
     def _on_ask(self, sender: str, message: Message, age: float) -> None:
         assert isinstance(message, QuotaAsk)
@@ -65,24 +65,24 @@
         if account is None:
             holder = self._holders.find(ask.share)
             return QuotaElsewhere(ask.id, holder.name, holder.revision)
-        reply = account.ask(self._find_newest(ask), self._clock.monotonic())
-        wait = min(reply.wait, LONGEST_TURN)
+        reply = account.grant(self._find_newest(ask), self._clock.monotonic())
+        wait = min(reply.wait, MAX_TURN_WAIT)
         return QuotaGrant(
             ask.id, reply.granted, wait, reply.turn, reply.use, reply.full
         )
 
-    def _find_newest(self, ask: QuotaAsk) -> Want:
+    def _find_newest(self, ask: QuotaAsk) -> QuotaRequest:
         """Return what is asked for under the newer of two configurations."""
         limit = RateLimit(ask.rate, ask.burst)
         version = ask.version
         own_version, own_limit = self._find_limit(ask.team)
         if own_version > version and own_limit is not None:
             version, limit = own_version, own_limit
-        return Want(ask.team, limit, version, ask.wanted, ask.full)
+        return QuotaRequest(ask.team, limit, version, ask.wanted, ask.full)
 
 
 def _is_sound(ask: QuotaAsk) -> bool:
     """Return whether the numbers of an ask are usable."""
     numbers = (ask.rate, ask.burst)
     finite = all(math.isfinite(number) and number >= 0.0 for number in numbers)
-    return finite and ask.rate > 0.0 and ask.wanted > 0 and 0 <= ask.share < SHARES
+    return finite and ask.rate > 0.0 and ask.wanted > 0 and 0 <= ask.share < MAX_SHARES
--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -7,7 +7,7 @@
 
 See Also:
     `walkcart.routing.quotas.ShareAccount`, what an accountant keeps.
-    `walkcart.membership.quotaanswers`, by which it is asked.
+    `walkcart.membership.quotaserver`, by which it is asked.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from walkcart.membership.links import PeerLinks
 from walkcart.membership.quotaholders import Holder, QuotaHolders
 from walkcart.membership.quotakeys import QuotaKeys, StoredKey, TakenKey
-from walkcart.routing.quotas import MOST_STARTS, SHARES, QuotaBounds, ShareAccount
+from walkcart.routing.quotas import MAX_SHARES, MAX_STARTS, QuotaBounds, ShareAccount
 from walkcart.store.calls import StoreUnavailable
 from walkcart.store.items import Item
 from walkcart.wire.messagebase import Message
@@ -106,7 +106,7 @@
             return None
         return held.account
 
-    def take_item(self, item: Item) -> None:
+    def handle_item(self, item: Item) -> None:
         """Take a key that was read along with those of the instances."""
         found = self._holders.read_item(item)
         if found is None:
@@ -125,7 +125,7 @@
         task_status.started()
         while not self._left:
             self._wakeup = trio.Event()
-            await self.look()
+            await self.refresh()
             with trio.move_on_after(LOOK):
                 await self._wakeup.wait()
 
@@ -133,7 +133,7 @@
         """Look at once: what is to be held may have changed."""
         self._wakeup.set()
 
-    async def look(self) -> None:
+    async def refresh(self) -> None:
         """Renew what is held, and take what is free."""
         if not self._is_wanted():
             self._wanted_since = None
@@ -145,7 +145,7 @@
             due = self._clock.monotonic() >= held.kept_at + LOOK / 2
             if due or held.wanted_by:
                 await self._keep(share, held)
-        for share in range(SHARES):
+        for share in range(MAX_SHARES):
             if share in self._held:
                 continue
             if offered := self._holders.take_offer(share):
@@ -153,7 +153,7 @@
             if self._may_try(share):
                 await self._try(share)
 
-    async def leave(self) -> None:
+    async def release_all(self) -> None:
         """Account nothing any more: this instance stops."""
         self._left = True
         await self._give_up_all("the instance stops")
@@ -253,7 +253,7 @@
         """Account a share from now on."""
         now = self._clock.monotonic()
         starts = taken.stored.key.starts
-        account = ShareAccount(share, self._bounds, now, starts <= MOST_STARTS)
+        account = ShareAccount(share, self._bounds, now, starts <= MAX_STARTS)
         self._held[share] = _Held(taken, account, now, now, now)
         self._holders.note(share, Holder(self._holders.own, taken.stored.revision))
         self._events.emit(Events.QUOTA_SHARE_TAKEN, share=share, starts=starts)
@@ -273,7 +273,7 @@
 
     def _on_holder(self, sender: str, message: Message) -> None:
         assert isinstance(message, QuotaHolder)
-        if not 0 <= message.share < SHARES:
+        if not 0 <= message.share < MAX_SHARES:
             return
         if not message.holder and sender == self._holders.find(message.share).name:
             self._holders.note_released(message.share, message.revision)
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -110,12 +110,12 @@
         self._began_at = clock.monotonic()
         self._left = False
         self._prompted = trio.Event()
-        calls.on_away(self.try_soon)
+        calls.on_away(self.renew_soon)
         self._watches: Callable[[], bool] = lambda: True
         self._listeners: list[Callable[[], None]] = []
         self._keys = KeyReader(store, own.name, events)
 
-    def read_along(self, prefix: str, reader: Callable[[Item], None]) -> None:
+    def add_prefix_reader(self, prefix: str, reader: Callable[[Item], None]) -> None:
         """Give `reader` the items of another prefix below the shared one.
 
         They come with the keys of the instances, each time these are read.
@@ -178,11 +178,11 @@
             await self._prompted.wait()
         self._prompted = trio.Event()
 
-    def try_soon(self) -> None:
+    def renew_soon(self) -> None:
         """Renew the lease at once, to see whether the store serves this instance."""
         self._prompted.set()
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """End the lease, so that the others learn of a planned stop at once."""
         self._left = True
         if self._registered is None:
@@ -193,9 +193,9 @@
             self._events.emit(Events.STORE_FAILED, detail=f"lease not ended: {error}")
         self._registered = None
 
-    def follow_watching(self, watches: Callable[[], bool]) -> None:
-        """Renew often while `watches` says that this instance watches the store."""
-        self._watches = watches
+    def set_watching_check(self, is_watching: Callable[[], bool]) -> None:
+        """Renew often while `is_watching` says that this instance watches the store."""
+        self._watches = is_watching
 
     def _interval(self) -> float:
         """Return the seconds between renewals: the fleet's rate stays bounded."""
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -111,12 +111,12 @@
         for follower in self._followers.values():
             follower.on_resumed = self._check_soon
         links.on(RelayUnserved, self._on_unserved)
-        links.on_work(RelayChanges, self._on_changes)
-        links.on_work(RelayCopy, self._on_copy)
-        links.on_work(RelayCurrent, self._on_current)
+        links.on_with_age(RelayChanges, self._on_changes)
+        links.on_with_age(RelayCopy, self._on_copy)
+        links.on_with_age(RelayCurrent, self._on_current)
 
     @property
-    def watches(self) -> bool:
+    def is_watching(self) -> bool:
         """Whether this instance is one of those that watch the store for others."""
         return self._watchers.is_own() or self._hands_over() or self._stands_in()
 
@@ -142,7 +142,7 @@
             await trio.sleep(LOOK.total_seconds())
 
     def _may_feed(self) -> bool:
-        return self._calls.reachable and self.watches
+        return self._calls.reachable and self.is_watching
 
     def _look_at_feed(self) -> None:
         """Choose a feeder where one is wanted, and leave one that is late.
@@ -173,7 +173,7 @@
     def _choose_feeder(self) -> None:
         if self._choice.feeder is not None:
             # Should nobody feed this instance it must know whether reading is of use.
-            self._registration.try_soon()
+            self._registration.renew_soon()
         self._choice.turn_to_next()
         self._tell()
 
@@ -189,7 +189,7 @@
     def _check_soon(self) -> None:
         """Have a call served now: the copies of those whom this one feeds have aged."""
         if self._feeds.has_subscribers():
-            self._registration.try_soon()
+            self._registration.renew_soon()
 
     def _on_asked(self, sender: str) -> None:
         """Send away who can't be fed here, or begin to watch for it."""
--- a/walkcart/membership/tests/test_cold_shares.py
+++ b/walkcart/membership/tests/test_cold_shares.py
@@ -12,14 +12,14 @@
 import trio
 
 from walkcart.bench.harness import ManualClock
-from walkcart.membership.coldshares import SHARES, ColdNeeds, ColdShares
-from walkcart.routing.coldleafs import WINDOW, ColdBound, SendLog, Share
+from walkcart.membership.coldshares import SHARES, ColdShareDemand, ColdShares
+from walkcart.routing.coldleaves import WINDOW, ColdBound, ColdShare, SendLog
 from walkcart.routing.shares import rank_rendezvous
 from walkcart.store.calls import StoreUnavailable
 from walkcart.store.items import Committed, Item, Lease, Page, Rejected
 
 DATA_CENTRE = "north-a"
-MOST = ColdBound(1.5, 5.0).most(4.0)
+MOST = ColdBound(1.5, 5.0).max_requests(4.0)
 #: Seconds between two steps of a play, each with requests of all instances.
 STEP = 0.125
 LEASE_SECONDS = 15.0
@@ -95,7 +95,7 @@
         self.shares = ColdShares(
             self.fleet.store,
             SimpleNamespace(own=own, lease=self.lease),
-            ColdNeeds(lambda: cold, lambda: cold, self.rank),
+            ColdShareDemand(lambda: cold, lambda: cold, self.rank),
             self.fleet.clock,
             SimpleNamespace(emit=lambda *words, **details: None),
         )
@@ -117,7 +117,7 @@
         if self.lease.id in store.leases and not store.down:
             store.leases[self.lease.id] = self.fleet.clock.time + LEASE_SECONDS
         try:
-            await self.shares.look()
+            await self.shares.refresh()
         except StoreUnavailable:
             return
 
@@ -127,12 +127,12 @@
         ranked = self.ranked[:SHARES]
         if self.name not in ranked:
             return None
-        return Share(ranked.index(self.name), SHARES)
+        return ColdShare(ranked.index(self.name), SHARES)
 
     def send(self):
         share = self.find_share()
         now = self.fleet.clock.time
-        return share is not None and self.log.take(now, share.of(MOST))
+        return share is not None and self.log.try_send(now, share.find_limit(MOST))
 
 
 class Fleet:
--- a/walkcart/membership/tests/test_kept_leases.py
+++ b/walkcart/membership/tests/test_kept_leases.py
@@ -5,8 +5,8 @@
 import trio
 
 from walkcart.bench.harness import ManualClock
-from walkcart.membership.coldshares import TRUST, ColdNeeds, ColdShares
-from walkcart.routing.coldleafs import WINDOW, WINDOW_MARGIN
+from walkcart.membership.coldshares import TRUST, ColdShareDemand, ColdShares
+from walkcart.routing.coldleaves import WINDOW, WINDOW_MARGIN
 from walkcart.store.items import Committed, Item, Lease, Page, Rejected
 
 DATA_CENTRE = "north-a"
@@ -42,7 +42,7 @@
     return ColdShares(
         store,
         SimpleNamespace(own=own, lease=lease),
-        ColdNeeds(lambda: centres, lambda: centres, lambda centre: ["one"]),
+        ColdShareDemand(lambda: centres, lambda: centres, lambda centre: ["one"]),
         clock,
         SimpleNamespace(emit=lambda *words, **details: None),
     )
@@ -62,7 +62,7 @@
         await look_for(former, clock, WAIT)
         assert former.find_share(DATA_CENTRE) is not None
         present = start_life(store, clock, "second")
-        await present.look()
+        await present.refresh()
         assert len(store.items) == 1
         # The former one goes on, as a process that was suspended does.
         await look_for(former, clock, WAIT - 1.0)
@@ -77,9 +77,9 @@
 def test_a_share_on_another_lease_is_left_alone():
     async def run():
         store, clock = Keys(), ManualClock()
-        await start_life(store, clock, "first").look()
+        await start_life(store, clock, "first").refresh()
         held = dict(store.items)
-        await start_life(store, clock, "second", Lease(8, None)).look()
+        await start_life(store, clock, "second", Lease(8, None)).refresh()
         return all(store.items[key] == item for key, item in held.items())
 
     assert trio.run(run)
--- a/walkcart/membership/tests/test_leaving_leaf.py
+++ b/walkcart/membership/tests/test_leaving_leaf.py
@@ -108,9 +108,9 @@
 
 def test_list_without_incarnations_can_mark_a_leaf():
     marks = LeafMarks()
-    marks.note_live("127.0.0.1:1", 7)
-    assert marks.note_leaving("127.0.0.1:1", 0)
-    assert not marks.note_live("127.0.0.1:1", 7)
+    marks.record_live("127.0.0.1:1", 7)
+    assert marks.record_leaving("127.0.0.1:1", 0)
+    assert not marks.record_live("127.0.0.1:1", 7)
     assert marks.is_leaving("127.0.0.1:1")
 
 
--- a/walkcart/membership/tests/test_quarantine_news.py
+++ b/walkcart/membership/tests/test_quarantine_news.py
@@ -11,8 +11,8 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.kernel.settings import HostPort
 from walkcart.membership.links import PeerLinks
-from walkcart.membership.quarantinenews import QuarantineSpread
-from walkcart.routing.quarantine import Quarantine, Standing
+from walkcart.membership.quarantinegossip import QuarantineGossip
+from walkcart.routing.quarantine import Quarantine, QuarantineLevel
 from walkcart.standins.memory import MemoryNetwork
 
 REQUEST = b"requestprint"
@@ -69,7 +69,7 @@
 
         self.links.send = count
         peers = QuarantinePeers(self, self)
-        self.spread = QuarantineSpread(
+        self.spread = QuarantineGossip(
             self.quarantine,
             self.links,
             clock,
@@ -83,13 +83,13 @@
     def strike(self, *numbers):
         now = trio.current_time()
         for number in numbers:
-            self.quarantine.note_strike(REQUEST, number, now)
-        self.spread.tell_all(REQUEST)
+            self.quarantine.record_strike(REQUEST, number, now)
+        self.spread.broadcast(REQUEST)
 
     def refuses(self):
         now = trio.current_time()
-        standing = self.quarantine.find_standing(REQUEST, now)
-        return standing is Standing.REFUSED
+        standing = self.quarantine.find_level(REQUEST, now)
+        return standing is QuarantineLevel.REFUSED
 
 
 def play(size, act):
--- a/walkcart/membership/tests/test_view.py
+++ b/walkcart/membership/tests/test_view.py
@@ -47,7 +47,7 @@
     view = MembershipView(make_record())
     view.merge(make_record("b"))
     view.set_listed(frozenset({"b"}))
-    view.mark("b", MemberState.DEAD)
+    view.raise_state("b", MemberState.DEAD)
     assert [item.name for item in view.sharing()] == ["a", "b"]
     view.set_listed(frozenset())
     assert [item.name for item in view.sharing()] == ["a"]
--- a/walkcart/membership/view.py
+++ b/walkcart/membership/view.py
@@ -144,7 +144,7 @@
         if changed != self.own:
             self._store(self.own, changed)
 
-    def mark(self, name: str, state: MemberState) -> bool:
+    def raise_state(self, name: str, state: MemberState) -> bool:
         """Raise the state of another instance; return whether that changed it."""
         held = self._records.get(name)
         if held is None or name == self.own.name or held.state >= state:
--- a/walkcart/membership/watchers.py
+++ b/walkcart/membership/watchers.py
@@ -14,7 +14,7 @@
 from walkcart.routing.shares import rank_rendezvous
 
 #: Fleets up to this size watch the store with every instance: few calls, no detour.
-FEW_INSTANCES = 12
+MAX_INSTANCES_ALL_WATCHING = 12
 #: Instances of each data centre that watch the store in a larger fleet: what they pass
 #: on stays inside.
 WATCHERS = 2
@@ -106,7 +106,7 @@
         return found
 
     def _is_few(self) -> bool:
-        return len(self._registration.others()) + 1 <= FEW_INSTANCES
+        return len(self._registration.others()) + 1 <= MAX_INSTANCES_ALL_WATCHING
 
     def _forget(self) -> None:
         self._order = None
--- a/walkcart/platform/callerprotocol.py
+++ b/walkcart/platform/callerprotocol.py
@@ -59,7 +59,7 @@
         return CallerRequest(
             id=request.header(REQUEST_ID) or "",
             host=request.header(b"host") or "",
-            patience=patience,
+            timeout=patience,
             forwarded=HttpRequest(
                 request.method, request.target, headers, request.body
             ),
@@ -67,7 +67,7 @@
             credential=read_credential(request.headers),
         )
 
-    def name_team(self, request: HttpRequest, team: str) -> HttpRequest:
+    def attach_team(self, request: HttpRequest, team: str) -> HttpRequest:
         """Return a request with its team's name and without the key.
 
         Args:
--- a/walkcart/platform/leafprotocol.py
+++ b/walkcart/platform/leafprotocol.py
@@ -33,27 +33,27 @@
 class PlatformLeafProtocol:
     """Passes callers' requests to leafs unchanged and reads what comes back."""
 
-    reads_over_strays = True
+    skips_stray_replies = True
 
     def encode(self, attempt: Attempt, remaining: float) -> HttpRequest:
         """Return the caller's request with this leaf's name and the time left."""
-        assert attempt.routed is not None
+        assert attempt.caller_request is not None
         headers = (
-            *attempt.routed.headers,
+            *attempt.caller_request.headers,
             (DEADLINE_MS, b"%d" % max(1, int(remaining * 1000))),
             (EXPECTED_LEAF, attempt.leaf_id.encode()),
         )
-        routed = attempt.routed
+        routed = attempt.caller_request
         return HttpRequest(routed.method, routed.target, headers, routed.body)
 
-    def is_ours(self, attempt: Attempt, found: HeaderMap) -> bool:
+    def is_reply_to(self, attempt: Attempt, found: HeaderMap) -> bool:
         """Return whether a reply echoes the id of this request, or none at all."""
-        assert attempt.routed is not None
+        assert attempt.caller_request is not None
         echoed = found.get(REQUEST_ID)
         if echoed is None:
             return True
         return echoed.decode("latin-1") == find_header(
-            attempt.routed.headers, REQUEST_ID
+            attempt.caller_request.headers, REQUEST_ID
         )
 
     def read_status(self, found: HeaderMap) -> LeafStatus:
@@ -87,7 +87,7 @@
         if success and (STAMP not in found or CONTENT_ENCODING in found):
             detail = "a success without a stamp, or with an encoding"
             return Failed(MayHaveRun(Reason.LEAF_FAILED, detail))
-        if attempt.whole_part and not success:
+        if attempt.success_only and not success:
             detail = f"the leaf answered {reply.status}"
             return Failed(MayHaveRun(Reason.LEAF_FAILED, detail))
         headers = strip_hop_headers(reply.headers, _OF_THE_LEAF)
@@ -95,7 +95,7 @@
             attempt.pin, False, reply.status, reply.body, elapsed, headers=headers
         )
 
-    def read_idle_time(self, found: HeaderMap) -> float | None:
+    def read_idle_timeout(self, found: HeaderMap) -> float | None:
         """Return the seconds for which the leaf keeps an idle connection."""
         for part in found.get(KEEP_ALIVE, b"").split(b","):
             part = part.strip()
--- a/walkcart/platform/settings.py
+++ b/walkcart/platform/settings.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from walkcart.kernel.settings import BadValue, HostPort, parse_host_port
-from walkcart.routing.coldleafs import ColdBound
+from walkcart.routing.coldleaves import ColdBound
 from walkcart.routing.quotas import QuotaBounds
 
 #: The variable that holds the file's path.
--- a/walkcart/platform/teamdocuments.py
+++ b/walkcart/platform/teamdocuments.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from walkcart.intent.teams import RateLimit, Team, digest_key
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 
 #: Names that a header can hold: something to see at both ends, nothing that controls.
 _NAME = r"^[^\x00-\x20\x7f]([^\x00-\x1f\x7f]*[^\x00-\x20\x7f])?\Z"
@@ -48,4 +48,4 @@
 
 def read_regions(names: list[str]) -> Regions:
     """Return the regions that a list of them stands for; empty means everywhere."""
-    return Regions(frozenset(names)) if names else ANYWHERE
+    return Regions(frozenset(names)) if names else ALL_REGIONS
--- a/walkcart/platform/tests/changesinforce.py
+++ b/walkcart/platform/tests/changesinforce.py
@@ -149,7 +149,7 @@
         return [
             name
             for name, running in self.world.tenants.items()
-            if running.tenant.kernel.find("relay", Relay).watches
+            if running.tenant.kernel.find("relay", Relay).is_watching
         ]
 
     def restart(self, name: str) -> None:
--- a/walkcart/platform/tests/leafstandin.py
+++ b/walkcart/platform/tests/leafstandin.py
@@ -65,7 +65,7 @@
     def make_server(self) -> StandinServer:
         """Return the server of this leaf."""
         server = StandinServer(self.handle)
-        server.http.cancel_on_gone = True
+        server.http.cancel_on_disconnect = True
         return server
 
     def _is_refused(self) -> bool:
--- a/walkcart/platform/tests/platformworld.py
+++ b/walkcart/platform/tests/platformworld.py
@@ -17,7 +17,7 @@
 from walkcart.platform.settings import PlatformSettings
 from walkcart.platform.tests.leafstandin import PlatformLeafStandin
 from walkcart.platform.tests.storestandin import PlatformStoreStandin
-from walkcart.routing.coldleafs import ColdBound
+from walkcart.routing.coldleaves import ColdBound
 from walkcart.standins.machinelinks import MachineLink
 from walkcart.standins.memory import MemoryNetwork
 from walkcart.standins.serving import StandinServer
--- a/walkcart/platform/tests/soakcalls.py
+++ b/walkcart/platform/tests/soakcalls.py
@@ -120,7 +120,7 @@
                 continue
             connection = HttpConnection(stream, HOST, BODY_LIMIT)
             try:
-                while await self._ask(connection) and connection.renew():
+                while await self._ask(connection) and connection.prepare_next():
                     await trio.sleep(GAP)
             finally:
                 with trio.CancelScope(shield=True):
--- a/walkcart/platform/tests/test_attempt_account.py
+++ b/walkcart/platform/tests/test_attempt_account.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from walkcart.fanout.leafchoice import MOST_TIMES
+from walkcart.fanout.leafchoice import MAX_SENDS_PER_LEAF
 from walkcart.membership.links import PeerLinks
 from walkcart.platform.tests.test_delegation import (
     count_arrived,
@@ -113,7 +113,7 @@
     asked = with_two_regions(act, COPIES, targetLatencyMs=120, minCoverage=0.75)
     for leafs in asked.values():
         assert len(leafs) <= MOST_ATTEMPTS
-        assert sum(leafs.values()) <= MOST_ATTEMPTS * MOST_TIMES
+        assert sum(leafs.values()) <= MOST_ATTEMPTS * MAX_SENDS_PER_LEAF
 
 
 def count_by_leaf(world):
@@ -165,7 +165,7 @@
             taken.append(service)
             return False
 
-        monkeypatch.setattr(RepeatBudget, "take", deny)
+        monkeypatch.setattr(RepeatBudget, "try_spend", deny)
         await world.ask("/all/x", "asker")
         await trio.sleep(1)
         return count_arrived(world), len(taken)
--- a/walkcart/platform/tests/test_key_changes.py
+++ b/walkcart/platform/tests/test_key_changes.py
@@ -13,7 +13,7 @@
 import trio
 
 from walkcart.bench.harness import run_mocked
-from walkcart.entry.teamaccess import OLD_AGE
+from walkcart.entry.teamaccess import MAX_CONFIGURATION_AGE
 from walkcart.intent.routekeeper import RouteKeeper
 from walkcart.intent.teams import digest_key
 from walkcart.kernel.settings import HostPort
@@ -194,5 +194,5 @@
         return calm, await estate.watch_oldest(turned, 32)
 
     calm, turned = with_estate(count, act)
-    assert calm < OLD_AGE
-    assert turned < OLD_AGE
+    assert calm < MAX_CONFIGURATION_AGE
+    assert turned < MAX_CONFIGURATION_AGE
--- a/walkcart/platform/tests/test_late_parts.py
+++ b/walkcart/platform/tests/test_late_parts.py
@@ -17,8 +17,8 @@
     Each shard has a leaf in the north, "n-" and its number, and one in the south. Two
     instances stand in the north, one in the south. `sent` gets who was asked for what.
     """
-    monkeypatch.setattr(groups, "MOST_SERVICES", 3)
-    monkeypatch.setattr(lateparts, "MOST_SERVICES", 3)
+    monkeypatch.setattr(groups, "MAX_SERVICES", 3)
+    monkeypatch.setattr(lateparts, "MAX_SERVICES", 3)
     sent = []
     send = PeerLinks.send
 
--- a/walkcart/platform/tests/test_leaf_replies.py
+++ b/walkcart/platform/tests/test_leaf_replies.py
@@ -40,7 +40,9 @@
 def make_attempt(whole_part):
     headers = ((b"x-request-id", b"id"),)
     request = HttpRequest("GET", "/", headers)
-    return Attempt("a", 0, 1.0, routed=request, leaf_id="i", whole_part=whole_part)
+    return Attempt(
+        "a", 0, 1.0, caller_request=request, leaf_id="i", success_only=whole_part
+    )
 
 
 @given(REPLIES, st.booleans())
@@ -50,7 +52,7 @@
     found = dict(reply.headers)
     status = PROTOCOL.read_status(found)
     assert status.load is None or status.load >= 0
-    idle = PROTOCOL.read_idle_time(found)
+    idle = PROTOCOL.read_idle_timeout(found)
     assert idle is None or idle >= 0
     match PROTOCOL.read_outcome(attempt, reply, found, 0.1):
         case Refused(retry_after=retry_after):
@@ -70,5 +72,5 @@
 @given(st.one_of(st.none(), st.binary(max_size=10)))
 def test_only_this_requests_id_or_none_is_ours(echoed):
     found = {} if echoed is None else {b"x-request-id": echoed}
-    ours = PROTOCOL.is_ours(make_attempt(False), found)
+    ours = PROTOCOL.is_reply_to(make_attempt(False), found)
     assert ours == (echoed in (None, b"id"))
--- a/walkcart/platform/tests/test_limited_teams.py
+++ b/walkcart/platform/tests/test_limited_teams.py
@@ -37,12 +37,12 @@
         self.taken = []
         self.given_back = []
 
-    async def admit(self, team, patience):
-        self.taken.append((team.name, team.limit.rate, round(patience, 1)))
+    async def admit(self, team, max_wait):
+        self.taken.append((team.name, team.limit.rate, round(max_wait, 1)))
         await trio.lowlevel.checkpoint()
         return self.verdict
 
-    def give_back(self, team, admitted_at):
+    def refund(self, team, admitted_at):
         assert admitted_at <= trio.current_time()
         self.given_back.append(team.name)
 
--- a/walkcart/platform/tests/test_lost_answers.py
+++ b/walkcart/platform/tests/test_lost_answers.py
@@ -12,7 +12,7 @@
 import trio
 
 from walkcart.bench.harness import run_mocked
-from walkcart.fanout.leafchoice import MOST_TIMES
+from walkcart.fanout.leafchoice import MAX_SENDS_PER_LEAF
 from walkcart.platform.tests.platformworld import make_route, open_platform
 from walkcart.routing.repeats import RepeatBudget
 
@@ -111,7 +111,7 @@
     assert len(good) >= 0.9 * len(ends)
     for asked in arrivals:
         assert max(len(set(leafs)) for leafs in asked.values()) <= MOST_ATTEMPTS
-        most = MOST_ATTEMPTS * MOST_TIMES
+        most = MOST_ATTEMPTS * MAX_SENDS_PER_LEAF
         assert max(len(leafs) for leafs in asked.values()) <= most
         repeats = sum(len(leafs) - 1 for leafs in asked.values())
         assert repeats <= RATIO * len(ends) + ALLOWANCE
@@ -123,7 +123,7 @@
     def deny(self, service, now, instances, vital=True):
         return False
 
-    monkeypatch.setattr(RepeatBudget, "take", deny)
+    monkeypatch.setattr(RepeatBudget, "try_spend", deny)
     monkeypatch.setattr(RepeatBudget, "lend", deny)
     ends, arrivals = play_losses(share=0.5, askers=2)
     assert any(status != 200 for status, _ in ends)
--- a/walkcart/platform/tests/test_relay.py
+++ b/walkcart/platform/tests/test_relay.py
@@ -86,7 +86,7 @@
 
 
 def test_in_a_large_fleet_few_instances_watch_and_all_learn(monkeypatch):
-    monkeypatch.setattr(watchers, "FEW_INSTANCES", 3)
+    monkeypatch.setattr(watchers, "MAX_INSTANCES_ALL_WATCHING", 3)
 
     async def act(world):
         await trio.sleep(30)
@@ -107,7 +107,7 @@
 
 
 def test_when_the_watchers_die_the_others_read_for_themselves(monkeypatch):
-    monkeypatch.setattr(watchers, "FEW_INSTANCES", 3)
+    monkeypatch.setattr(watchers, "MAX_INSTANCES_ALL_WATCHING", 3)
 
     async def act(world):
         await trio.sleep(30)
@@ -130,7 +130,7 @@
 
 
 def test_a_feed_outlasts_a_lost_history(monkeypatch):
-    monkeypatch.setattr(watchers, "FEW_INSTANCES", 1)
+    monkeypatch.setattr(watchers, "MAX_INSTANCES_ALL_WATCHING", 1)
 
     async def act(world):
         await trio.sleep(30)
@@ -143,7 +143,7 @@
 
 
 def test_a_lost_history_costs_no_full_copies(monkeypatch):
-    monkeypatch.setattr(watchers, "FEW_INSTANCES", 1)
+    monkeypatch.setattr(watchers, "MAX_INSTANCES_ALL_WATCHING", 1)
     copies = []
 
     send = PeerLinks.send
@@ -170,7 +170,7 @@
 
 
 def test_a_lost_message_of_one_prefix_is_made_good_while_others_come(monkeypatch):
-    monkeypatch.setattr(watchers, "FEW_INSTANCES", 1)
+    monkeypatch.setattr(watchers, "MAX_INSTANCES_ALL_WATCHING", 1)
     send = PeerLinks.send
     lost = []
 
--- a/walkcart/platform/tests/test_start_calls.py
+++ b/walkcart/platform/tests/test_start_calls.py
@@ -56,7 +56,7 @@
             name = next(
                 name
                 for name, running in world.tenants.items()
-                if not running.tenant.kernel.find("relay", Relay).watches
+                if not running.tenant.kernel.find("relay", Relay).is_watching
             )
             place = world.tenants[name].settings.data_centre
             world.tenants[name].scope.cancel()
--- a/walkcart/platform/tests/test_team_documents.py
+++ b/walkcart/platform/tests/test_team_documents.py
@@ -15,7 +15,7 @@
     make_route,
     make_team,
 )
-from walkcart.routing.eligibility import ANYWHERE, Regions
+from walkcart.routing.eligibility import ALL_REGIONS, Regions
 from walkcart.wire.http import HttpRequest
 
 VISIBLE = st.characters(min_codepoint=0x21, max_codepoint=0x7E)
@@ -51,7 +51,7 @@
 def test_what_a_team_leaves_out_binds_nothing():
     for fields in ({}, {"ratePerS": 0, "burst": 5, "allowedRegions": []}):
         (team,) = read([make_team("riders", **fields)]).teams
-        assert (team.rank, team.limit, team.regions) == (None, None, ANYWHERE)
+        assert (team.rank, team.limit, team.regions) == (None, None, ALL_REGIONS)
         assert team.keys == frozenset()
 
 
@@ -172,7 +172,7 @@
     protocol = PlatformCallerProtocol()
     caller = protocol.read_request(HttpRequest("GET", "/x", headers, b"body"))
     assert caller.credential == digest_key(b"secret")
-    named = protocol.name_team(caller.forwarded, team)
+    named = protocol.attach_team(caller.forwarded, team)
     told = [value for name, value in named.headers if name.lower() == b"x-tenant"]
     assert told == ([team.encode()] if team else [])
     assert not any(b"secret" in value for _, value in named.headers)
--- a/walkcart/platform/tests/test_where_requests_go.py
+++ b/walkcart/platform/tests/test_where_requests_go.py
@@ -189,8 +189,8 @@
     # The only message with a request's body is made where the receiver is checked.
     assert find_uses("encode_question(") == {
         "fanout/delegationcodec.py",
-        "fanout/delegates.py",
+        "fanout/delegationclient.py",
     }
     assert "may_carry(" in (
-        Path(walkcart.__file__).parent / "fanout/delegates.py"
+        Path(walkcart.__file__).parent / "fanout/delegationclient.py"
     ).read_text(encoding="utf-8")
--- a/walkcart/routing/__init__.py
+++ b/walkcart/routing/__init__.py
@@ -14,7 +14,7 @@
     "RepeatBudget": "repeats",
     "ReplicaChooser": "replicas",
     "ShareBudget": "budgets",
-    "TurnedAway": "admission",
+    "AdmissionRefused": "admission",
     "WeightedSplit": "splits",
 }
 
--- a/walkcart/routing/accountants.py
+++ b/walkcart/routing/accountants.py
@@ -20,7 +20,7 @@
 from walkcart.routing.shares import rank_by_weight, rank_rendezvous
 
 #: Instances that may take a share.
-CANDIDATES = 3
+MAX_CANDIDATES = 3
 #: Seconds after which an accountant that isn't heard of may have ended.
 SILENT = 3.0
 #: Seconds by which each candidate waits longer than the one before it, and by which an
@@ -71,10 +71,10 @@
         order = rank_by_weight(f"quota/{share}", name, weight)
         return (site.region != regions[share % len(regions)], order, name)
 
-    return sorted(instances, key=rank)[:CANDIDATES]
+    return sorted(instances, key=rank)[:MAX_CANDIDATES]
 
 
-def find_try_wait(place: int, is_busy: bool, was_heard: bool) -> float:
+def find_attempt_delay(place: int, is_busy: bool, was_heard: bool) -> float:
     """Return how long a candidate waits before it tries to take a share, in seconds.
 
     Args:
@@ -86,6 +86,6 @@
     return place * STAGGER + is_busy * BUSY_STAGGER + was_heard * SILENT
 
 
-def find_retry(tries: int) -> float:
+def find_retry_delay(tries: int) -> float:
     """Return the seconds until the next try after so many."""
     return float(min(LONGEST_RETRY, RETRY * 2.0 ** max(0, tries - QUICK_TRIES)))
--- a/walkcart/routing/admission.py
+++ b/walkcart/routing/admission.py
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may run; tell `Admission.leave` when it ends."""
+    """The request may run; tell `Admission.release` when it ends."""
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class AdmissionRefused:
     """The request is refused.
 
     Args:
@@ -96,27 +96,27 @@
         """Queries that may run at once."""
         return int(min(self._limit, self._most))
 
-    async def enter(
-        self, partner: str, share: float, most: int, remaining: float
-    ) -> Admitted | TurnedAway:
+    async def admit(
+        self, partner: str, share: float, max_limit: int, remaining: float
+    ) -> Admitted | AdmissionRefused:
         """Admit a request, or refuse it.
 
         Args:
             partner: whose request it is.
             share: weight of the partner.
-            most: bound of the limit, from the routing intent.
+            max_limit: bound of the limit, from the routing intent.
             remaining: time left for the request, in seconds.
         """
-        self._most = most
+        self._most = max_limit
         self._shares[partner] = share
         if self._total < self.limit and not self._waiting:
             return self._admit(partner)
         patience = remaining * WAIT_SHARE
         if self._expected_wait(partner) > patience:
-            return TurnedAway(self._retry_after())
+            return AdmissionRefused(self._retry_after())
         return await self._wait(partner, patience)
 
-    def leave(self, partner: str, typical_time: float | None) -> None:
+    def release(self, partner: str, typical_time: float | None) -> None:
         """Note that an admitted request ended.
 
         Args:
@@ -132,7 +132,7 @@
             self._adapt(now, typical_time)
         self._admit_waiting()
 
-    async def _wait(self, partner: str, patience: float) -> Admitted | TurnedAway:
+    async def _wait(self, partner: str, patience: float) -> Admitted | AdmissionRefused:
         waiter = _Waiter()
         queue = self._queues.setdefault(partner, deque())
         queue.append(waiter)
@@ -151,7 +151,7 @@
                 self._waiting -= 1
         if waiter.admitted:
             return Admitted()
-        return TurnedAway(self._retry_after())
+        return AdmissionRefused(self._retry_after())
 
     def _admit(self, partner: str) -> Admitted:
         self._running[partner] = self._running.get(partner, 0) + 1
--- a/walkcart/routing/allowances.py
+++ b/walkcart/routing/allowances.py
@@ -5,10 +5,10 @@
 
 Examples:
     >>> allowance = Allowance(hold=0.25)
-    >>> allowance.take(now=10.0)
+    >>> allowance.try_consume(now=10.0)
     False
-    >>> allowance.put(2, until=10.25)
-    >>> allowance.take(now=10.1), allowance.take(now=10.3)
+    >>> allowance.add_grant(2, until=10.25)
+    >>> allowance.try_consume(now=10.1), allowance.try_consume(now=10.3)
     (True, False)
 
 See Also:
@@ -19,7 +19,7 @@
 
 import math
 
-from walkcart.routing.fullshares import FullShares
+from walkcart.routing.exhaustedshares import FullShares
 
 #: Seconds over which the use of a team at this instance is averaged.
 USE_TIME = 1.0
@@ -58,7 +58,7 @@
         self._at = -math.inf
         self.full = FullShares()
 
-    def take(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         """Take one request from what is held; False when nothing is."""
         if now >= self._until:
             self._held = 0
@@ -67,14 +67,14 @@
         self._held -= 1
         return True
 
-    def put(self, amount: int, until: float) -> None:
+    def add_grant(self, amount: int, until: float) -> None:
         """Hold what was granted, until the earlier end of what is held."""
         if amount < 1:
             return
         self._until = min(until, self._until) if self._held else until
         self._held += amount
 
-    def give_back(self, admitted_at: float, now: float) -> None:
+    def refund(self, admitted_at: float, now: float) -> None:
         """Hold again what a request took that didn't run, if that was just now.
 
         Args:
@@ -83,14 +83,14 @@
         """
         until = admitted_at + self._hold * GIVE_BACK_PART
         if now < until:
-            self.put(1, until)
+            self.add_grant(1, until)
 
-    def note_use(self, now: float) -> None:
+    def record_use(self, now: float) -> None:
         """Note that a request was admitted."""
         self._fade(now)
         self._use += 1.0 / USE_TIME
 
-    def find_wanted(self, now: float) -> int:
+    def find_request_amount(self, now: float) -> int:
         """Return how much to ask for: one, and what is used while a grant holds."""
         self._fade(now)
         return min(MOST_WANTED, 1 + math.floor(self._use * self._hold))
@@ -101,16 +101,16 @@
             self._at = now
 
 
-class ReplyPatience:
+class ReplyTimeout:
     """For how long to wait for an accountant before another is asked.
 
     Examples:
-        >>> patience = ReplyPatience()
-        >>> patience.find()
+        >>> patience = ReplyTimeout()
+        >>> patience.find_timeout()
         0.12
         >>> for _ in range(60):
-        ...     patience.note(0.002)
-        >>> patience.find()
+        ...     patience.record(0.002)
+        >>> patience.find_timeout()
         0.04
     """
 
@@ -119,12 +119,12 @@
     def __init__(self) -> None:
         self._usual = MOST_PATIENCE / PATIENCE_FACTOR
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Note how long an answer took; longer ones count at once."""
         faded = self._usual + NEWEST_WEIGHT * (seconds - self._usual)
         self._usual = max(seconds, faded)
 
-    def find(self) -> float:
+    def find_timeout(self) -> float:
         """Return the seconds to wait."""
         wanted = PATIENCE_FACTOR * self._usual
         return min(MOST_PATIENCE, max(LEAST_PATIENCE, wanted))
--- a/walkcart/routing/budgets.py
+++ b/walkcart/routing/budgets.py
@@ -18,10 +18,10 @@
 
     Examples:
         >>> budget = ShareBudget(burst=1.0)
-        >>> budget.take(), budget.take()
+        >>> budget.try_spend(), budget.try_spend()
         (True, False)
         >>> budget.earn(20, share=0.05)
-        >>> budget.take()
+        >>> budget.try_spend()
         True
     """
 
@@ -35,7 +35,7 @@
         """Note `tries` first tries, each of which earns `share`."""
         self._saved = min(self._burst, self._saved + tries * share)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one extra request; False when there is none."""
         if self._saved < 1.0 - 1e-9:
             return False
--- a/walkcart/routing/coldleafs.py
+++ b/walkcart/routing/coldleaves.py
@@ -8,11 +8,11 @@
 
 Examples:
     >>> bound = ColdBound(tolerance=1.5, slack=5.0)
-    >>> bound.most(4.0)
+    >>> bound.max_requests(4.0)
     11
-    >>> [Share(index, 3).of(11) for index in range(3)]
+    >>> [ColdShare(index, 3).find_limit(11) for index in range(3)]
     [4, 4, 3]
-    >>> bound.most(0.0) is None
+    >>> bound.max_requests(0.0) is None
     True
 """
 
@@ -40,7 +40,7 @@
     tolerance: float = 1.0
     slack: float = 0.0
 
-    def most(self, rate: float) -> int | None:
+    def max_requests(self, rate: float) -> int | None:
         """Return the requests within a window, of all instances; None without a bound.
 
         Args:
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class ColdShare:
     """One of the shares that the bound of each cold leaf is cut into.
 
     Args:
@@ -63,9 +63,9 @@
     index: int
     count: int
 
-    def of(self, most: int) -> int:
+    def find_limit(self, max_requests: int) -> int:
         """Return the requests within a window that this share stands for."""
-        return most // self.count + (self.index < most % self.count)
+        return max_requests // self.count + (self.index < max_requests % self.count)
 
 
 class SendLog:
@@ -73,11 +73,11 @@
 
     Examples:
         >>> log = SendLog()
-        >>> [log.take(0.1 * number, most=2) for number in range(3)]
+        >>> [log.try_send(0.1 * number, most=2) for number in range(3)]
         [True, True, False]
         >>> round(log.wait(0.2, most=2), 3)
         0.9
-        >>> log.take(1.2, most=2)
+        >>> log.try_send(1.2, most=2)
         True
     """
 
@@ -86,19 +86,19 @@
     def __init__(self) -> None:
         self._sent: deque[float] = deque()
 
-    def wait(self, now: float, most: int) -> float:
+    def wait(self, now: float, max_requests: int) -> float:
         """Return the seconds until a request may be sent; infinite if none ever may."""
         while self._sent and self._sent[0] <= now - WINDOW - WINDOW_MARGIN:
             self._sent.popleft()
-        if most <= 0:
+        if max_requests <= 0:
             return float("inf")
-        if len(self._sent) < most:
+        if len(self._sent) < max_requests:
             return 0.0
-        return self._sent[len(self._sent) - most] + WINDOW + WINDOW_MARGIN - now
+        return self._sent[len(self._sent) - max_requests] + WINDOW + WINDOW_MARGIN - now
 
-    def take(self, now: float, most: int) -> bool:
+    def try_send(self, now: float, max_requests: int) -> bool:
         """Take room for a request that is sent now; return False when there is none."""
-        if self.wait(now, most) > 0.0:
+        if self.wait(now, max_requests) > 0.0:
             return False
         self._sent.append(now)
         return True
--- a/walkcart/routing/distance.py
+++ b/walkcart/routing/distance.py
@@ -15,18 +15,18 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
+class Location:
     """Where an instance or a leaf stands."""
 
     region: str
     data_centre: str
 
 
-def measure_distance(one: Place, other: Place) -> Distance:
+def measure_distance(one: Location, other: Location) -> Distance:
     """Return how far two places are apart.
 
     Examples:
-        >>> measure_distance(Place("n", "n-a"), Place("n", "n-b")).name
+        >>> measure_distance(Location("n", "n-a"), Location("n", "n-b")).name
         'SAME_REGION'
     """
     if one == other:
--- a/walkcart/routing/ejection.py
+++ b/walkcart/routing/ejection.py
@@ -27,7 +27,7 @@
         """Return whether the leaf is left out at `now`."""
         return now < self.until
 
-    def note_success(self) -> bool:
+    def record_success(self) -> bool:
         """Note a reply; return whether the leaf had been ejected before."""
         returned = self.until > 0.0
         self._failures = 0
@@ -35,7 +35,7 @@
         self.until = 0.0
         return returned
 
-    def note_failure(self, now: float, may_eject: bool) -> bool:
+    def record_failure(self, now: float, may_eject: bool) -> bool:
         """Note a failure; return whether that ejects the leaf.
 
         Args:
--- a/walkcart/routing/eligibility.py
+++ b/walkcart/routing/eligibility.py
@@ -9,14 +9,14 @@
 
 Examples:
     >>> home = Regions(frozenset({"north"}))
-    >>> leaf = LeafStanding("north", "north-a")
+    >>> leaf = LeafState("north", "north-a")
     >>> find_obstacle(leaf, home) is None
     True
-    >>> find_obstacle(LeafStanding("south", "south-a"), home).name
+    >>> find_obstacle(LeafState("south", "south-a"), home).name
     'OUTSIDE_REGIONS'
     >>> find_obstacle(leaf, home, evacuated=frozenset({"north-a"})).name
     'EVACUATED'
-    >>> may_carry(home, "south"), may_carry(ANYWHERE, "south")
+    >>> may_carry(home, "south"), may_carry(ALL_REGIONS, "south")
     (False, True)
 """
 
@@ -58,9 +58,9 @@
 
 
 #: Where operators set no regions.
-ANYWHERE = Regions()
+ALL_REGIONS = Regions()
 #: For what may not be served at all any more.
-NOWHERE = Regions(frozenset())
+NO_REGIONS = Regions(frozenset())
 
 
 class Obstacle(Enum):
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeafStanding:
+class LeafState:
     """What of a leaf decides whether it may get a request.
 
     Args:
@@ -93,8 +93,8 @@
 
 
 def find_obstacle(
-    leaf: LeafStanding,
-    regions: Regions = ANYWHERE,
+    leaf: LeafState,
+    regions: Regions = ALL_REGIONS,
     evacuated: frozenset[str] = NO_DATA_CENTRES,
 ) -> Obstacle | None:
     """Return why a request may not go to a leaf, or None when it may.
--- a/walkcart/routing/gatherers.py
+++ b/walkcart/routing/gatherers.py
@@ -33,7 +33,7 @@
 #: Seconds of one core that a part takes at its gatherer: 0.31 ms for a request and its
 #: reply, measured with the HTTP library alone, and about as much for the choice of the
 #: leaf, the event loop and the merge, estimated.
-PART_TIME = 0.0006
+PART_CPU_TIME = 0.0006
 #: Share of a gatherer's processor that its parts may take at the usual rate: three
 #: times that rate still leaves room.
 MOST_BUSY = 0.25
@@ -91,7 +91,7 @@
         self._at = float("-inf")
         self._held = 0.0
 
-    def note(self, now: float, parts: int) -> None:
+    def record(self, now: float, parts: int) -> None:
         """Note a question over so many parts."""
         self._count = self._decay(now) + parts
         self._at = now
@@ -108,12 +108,12 @@
         return self._count * math.exp(min(0.0, self._at - now) / AVERAGING_TIME)
 
 
-def find_needed_capacity(rate: float, instances: int, places: int) -> float:
+def find_needed_capacity(rate: float, instances: int, data_centres: int) -> float:
     """Return the cores that gathering needs in each of some data centres.
 
     Args:
         rate: parts a second that one instance's callers have asked for.
         instances: in the fleet.
-        places: data centres that have leafs to gather from.
+        data_centres: data centres that have leafs to gather from.
     """
-    return rate * instances * PART_TIME / MOST_BUSY / max(1, places)
+    return rate * instances * PART_CPU_TIME / MOST_BUSY / max(1, data_centres)
--- a/walkcart/routing/holders.py
+++ b/walkcart/routing/holders.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldLeaf:
+class SharedLeaf:
     """A leaf whose connections are divided.
 
     Args:
@@ -41,14 +41,14 @@
 
     def __init__(self) -> None:
         self._instances: dict[str, str] = {}
-        self._leaves: dict[str, HeldLeaf] = {}
+        self._leaves: dict[str, SharedLeaf] = {}
         self._ranked: dict[str, list[tuple[bool, int, str]]] = {}
 
-    def leaves(self) -> tuple[HeldLeaf, ...]:
+    def leaves(self) -> tuple[SharedLeaf, ...]:
         """Return the leaves."""
         return tuple(self._leaves.values())
 
-    def set_leaves(self, leaves: list[HeldLeaf]) -> None:
+    def set_leaves(self, leaves: list[SharedLeaf]) -> None:
         """Take the leaves; only new ones are ranked."""
         wanted = {leaf.address: leaf for leaf in leaves}
         for address in [item for item in self._leaves if item not in wanted]:
@@ -86,17 +86,17 @@
         count = leaf.shares.holder_count(len(self._instances))
         return tuple(sorted(name for _, _, name in self._ranked[address][:count]))
 
-    def _kept(self, leaf: HeldLeaf) -> int:
+    def _kept(self, leaf: SharedLeaf) -> int:
         return leaf.shares.most_holders * (1 + SPARES)
 
-    def _rank(self, leaf: HeldLeaf) -> None:
+    def _rank(self, leaf: SharedLeaf) -> None:
         ranked = sorted(
             rank_holder(leaf.address, leaf.region, name, region)
             for name, region in self._instances.items()
         )
         self._ranked[leaf.address] = ranked[: self._kept(leaf)]
 
-    def _change(self, leaf: HeldLeaf, gone: list[str], come: list[str]) -> None:
+    def _change(self, leaf: SharedLeaf, gone: list[str], come: list[str]) -> None:
         ranked = self._ranked[leaf.address]
         # Whether some instances rank below what is kept: then an addition that
         # ranks last may not be put at the end.
--- a/walkcart/routing/overshoot.py
+++ b/walkcart/routing/instancedelay.py
@@ -5,7 +5,7 @@
 and how long the processor is kept by sending a question's requests.
 
 Examples:
-    >>> overshoot = Overshoot()
+    >>> overshoot = InstanceDelay()
     >>> for _ in range(20):
     ...     overshoot.observe(0.004)
     >>> overshoot.estimate(now=1.0)
@@ -25,7 +25,7 @@
 LONGEST = 0.03
 
 
-class Overshoot:
+class InstanceDelay:
     """Learns one delay of an instance."""
 
     def __init__(self) -> None:
--- a/walkcart/routing/instanceroom.py
+++ b/walkcart/routing/instancelimiter.py
@@ -9,8 +9,8 @@
 delay there is no limit.
 
 Examples:
-    >>> room = InstanceRoom()
-    >>> room.enter("first", Entry(rank=0, due=1.0, deadline=5.0), now=0.0)
+    >>> room = InstanceLimiter()
+    >>> room.submit("first", PendingQuestion(rank=0, due=1.0, deadline=5.0), now=0.0)
     Started()
     >>> room.limit
     inf
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class PendingQuestion:
     """A question that wants to be worked on.
 
     Args:
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The question may be worked on; tell `InstanceRoom.leave` when it ends."""
+    """The question may be worked on; tell `InstanceLimiter.finish` when it ends."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Crowded:
+class Overloaded:
     """The question can't be answered in time.
 
     Args:
@@ -103,7 +103,7 @@
 @dataclass(frozen=True, slots=True)
 class _Held(Generic[T]):
     item: T
-    entry: Entry
+    entry: PendingQuestion
     turn: float
 
     @property
@@ -112,7 +112,7 @@
         return self.entry.rank, self.turn
 
 
-class InstanceRoom(Generic[T]):
+class InstanceLimiter(Generic[T]):
     """What one instance works on; each question is told by an item of the caller's."""
 
     def __init__(self) -> None:
@@ -135,7 +135,7 @@
         """Questions that wait for their turn."""
         return len(self._queue)
 
-    def note_delay(self, delay: float, now: float) -> None:
+    def record_delay(self, delay: float, now: float) -> None:
         """Take in by how many seconds the event loop was behind at one look."""
         self._delays.append((now, delay))
         while self._delays[0][0] < now - STANDING_TIME:
@@ -149,7 +149,9 @@
             return 0.0
         return min(delay for _, delay in self._delays)
 
-    def enter(self, item: T, entry: Entry, now: float) -> Started | Waiting | Crowded:
+    def submit(
+        self, item: T, entry: PendingQuestion, now: float
+    ) -> Started | Waiting | Overloaded:
         """Start a question, have it wait, or refuse it.
 
         Args:
@@ -165,13 +167,13 @@
         ahead = sum(1 for other in self._queue if other.order < held.order)
         wait = self._expect_wait(ahead, now)
         if now + wait * CAUTION + entry.time > entry.deadline:
-            return Crowded(self._find_retry(now), wait)
+            return Overloaded(self._find_retry(now), wait)
         self._turns[entry.team] = turn
         urgency = Urgency(entry.rank, entry.due, now, turn)
         self._queue.add(held, urgency)
         return Waiting()
 
-    def leave(self, now: float, elapsed: float) -> None:
+    def finish(self, now: float, elapsed: float) -> None:
         """Note that a question ended; see `take_started` and `take_hopeless`.
 
         Args:
@@ -184,29 +186,29 @@
         self._time += gain * (elapsed - self._time)
         self.in_progress -= 1
 
-    def withdraw(self) -> None:
+    def cancel_started(self) -> None:
         """Take back a question that was started and never worked on."""
         self.in_progress -= 1
 
-    def give_up(self, item: T) -> None:
+    def cancel_waiting(self, item: T) -> None:
         """Forget a question that waits, since its caller left."""
         for held in self._queue:
             if held.item is item:
                 self._queue.remove(held)
                 return
 
-    def take_started(self, now: float) -> list[T]:
+    def start_waiting(self, now: float) -> list[T]:
         """Return the questions whose turn has come."""
         started = []
         while self.in_progress < self.limit:
-            held = self._queue.take(now)
+            held = self._queue.pop(now)
             if held is None:
                 break
             self._start(held.entry.team, held.turn)
             started.append(held.item)
         return started
 
-    def take_hopeless(self, now: float) -> list[tuple[T, Crowded]]:
+    def remove_late(self, now: float) -> list[tuple[T, Overloaded]]:
         """Take out and return what waits and won't be answered in time any more.
 
         More urgent questions that came later may have taken its turn.
@@ -217,7 +219,7 @@
             wait = self._expect_wait(ahead, now)
             if now + wait + held.entry.time > held.entry.deadline:
                 self._queue.remove(held)
-                hopeless.append((held.item, Crowded(self._find_retry(now), wait)))
+                hopeless.append((held.item, Overloaded(self._find_retry(now), wait)))
             else:
                 ahead += 1
         return hopeless
@@ -230,7 +232,7 @@
             # Nobody waits: claims on the past bind nobody.
             self._turns.clear()
 
-    def _find_turn(self, entry: Entry) -> float:
+    def _find_turn(self, entry: PendingQuestion) -> float:
         """Return the virtual time at which a team's next question is due."""
         before = max(self._virtual, self._turns.get(entry.team, 0.0))
         return before + 1.0 / max(entry.weight, 1e-9)
--- a/walkcart/routing/settling.py
+++ b/walkcart/routing/latetimes.py
@@ -6,13 +6,13 @@
 longer than nine in ten do: what waits there in vain is then found in time.
 
 Examples:
-    >>> round(find_settle_time(0.0, objective=0.2, near_high=0.04, late_high=0.06), 3)
+    >>> round(find_late_request_time(0.0, objective=0.2, near_high=0.04, late_high=0.06), 3)
     0.05
-    >>> find_settle_time(0.0, objective=0.05, near_high=0.03, late_high=0.06)
+    >>> find_late_request_time(0.0, objective=0.05, near_high=0.03, late_high=0.06)
     inf
 
 See Also:
-    `walkcart.routing.kindtimes.find_hedge_time`, for second attempts one by one.
+    `walkcart.routing.requesttimes.find_hedge_time`, for second attempts one by one.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 #: Seconds from an instance's reply to the asker's next step: both are busy.
 STEP_TIME = 0.01
 #: Seconds past the time to settle for which other instances' replies are waited for.
-SETTLE_GRACE = 0.008
+LATE_REPLY_GRACE = 0.008
 #: Seconds kept back from the objective for the merge of the last reply.
 SETTLE_RESERVE = 0.005
 #: Seconds between regions and back before any was observed.
@@ -29,13 +29,13 @@
 GAIN = 0.2
 
 
-class GroupTimes:
+class PeerPartTimes:
     """Learns what decides how long parts from other instances take.
 
     Examples:
-        >>> times = GroupTimes()
-        >>> times.note_near("search", 0.04)
-        >>> round(times.expect_late("search", 0.06), 3)
+        >>> times = PeerPartTimes()
+        >>> times.record_near("search", 0.04)
+        >>> round(times.estimate_late("search", 0.06), 3)
         0.07
     """
 
@@ -43,16 +43,16 @@
         self._near: dict[str, float] = {}
         self._way = FIRST_WAY
 
-    def note_near(self, kind: str, high: float) -> None:
+    def record_near(self, kind: str, high: float) -> None:
         """Note what an instance says is a long time for a leaf near to it."""
         before = self._near.get(kind, high)
         self._near[kind] = before + GAIN * (high - before)
 
-    def note_way(self, elapsed: float) -> None:
+    def record_round_trip(self, elapsed: float) -> None:
         """Note the seconds to an instance in another region and back."""
         self._way += GAIN * (elapsed - self._way)
 
-    def expect_near(self, kind: str, own: float) -> float:
+    def estimate_near(self, kind: str, own: float) -> float:
         """Return a long time for a leaf near the instance that asks it.
 
         Args:
@@ -61,12 +61,12 @@
         """
         return self._near.get(kind, own)
 
-    def expect_late(self, kind: str, own: float) -> float:
+    def estimate_late(self, kind: str, own: float) -> float:
         """Return a long time for late parts from another region."""
-        return self.expect_near(kind, own) + self._way + STEP_TIME
+        return self.estimate_near(kind, own) + self._way + STEP_TIME
 
 
-def find_settle_time(
+def find_late_request_time(
     now: float, objective: float, near_high: float, late_high: float
 ) -> float:
     """Return when late parts are asked for together; infinite when that's too late.
--- a/walkcart/routing/leafroom.py
+++ b/walkcart/routing/leaflimiter.py
@@ -7,15 +7,15 @@
 a leaf that works at its usual pace with little to do.
 
 Examples:
-    >>> room = LeafRoom(slots=2)
-    >>> busy = Demand(rank=1, left=0.17, time=0.02)
+    >>> room = LeafLimiter(slots=2)
+    >>> busy = SlotRequest(rank=1, left=0.17, time=0.02)
     >>> room.allows(busy, sent=1, others=0.0, now=0.0)
     True
-    >>> room.note_urgent(rank=0, objective=0.09, now=0.0)
-    >>> slow = Demand(rank=1, left=0.17, time=0.2)
+    >>> room.record_urgent(rank=0, objective=0.09, now=0.0)
+    >>> slow = SlotRequest(rank=1, left=0.17, time=0.2)
     >>> room.allows(slow, sent=1, others=0.0, now=0.0)
     False
-    >>> room.allows(Demand(rank=0, left=0.09, time=0.06), 1, 0.0, now=0.0)
+    >>> room.allows(SlotRequest(rank=0, left=0.09, time=0.06), 1, 0.0, now=0.0)
     True
 """
 
@@ -36,7 +36,7 @@
 DELAY_MARGIN = 1.5
 
 
-def find_turn(ahead: int, slots: int, time: float) -> float:
+def estimate_queue_delay(ahead: int, slots: int, time: float) -> float:
     """Return the seconds until a request gets its turn at a leaf.
 
     Args:
@@ -45,13 +45,13 @@
         time: seconds that one takes there of late.
 
     Examples:
-        >>> find_turn(ahead=6, slots=2, time=0.2)
+        >>> estimate_queue_delay(ahead=6, slots=2, time=0.2)
         0.8
     """
     return (ahead + slots) / max(1, slots) * time
 
 
-def comes_too_late(delay: float, left: float) -> bool:
+def is_too_late(delay: float, left: float) -> bool:
     """Return whether a request surely can't be served any more.
 
     Args:
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class SlotRequest:
     """A request that is to be sent to a leaf.
 
     Args:
@@ -84,7 +84,7 @@
     at: float
 
 
-class LeafRoom:
+class LeafLimiter:
     """What one leaf may be sent by this instance.
 
     Args:
@@ -95,15 +95,17 @@
         self._slots = max(1, slots)
         self._expected: dict[int, _Expected] = {}
 
-    def note_urgent(self, rank: int, objective: float, now: float) -> None:
+    def record_urgent(self, rank: int, objective: float, now: float) -> None:
         """Note that requests of a rank come, with so many seconds of objective."""
         self._expected[rank] = _Expected(objective, now)
 
-    def allows(self, demand: Demand, sent: int, others: float, now: float) -> bool:
+    def allows(
+        self, request: SlotRequest, sent: int, others: float, now: float
+    ) -> bool:
         """Return whether a request may be sent now, or else waits here.
 
         Args:
-            demand: the request.
+            request: the request.
             sent: requests of this instance that the leaf has.
             others: requests of other instances that it likely has.
             now: the present, in seconds.
@@ -112,11 +114,11 @@
             # Its reply is what tells that there is room again.
             return True
         load = sent + others
-        if load + 1 > self._slots - self._reserved(demand, now):
-            return self._may_queue(demand, load, now)
+        if load + 1 > self._slots - self._reserved(request, now):
+            return self._may_queue(request, load, now)
         return True
 
-    def _may_queue(self, demand: Demand, load: float, now: float) -> bool:
+    def _may_queue(self, demand: SlotRequest, load: float, now: float) -> bool:
         """Return whether a request comes in time from the leaf's own queue."""
         if self._reserved(demand, now):
             return False
@@ -124,7 +126,7 @@
         wait = ahead / self._slots * demand.time
         return wait + demand.time <= demand.left
 
-    def _reserved(self, demand: Demand, now: float) -> int:
+    def _reserved(self, demand: SlotRequest, now: float) -> int:
         """Return the slots that a request leaves to more urgent ones."""
         wait = demand.time / self._slots
         for rank, expected in self._expected.items():
--- a/walkcart/routing/peerchoice.py
+++ b/walkcart/routing/peerchoice.py
@@ -7,12 +7,12 @@
 wait for the slowest leaf.
 
 Examples:
-    >>> accounts, work = PeerAccounts(), {"a": 0.01, "b": 0.01}
-    >>> accounts.note_answer("a", 1.0, 0.05)
-    >>> accounts.note_answer("b", 1.0, 0.2)
+    >>> accounts, work = PeerStats(), {"a": 0.01, "b": 0.01}
+    >>> accounts.record_answer("a", 1.0, 0.05)
+    >>> accounts.record_answer("b", 1.0, 0.2)
     >>> accounts.choose(["b", "a"], 1.1, work)
     'a'
-    >>> accounts.note_silent("a", 1.2)
+    >>> accounts.record_timeout("a", 1.2)
     >>> accounts.choose(["b", "a"], 1.3, work)
     'b'
 """
@@ -71,7 +71,7 @@
     round_trip: float = FIRST_ROUND_TRIP
 
 
-class PeerAccounts:
+class PeerStats:
     """Keeps how the other instances did."""
 
     def __init__(self) -> None:
@@ -99,7 +99,7 @@
         least = min(times.values())
         return next(name for name in usable if times[name] <= SWITCH_FACTOR * least)
 
-    def find_unheard(self, names: Sequence[str], now: float) -> list[str]:
+    def find_peers_to_greet(self, names: Sequence[str], now: float) -> list[str]:
         """Return those to be greeted now: they stayed silent, and may be back.
 
         No question waits for the answer to a greeting. The load it answers: a lost data
@@ -119,22 +119,22 @@
                 found.append(name)
         return found
 
-    def note_sent(self, name: str, now: float) -> None:
+    def record_sent(self, name: str, now: float) -> None:
         """Note that a question was sent."""
         self._account(name).in_progress += 1
 
-    def note_ended(self, name: str) -> None:
+    def record_ended(self, name: str) -> None:
         """Note that a question is no longer waited for."""
         self._account(name).in_progress -= 1
 
-    def note_taken(self, name: str, now: float, elapsed: float) -> None:
+    def record_accepted(self, name: str, now: float, elapsed: float) -> None:
         """Note the word that a question was taken, so many seconds after it went."""
         account = self._account(name)
         account.heard_at = now
         account.unheard = False
         account.round_trip += ROUND_TRIP_GAIN * (elapsed - account.round_trip)
 
-    def note_answer(self, name: str, now: float, elapsed: float) -> None:
+    def record_answer(self, name: str, now: float, elapsed: float) -> None:
         """Note an answer, so many seconds after the question."""
         account = self._account(name)
         account.heard_at = now
@@ -142,7 +142,7 @@
         account.time.observe(now, elapsed)
         account.silence = FIRST_SILENCE
 
-    def note_silent(self, name: str, now: float) -> None:
+    def record_timeout(self, name: str, now: float) -> None:
         """Note that an instance didn't answer in time.
 
         It gets nothing until it was heard of, and for some time in any case.
@@ -154,14 +154,14 @@
         account.silent_until = now + account.silence
         account.silence = min(LONGEST_SILENCE, account.silence * 2)
 
-    def note_greeting(self, name: str) -> None:
+    def record_greeting(self, name: str) -> None:
         """Note that an instance made itself known: it likely has just started."""
         account = self._account(name)
         account.silent_until = float("-inf")
         account.silence = FIRST_SILENCE
         account.unheard = False
 
-    def heard_at(self, name: str) -> float:
+    def last_heard_at(self, name: str) -> float:
         """Return when an instance was heard of last."""
         return self._account(name).heard_at
 
@@ -169,7 +169,7 @@
         """Return the seconds to an instance and back."""
         return self._account(name).round_trip
 
-    def patience(self, name: str, time: float) -> float:
+    def acceptance_timeout(self, name: str, time: float) -> float:
         """Return the seconds to wait for the word that a question was taken.
 
         Args:
--- a/walkcart/routing/placement.py
+++ b/walkcart/routing/placement.py
@@ -7,14 +7,14 @@
 
 Examples:
     >>> here, there = Distance.SAME_DATA_CENTRE, Distance.OTHER_REGION
-    >>> near = Standing("near", load=0.0, slots=2, time=0.03, distance=here)
-    >>> far = Standing("far", load=0.0, slots=2, time=0.046, distance=there)
+    >>> near = LeafCandidate("near", load=0.0, slots=2, time=0.03, distance=here)
+    >>> far = LeafCandidate("far", load=0.0, slots=2, time=0.046, distance=there)
     >>> choose_leaf([far, near], 0.1, Random(1)).key
     'near'
-    >>> failing = Standing("near", 0.0, 2, time=0.03, distance=here, good_share=0.4)
+    >>> failing = LeafCandidate("near", 0.0, 2, time=0.03, distance=here, good_share=0.4)
     >>> choose_leaf([far, failing], 0.1, Random(1)).key
     'far'
-    >>> busy = Standing("near", load=6.0, slots=2, time=0.03, distance=here)
+    >>> busy = LeafCandidate("near", load=6.0, slots=2, time=0.03, distance=here)
     >>> choose_leaf([far, busy], 0.1, Random(1)).key
     'far'
 """
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class LeafCandidate:
     """One leaf, as its choice sees it.
 
     Args:
@@ -64,7 +64,7 @@
         cold: whether it has just started.
         stalled: whether it owes replies for longer than it should.
         ejected: whether it failed lately.
-        good_share: share of such requests that it answers well.
+        success_rate: share of such requests that it answers well.
     """
 
     key: str
@@ -75,10 +75,10 @@
     cold: bool = False
     stalled: bool = False
     ejected: bool = False
-    good_share: float = 1.0
+    success_rate: float = 1.0
 
 
-def expect_time(standing: Standing, objective: float) -> float:
+def expect_time(standing: LeafCandidate, objective: float) -> float:
     """Return the seconds that a request would likely take at a leaf, with its costs.
 
     Args:
@@ -90,8 +90,8 @@
         service *= COLD_FACTOR
     waiting = max(0.0, standing.load + 1.0 - standing.slots)
     time = service * (1.0 + waiting / max(1, standing.slots))
-    time /= standing.good_share
-    time += (1.0 - standing.good_share) * FAILURE_SHARE * objective
+    time /= standing.success_rate
+    time += (1.0 - standing.success_rate) * FAILURE_SHARE * objective
     time += FAR_SHARE * objective * COST_SHARES[standing.distance]
     if standing.stalled:
         time += STALLED_COST
@@ -99,18 +99,18 @@
 
 
 def choose_leaf(
-    standings: Sequence[Standing], objective: float, random: Random
-) -> Standing | None:
+    candidates: Sequence[LeafCandidate], objective: float, random: Random
+) -> LeafCandidate | None:
     """Return the leaf for the next request, or None without any.
 
     Ejected leafs are used only when no others are left.
 
     Args:
-        standings: of the leafs.
+        candidates: of the leafs.
         objective: seconds within which the request is to be answered.
         random: draws lots among those that are about as good.
     """
-    usable = [item for item in standings if not item.ejected] or standings
+    usable = [item for item in candidates if not item.ejected] or candidates
     if len(usable) <= 1:
         return usable[0] if usable else None
     timed = [(expect_time(item, objective), item) for item in usable]
--- a/walkcart/routing/quarantine.py
+++ b/walkcart/routing/quarantine.py
@@ -21,12 +21,12 @@
 Examples:
     >>> quarantine = Quarantine()
     >>> for strike in (11, 22, 33):
-    ...     quarantine.note_strike(b"request", strike, now=0.0)
-    >>> quarantine.find_standing(b"request", now=1.0)
+    ...     quarantine.record_strike(b"request", strike, now=0.0)
+    >>> quarantine.find_level(b"request", now=1.0)
     <Standing.REFUSED: 3>
-    >>> quarantine.note_answer(b"request", now=2.0)
+    >>> quarantine.record_answer(b"request", now=2.0)
     True
-    >>> quarantine.find_standing(b"request", now=2.0)
+    >>> quarantine.find_level(b"request", now=2.0)
     <Standing.USUAL: 1>
 """
 
@@ -51,10 +51,10 @@
 MEMORY_TIME = 1800.0
 #: Requests that are remembered. With their strikes 100 KB (worked out); a flood of
 #: different requests displaces only those with as few strikes.
-MOST_ENTRIES = 256
+MAX_ENTRIES = 256
 
 
-class Standing(Enum):
+class QuarantineLevel(Enum):
     """What a request may do."""
 
     USUAL = 1
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Suspicion:
+class StrikeRecord:
     """What is known of one request.
 
     Args:
@@ -94,51 +94,51 @@
     """
 
     def __init__(self) -> None:
-        self._entries: dict[bytes, Suspicion] = {}
+        self._entries: dict[bytes, StrikeRecord] = {}
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def find(self, fingerprint: bytes) -> Suspicion | None:
+    def find(self, fingerprint: bytes) -> StrikeRecord | None:
         """Return what is known of a request."""
         return self._entries.get(fingerprint)
 
-    def find_standing(self, fingerprint: bytes, now: float) -> Standing:
+    def find_level(self, fingerprint: bytes, now: float) -> QuarantineLevel:
         """Return what a request may do."""
         held = self._entries.get(fingerprint)
         if held is None or now - held.latest > MEMORY_TIME:
-            return Standing.USUAL
+            return QuarantineLevel.USUAL
         if len(held.strikes) < CAREFUL_STRIKES:
-            return Standing.USUAL
+            return QuarantineLevel.USUAL
         if len(held.strikes) < REFUSED_STRIKES or self.find_wait(fingerprint, now) <= 0:
-            return Standing.CAREFUL
-        return Standing.REFUSED
+            return QuarantineLevel.CAREFUL
+        return QuarantineLevel.REFUSED
 
     def find_wait(self, fingerprint: bytes, now: float) -> float:
         """Return the seconds until a refused request may be tried again."""
         held = self._entries.get(fingerprint)
         return held.struck_at + REFUSAL_TIME - now if held else 0.0
 
-    def note_strike(self, fingerprint: bytes, strike: int, now: float) -> None:
+    def record_strike(self, fingerprint: bytes, strike: int, now: float) -> None:
         """Note a strike, named by a random number."""
-        self.merge(fingerprint, Suspicion(frozenset((strike,)), now), now)
+        self.merge(fingerprint, StrikeRecord(frozenset((strike,)), now), now)
 
-    def note_answer(self, fingerprint: bytes, now: float) -> bool:
+    def record_answer(self, fingerprint: bytes, now: float) -> bool:
         """Note that a leaf answered a request; return whether that is news."""
         held = self._entries.get(fingerprint)
         if held is None or not held.strikes:
             return False
-        self._entries[fingerprint] = Suspicion(frozenset(), held.struck_at, now)
+        self._entries[fingerprint] = StrikeRecord(frozenset(), held.struck_at, now)
         return True
 
-    def merge(self, fingerprint: bytes, told: Suspicion, now: float) -> bool:
+    def merge(self, fingerprint: bytes, told: StrikeRecord, now: float) -> bool:
         """Take in what another instance knows; return whether that is news."""
         if now - told.latest > MEMORY_TIME:
             return False
         held = self._entries.get(fingerprint)
         merged = told if held is None else _unite(held, told)
         if merged.struck_at <= merged.answered_at:
-            merged = Suspicion(frozenset(), merged.struck_at, merged.answered_at)
+            merged = StrikeRecord(frozenset(), merged.struck_at, merged.answered_at)
         if held is not None and merged.strikes == held.strikes:
             # Its times may still have moved on.
             self._entries[fingerprint] = merged
@@ -148,17 +148,17 @@
         self._entries[fingerprint] = merged
         return held is not None or bool(merged.strikes)
 
-    def entries(self, now: float) -> Iterable[tuple[bytes, Suspicion]]:
+    def entries(self, now: float) -> Iterable[tuple[bytes, StrikeRecord]]:
         """Return what is remembered, forgetting what is old."""
         self._forget_old(now)
         return tuple(self._entries.items())
 
-    def _make_room(self, wanted: Suspicion, now: float) -> bool:
+    def _make_room(self, wanted: StrikeRecord, now: float) -> bool:
         """Return whether there is room, or one that weighs less gave way."""
-        if len(self._entries) < MOST_ENTRIES:
+        if len(self._entries) < MAX_ENTRIES:
             return True
         self._forget_old(now)
-        if len(self._entries) < MOST_ENTRIES:
+        if len(self._entries) < MAX_ENTRIES:
             return True
         least = min(self._entries, key=lambda item: self._entries[item].weight)
         if self._entries[least].weight > wanted.weight:
@@ -176,7 +176,7 @@
             del self._entries[fingerprint]
 
 
-def _unite(one: Suspicion, other: Suspicion) -> Suspicion:
+def _unite(one: StrikeRecord, other: StrikeRecord) -> StrikeRecord:
     """Return what two instances know together; strikes before an answer are void."""
     answered_at = max(one.answered_at, other.answered_at)
     strikes: frozenset[int] = frozenset()
@@ -184,4 +184,4 @@
         if item.struck_at > answered_at:
             strikes |= item.strikes
     kept = frozenset(sorted(strikes)[:REFUSED_STRIKES])
-    return Suspicion(kept, max(one.struck_at, other.struck_at), answered_at)
+    return StrikeRecord(kept, max(one.struck_at, other.struck_at), answered_at)
--- a/walkcart/routing/quotas.py
+++ b/walkcart/routing/quotas.py
@@ -13,9 +13,9 @@
     >>> size_bucket(limit, bounds, "fitters", 0)
     BucketSize(rate=3.0, depth=3.0, start=1.0)
     >>> account = ShareAccount(0, bounds, started_at=0.0, with_start=True)
-    >>> account.ask(Want("fitters", limit, version=1, amount=1), now=0.0).granted
+    >>> account.grant(QuotaRequest("fitters", limit, version=1, amount=1), now=0.0).granted
     1
-    >>> reply = account.ask(Want("fitters", limit, version=1, amount=1), now=0.1)
+    >>> reply = account.grant(QuotaRequest("fitters", limit, version=1, amount=1), now=0.1)
     >>> reply.granted, round(reply.wait, 2)
     (0, 0.23)
 
@@ -29,22 +29,22 @@
 from dataclasses import dataclass, field
 
 from walkcart.intent.teams import RateLimit
-from walkcart.routing.fullshares import FullShares, Told
+from walkcart.routing.exhaustedshares import FullShares, Told
 from walkcart.routing.shares import rank_rendezvous
-from walkcart.routing.tokenbucket import LONGEST_TURN, BucketSize, TokenBucket
+from walkcart.routing.tokenbucket import MAX_TURN_WAIT, BucketSize, TokenBucket
 
 #: Shares of a limit at the most: one that is lost leaves five sixths in use.
-SHARES = 6
+MAX_SHARES = 6
 #: Tokens of one share's bucket at the least: of smaller ones much lies idle as parts of
 #: a request, so that small limits are cut into fewer shares.
 LEAST_DEPTH = 2.0
 #: Part of the slack that is added to the burst: short rushes of requests within the
 #: limit, which fall unevenly on the shares, aren't refused.
-DEPTH_PART = 1 / 2
+DEPTH_FRACTION = 1 / 2
 #: Part of the slack with which the buckets of all shares start anew together.
-START_PART = 1 / 6
+START_FRACTION = 1 / 6
 #: Starts of one share within a window that get it.
-MOST_STARTS = 2
+MAX_STARTS = 2
 #: Part of the tolerance that grants may use by being held; the rest is for the way
 #: from the grant to the leafs.
 HOLD_PART = 0.5
@@ -74,7 +74,7 @@
         """Seconds for which a grant holds."""
         return max(LEAST_HOLD, HOLD_PART * self.tolerance * self.window)
 
-    def most(self, limit: RateLimit) -> float:
+    def max_requests(self, limit: RateLimit) -> float:
         """Return the requests of a team that may run within a window."""
         due = limit.rate * self.window + limit.burst
         return due * (1.0 + self.tolerance) + self.slack
@@ -82,10 +82,10 @@
 
 def list_shares(limit: RateLimit, bounds: QuotaBounds, team: str) -> tuple[int, ...]:
     """Return the shares that a limit is cut into, from one that the name chooses."""
-    depth = limit.burst + bounds.slack * DEPTH_PART
-    count = min(SHARES, max(1, math.floor(depth / LEAST_DEPTH)))
+    depth = limit.burst + bounds.slack * DEPTH_FRACTION
+    count = min(MAX_SHARES, max(1, math.floor(depth / LEAST_DEPTH)))
     first = rank_rendezvous(team, "quota")
-    return tuple((first + step) % SHARES for step in range(count))
+    return tuple((first + step) % MAX_SHARES for step in range(count))
 
 
 def size_bucket(
@@ -95,11 +95,11 @@
     shares = list_shares(limit, bounds, team)
     if share not in shares:
         return None
-    depth = limit.burst + bounds.slack * DEPTH_PART
+    depth = limit.burst + bounds.slack * DEPTH_FRACTION
     return BucketSize(
         limit.rate / len(shares),
         max(1.0, depth / len(shares)),
-        _cut_start(bounds.slack * START_PART, shares.index(share), len(shares)),
+        _cut_start(bounds.slack * START_FRACTION, shares.index(share), len(shares)),
     )
 
 
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class QuotaRequest:
     """What is asked for.
 
     Args:
@@ -134,7 +134,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class QuotaReply:
     """What an accountant answers.
 
     Args:
@@ -180,28 +180,28 @@
         self._with_start = with_start
         self._entries: dict[str, _Entry] = {}
 
-    def ask(self, want: Want, now: float) -> Reply:
+    def grant(self, request: QuotaRequest, now: float) -> QuotaReply:
         """Grant what there is room for."""
-        size = size_bucket(want.limit, self._bounds, want.team, self._share)
-        entry = self._entries.get(want.team)
+        size = size_bucket(request.limit, self._bounds, request.team, self._share)
+        entry = self._entries.get(request.team)
         if entry is None:
             if size is None:
-                return Reply(0, math.inf, LONGEST_TURN)
-            entry = self._add(want, size, now)
-        elif want.version > entry.version:
-            entry.version = want.version
+                return QuotaReply(0, math.inf, MAX_TURN_WAIT)
+            entry = self._add(request, size, now)
+        elif request.version > entry.version:
+            entry.version = request.version
             entry.bucket.resize(size or _NOTHING, now)
         bucket = entry.bucket
         if bucket.size is _NOTHING:
-            return Reply(0, math.inf, LONGEST_TURN)
-        entry.full.take(want.full, now)
-        granted = bucket.take(want.amount, now)
+            return QuotaReply(0, math.inf, MAX_TURN_WAIT)
+        entry.full.take(request.full, now)
+        granted = bucket.take(request.amount, now)
         if granted:
-            return Reply(granted, use=bucket.find_use(now))
+            return QuotaReply(granted, use=bucket.find_use(now))
         wait, turn = bucket.find_wait(now), bucket.take_turn(now)
-        return Reply(0, wait, turn, bucket.find_use(now), entry.full.tell(now))
+        return QuotaReply(0, wait, turn, bucket.find_use(now), entry.full.tell(now))
 
-    def _add(self, want: Want, size: BucketSize, now: float) -> _Entry:
+    def _add(self, want: QuotaRequest, size: BucketSize, now: float) -> _Entry:
         """Keep a team's bucket as if it were there since the start."""
         if len(self._entries) >= MOST_BUCKETS:
             self._forget_full(now)
--- a/walkcart/routing/repeats.py
+++ b/walkcart/routing/repeats.py
@@ -11,11 +11,11 @@
 
 Examples:
     >>> budget = RepeatBudget(RepeatLimits(0.2, 10.0, 14.0), now=-60.0)
-    >>> sum(budget.take("s", now=0.0, instances=7) for _ in range(5))
+    >>> sum(budget.try_spend("s", now=0.0, instances=7) for _ in range(5))
     1
     >>> for _ in range(50):
-    ...     budget.note_request("s", now=1.0)
-    >>> sum(budget.take("s", now=1.5, instances=7) for _ in range(50))
+    ...     budget.record_request("s", now=1.0)
+    >>> sum(budget.try_spend("s", now=1.5, instances=7) for _ in range(50))
     8
 """
 
@@ -98,11 +98,11 @@
         self._started = now
         self._windows: dict[str, _Window] = {}
 
-    def note_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Note the first request of a question to a service."""
         self._window(service).add(self._part(now), 1, 0)
 
-    def take(
+    def try_spend(
         self, service: str, now: float, instances: int, vital: bool = True
     ) -> bool:
         """Take one repeat; return False when none is left.
@@ -156,7 +156,7 @@
         if spent:
             window.add(self._part(now), 0, 1)
 
-    def left(self, service: str, now: float, instances: int) -> float:
+    def find_remaining(self, service: str, now: float, instances: int) -> float:
         """Return how many repeats are left now."""
         window = self._window(service)
         window.advance(self._part(now))
--- a/walkcart/routing/replicas.py
+++ b/walkcart/routing/replicas.py
@@ -35,7 +35,7 @@
     Args:
         key: names the leaf.
         outstanding: requests of this instance that wait or run there.
-        stated: requests of others, from the leaf's last word, decayed.
+        reported_load: requests of others, from the leaf's last word, decayed.
         latency: expected seconds for one request.
         preferred: whether the routing intent prefers it.
         ejected: whether it failed lately.
@@ -44,7 +44,7 @@
 
     key: str
     outstanding: int
-    stated: float
+    reported_load: float
     latency: float
     preferred: bool = True
     ejected: bool = False
@@ -105,7 +105,7 @@
 
 
 def _load_of(candidate: Candidate) -> float:
-    return candidate.outstanding + min(candidate.stated, STATED_CAP)
+    return candidate.outstanding + min(candidate.reported_load, STATED_CAP)
 
 
 def _rank_outstanding(candidate: Candidate) -> tuple[bool, float, float]:
--- a/walkcart/routing/kindtimes.py
+++ b/walkcart/routing/requesttimes.py
@@ -37,7 +37,7 @@
 PLAIN_FACTOR = 1.5
 
 
-class KindTimes:
+class RequestTimes:
     """Learns the times of one kind of request.
 
     Args:
@@ -106,7 +106,7 @@
     return max(earliest, latest)
 
 
-def find_second_look(sent: float, objective: float, deadline: float) -> float:
+def find_recheck_time(sent: float, objective: float, deadline: float) -> float:
     """Return when second attempts that were put off are considered again.
 
     They are put off where many replies are late at once: the leafs are overloaded, and
@@ -120,9 +120,9 @@
         deadline: when its caller leaves.
 
     Examples:
-        >>> find_second_look(0.0, objective=0.3, deadline=4.0)
+        >>> find_recheck_time(0.0, objective=0.3, deadline=4.0)
         2.0
-        >>> find_second_look(0.0, objective=0.3, deadline=0.4)
+        >>> find_recheck_time(0.0, objective=0.3, deadline=0.4)
         0.3
     """
     half = (sent + deadline) / 2
--- a/walkcart/routing/comeback.py
+++ b/walkcart/routing/retryafter.py
@@ -5,8 +5,8 @@
 
 Examples:
     >>> from random import Random
-    >>> time = find_return(2.0, Random(1))
-    >>> 2.0 <= time.total_seconds() <= 2.0 * SPREAD
+    >>> time = draw_retry_after(2.0, Random(1))
+    >>> 2.0 <= time.total_seconds() <= 2.0 * MAX_SPREAD
     True
 """
 
@@ -16,14 +16,14 @@
 from random import Random
 
 #: Longest time to come back, as a share of the shortest.
-SPREAD = 1.5
+MAX_SPREAD = 1.5
 
 
-def find_return(drained: float, random: Random) -> timedelta:
+def draw_retry_after(drained: float, random: Random) -> timedelta:
     """Return after which time one of several refused callers is to come back.
 
     Args:
         drained: seconds until there is room again.
         random: spreads the callers.
     """
-    return timedelta(seconds=drained * random.uniform(1.0, SPREAD))
+    return timedelta(seconds=drained * random.uniform(1.0, MAX_SPREAD))
--- a/walkcart/routing/shares.py
+++ b/walkcart/routing/shares.py
@@ -13,7 +13,7 @@
     >>> shares = ConnectionShares(cap=25)
     >>> shares.holders("leaf", {"a": "north", "b": "north"}, "north")
     ('a', 'b')
-    >>> shares.share_of(holders=7)
+    >>> shares.connections_per_holder(holders=7)
     3
 """
 
@@ -57,16 +57,16 @@
         count = self.holder_count(len(instances))
         return tuple(sorted(name for _, _, name in ranked[:count]))
 
-    def share_of(self, holders: int) -> int:
+    def connections_per_holder(self, holders: int) -> int:
         """Return how many connections each of `holders` instances may have."""
         return max(1, int(self.cap * GIVEN_OUT / max(1, holders)))
 
-    def gatherer_share(self, gatherers: int) -> int:
+    def connections_per_gatherer(self, gatherers: int) -> int:
         """Return how many connections each instance that gathers for others may have.
 
         Half of those that are given out are theirs; the others rarely need one.
         """
-        return self.share_of(max(1, 2 * gatherers))
+        return self.connections_per_holder(max(1, 2 * gatherers))
 
     @property
     def most_holders(self) -> int:
--- a/walkcart/routing/replyshare.py
+++ b/walkcart/routing/successrate.py
@@ -6,11 +6,11 @@
 few good replies, so that one bad one doesn't condemn it.
 
 Examples:
-    >>> share = ReplyShare()
+    >>> share = SuccessRate()
     >>> share.estimate(now=0.0)
     1.0
     >>> for _ in range(4):
-    ...     share.note(now=0.0, good=False)
+    ...     share.record(now=0.0, good=False)
     >>> round(share.estimate(now=0.0), 2)
     0.33
     >>> round(share.estimate(now=4 * HALF_LIFE), 2)
@@ -33,7 +33,7 @@
 LOSS_WEIGHT = 2.0
 
 
-class ReplyShare:
+class SuccessRate:
     """The share of good replies of one leaf."""
 
     __slots__ = ("_bad", "_good", "_then")
@@ -43,7 +43,7 @@
         self._bad = 0.0
         self._then = 0.0
 
-    def note(self, now: float, good: bool, lost: bool = False) -> None:
+    def record(self, now: float, good: bool, lost: bool = False) -> None:
         """Take in how one request ended.
 
         Args:
--- a/walkcart/routing/tests/test_decisions.py
+++ b/walkcart/routing/tests/test_decisions.py
@@ -8,7 +8,7 @@
 
 from walkcart.bench.harness import run_mocked
 from walkcart.kernel.clock import TrioClock
-from walkcart.routing.admission import Admission, TurnedAway
+from walkcart.routing.admission import Admission, AdmissionRefused
 from walkcart.routing.budgets import ShareBudget
 from walkcart.routing.ejection import Ejection, may_eject
 from walkcart.routing.hedging import FIRST_DELAY, HedgeDelay, may_hedge
@@ -80,7 +80,7 @@
     for earned, wanted in history:
         budget.earn(earned, 0.1)
         tries += earned
-        taken += sum(budget.take() for _ in range(wanted))
+        taken += sum(budget.try_spend() for _ in range(wanted))
     assert taken <= 5 + tries * 0.1 + 1e-6
 
 
@@ -120,12 +120,12 @@
 
 def test_ejection_comes_after_failures_in_a_row_and_ends_by_itself():
     ejection = Ejection()
-    assert not ejection.note_failure(0.0, True)
-    assert not ejection.note_failure(0.0, True)
-    assert ejection.note_failure(0.0, True)
+    assert not ejection.record_failure(0.0, True)
+    assert not ejection.record_failure(0.0, True)
+    assert ejection.record_failure(0.0, True)
     assert ejection.is_ejected(0.5)
     assert not ejection.is_ejected(1.5)
-    assert ejection.note_success()
+    assert ejection.record_success()
 
 
 def test_ejection_takes_only_a_share_of_a_group():
@@ -144,14 +144,14 @@
         served, refused = {}, []
 
         async def ask(partner):
-            entered = await admission.enter(partner, 1.0, 64, 1.0)
-            if isinstance(entered, TurnedAway):
+            entered = await admission.admit(partner, 1.0, 64, 1.0)
+            if isinstance(entered, AdmissionRefused):
                 refused.append(entered.retry_after)
                 return
             start = trio.current_time()
             async with slot:
                 await trio.sleep(service)
-            admission.leave(partner, trio.current_time() - start)
+            admission.release(partner, trio.current_time() - start)
             served[partner] = served.get(partner, 0) + 1
 
         async def arrive(nursery, partner, rate):
--- a/walkcart/routing/tests/test_gatherers.py
+++ b/walkcart/routing/tests/test_gatherers.py
@@ -13,7 +13,7 @@
 from walkcart.routing.peerchoice import (
     LONGEST_PATIENCE,
     MOST_PATIENCE,
-    PeerAccounts,
+    PeerStats,
 )
 
 
@@ -52,7 +52,7 @@
     for _ in range(40):
         rate, now = PartRate(), 0.0
         while (now := now + random.expovariate(0.12)) < 4 * AVERAGING_TIME:
-            rate.note(now, 87)
+            rate.record(now, 87)
         needed = find_needed_capacity(rate.estimate(now), 195, 2)
         sizes.append(len(choose_gatherers(ranked, fleet, needed)))
     assert min(sizes) >= LEAST_GATHERERS
@@ -63,7 +63,7 @@
     rate = PartRate()
     seen = set()
     for second in range(600):
-        rate.note(float(second), 60 if second % 20 < 10 else 30)
+        rate.record(float(second), 60 if second % 20 < 10 else 30)
         if second > 100:
             seen.add(rate.estimate(float(second)))
     assert len(seen) <= 2
@@ -71,21 +71,21 @@
 
 
 def test_an_instance_that_greets_is_asked_again_at_once():
-    accounts = PeerAccounts()
+    accounts = PeerStats()
     for second in range(6):
-        accounts.note_silent("a", float(second))
+        accounts.record_timeout("a", float(second))
     assert accounts.choose(["a"], 6.0, {"a": 0.0}) is None
-    accounts.note_greeting("a")
+    accounts.record_greeting("a")
     assert accounts.choose(["a"], 6.0, {"a": 0.0}) == "a"
 
 
 def test_patience_follows_the_peer_and_the_time_that_a_question_has():
-    accounts = PeerAccounts()
-    unknown = accounts.patience("a", 2.0)
-    accounts.note_taken("a", 1.0, 0.01)
-    near = accounts.patience("a", 2.0)
+    accounts = PeerStats()
+    unknown = accounts.acceptance_timeout("a", 2.0)
+    accounts.record_accepted("a", 1.0, 0.01)
+    near = accounts.acceptance_timeout("a", 2.0)
     for second in range(10):
-        accounts.note_silent("a", float(second))
+        accounts.record_timeout("a", float(second))
     assert near < unknown <= MOST_PATIENCE
-    assert near < accounts.patience("a", 2.0) <= MOST_PATIENCE
-    assert accounts.patience("a", 0.1) == LONGEST_PATIENCE
+    assert near < accounts.acceptance_timeout("a", 2.0) <= MOST_PATIENCE
+    assert accounts.acceptance_timeout("a", 0.1) == LONGEST_PATIENCE
--- a/walkcart/routing/tests/test_instance_room.py
+++ b/walkcart/routing/tests/test_instance_room.py
@@ -3,13 +3,13 @@
 import heapq
 from itertools import count
 
-from walkcart.routing.instanceroom import (
+from walkcart.routing.instancelimiter import (
     CALM_TIME,
     MOST_DELAY,
     STANDING_TIME,
-    Crowded,
-    Entry,
-    InstanceRoom,
+    InstanceLimiter,
+    Overloaded,
+    PendingQuestion,
     Started,
     Waiting,
 )
@@ -27,7 +27,7 @@
     """
 
     def __init__(self):
-        self.room = InstanceRoom()
+        self.room = InstanceLimiter()
         self.done = {}
         self.refused = {}
         self._ends = []
@@ -45,20 +45,20 @@
             while self._ends and self._ends[0][0] <= now:
                 _, _, item, begun = heapq.heappop(self._ends)
                 self._note(self.done, item, now)
-                self.room.leave(now, now - begun)
+                self.room.finish(now, now - begun)
             behind = max(0.0, self.room.in_progress / PACE - TIME) / 4
-            self.room.note_delay(behind, now)
-            for item in self.room.take_started(now):
+            self.room.record_delay(behind, now)
+            for item in self.room.start_waiting(now):
                 self._begin(item, now)
-            for item, _ in self.room.take_hopeless(now):
+            for item, _ in self.room.remove_late(now):
                 self._note(self.refused, item, now)
             now += INTERVAL / 5
 
     def _enter(self, item, now):
-        match self.room.enter(item, item[2], now):
+        match self.room.submit(item, item[2], now):
             case Started():
                 self._begin(item, now)
-            case Crowded():
+            case Overloaded():
                 self._note(self.refused, item, now)
 
     def _begin(self, item, now):
@@ -79,7 +79,9 @@
         (
             n / rate,
             name,
-            Entry(rank, n / rate + objective, n / rate + patience, TIME, **fields),
+            PendingQuestion(
+                rank, n / rate + objective, n / rate + patience, TIME, **fields
+            ),
         )
         for n in range(int(rate * seconds))
     ]
@@ -94,10 +96,10 @@
 
 
 def test_a_single_late_look_is_no_overload():
-    room = InstanceRoom()
+    room = InstanceLimiter()
     now = 0.0
     for number in range(20):
-        room.note_delay(1.0 if number % 4 == 0 else 0.0, now)
+        room.record_delay(1.0 if number % 4 == 0 else 0.0, now)
         now += INTERVAL
     assert room.limit == float("inf")
 
@@ -151,22 +153,22 @@
 
 
 def test_who_comes_back_as_told_finds_less_to_do():
-    room = InstanceRoom()
+    room = InstanceLimiter()
     now = 0.0
-    entry = Entry(rank=0, due=0.3, deadline=0.6, time=TIME)
+    entry = PendingQuestion(rank=0, due=0.3, deadline=0.6, time=TIME)
     for number in range(60):
-        room.enter(number, entry, now)
+        room.submit(number, entry, now)
     # The loop stays behind, and ten questions end each tenth of a second.
     found = None
     for _ in range(8):
         now += INTERVAL
-        room.note_delay(0.2, now)
+        room.record_delay(0.2, now)
         for _ in range(2):
-            room.leave(now, elapsed=1.5)
-    entry = Entry(rank=0, due=now + 0.3, deadline=now + 0.3, time=TIME)
+            room.finish(now, elapsed=1.5)
+    entry = PendingQuestion(rank=0, due=now + 0.3, deadline=now + 0.3, time=TIME)
     waiting = 0
-    while not isinstance(found, Crowded):
-        found = room.enter(f"new-{waiting}", entry, now)
+    while not isinstance(found, Overloaded):
+        found = room.submit(f"new-{waiting}", entry, now)
         waiting += isinstance(found, Waiting)
     # Fewer than 40 a second are done; the time told covers all that is ahead.
     ahead = room.waiting + room.in_progress - room.limit
@@ -181,21 +183,21 @@
 
 
 def test_a_question_whose_caller_left_is_forgotten():
-    room = InstanceRoom()
+    room = InstanceLimiter()
     room.in_progress, room.limit = 2, 2.0
-    entry = Entry(rank=0, due=1.0, deadline=9.0)
-    assert isinstance(room.enter("gone", entry, 0.0), Waiting)
-    room.give_up("gone")
-    room.leave(0.1, elapsed=0.1)
-    assert room.take_started(0.1) == []
+    entry = PendingQuestion(rank=0, due=1.0, deadline=9.0)
+    assert isinstance(room.submit("gone", entry, 0.0), Waiting)
+    room.cancel_waiting("gone")
+    room.finish(0.1, elapsed=0.1)
+    assert room.start_waiting(0.1) == []
 
 
 def test_a_limit_needs_a_delay_at_each_look():
-    room = InstanceRoom()
+    room = InstanceLimiter()
     for number in range(10):
-        room.enter(number, Entry(0, 1.0, 1.0), 0.0)
+        room.submit(number, PendingQuestion(0, 1.0, 1.0), 0.0)
     now = 0.0
     while now < 3 * STANDING_TIME:
-        room.note_delay(2 * MOST_DELAY, now)
+        room.record_delay(2 * MOST_DELAY, now)
         now += INTERVAL
     assert room.limit < 10
--- a/walkcart/routing/tests/test_leaf_room.py
+++ b/walkcart/routing/tests/test_leaf_room.py
@@ -1,19 +1,19 @@
 """What a leaf is sent at once: slow leafs, and urgent requests beside long ones."""
 
-from walkcart.routing.leafroom import EXPECTED_TIME, Demand, LeafRoom
+from walkcart.routing.leaflimiter import EXPECTED_TIME, LeafLimiter, SlotRequest
 
-LONG = Demand(rank=1, left=0.17, time=0.0165)
-URGENT = Demand(rank=0, left=0.088, time=0.0057)
+LONG = SlotRequest(rank=1, left=0.17, time=0.0165)
+URGENT = SlotRequest(rank=0, left=0.088, time=0.0057)
 
 
 def slow(demand, factor):
-    return Demand(demand.rank, demand.left, demand.time * factor)
+    return SlotRequest(demand.rank, demand.left, demand.time * factor)
 
 
 def make_room():
-    room = LeafRoom(slots=2)
-    room.note_urgent(0, 0.088, now=0.0)
-    room.note_urgent(1, 0.17, now=0.0)
+    room = LeafLimiter(slots=2)
+    room.record_urgent(0, 0.088, now=0.0)
+    room.record_urgent(1, 0.17, now=0.0)
     return room
 
 
@@ -53,8 +53,8 @@
 
 
 def test_requests_without_an_objective_are_held_by_no_limit():
-    plain = Demand(rank=0, left=float("inf"), time=1.0)
-    assert count_sent(LeafRoom(slots=2), plain) == 50
+    plain = SlotRequest(rank=0, left=float("inf"), time=1.0)
+    assert count_sent(LeafLimiter(slots=2), plain) == 50
 
 
 def test_a_less_urgent_request_never_has_more_room_than_an_urgent_one():
@@ -62,6 +62,6 @@
     for factor in (1, 2, 5, 8, 11):
         for others in (0.0, 1.0, 4.0, 9.0):
             for sent in range(14):
-                alike = Demand(0, LONG.left, LONG.time * factor)
+                alike = SlotRequest(0, LONG.left, LONG.time * factor)
                 less = room.allows(slow(LONG, factor), sent, others, 0.0)
                 assert not less or room.allows(alike, sent, others, 0.0)
--- a/walkcart/routing/tests/test_quarantine.py
+++ b/walkcart/routing/tests/test_quarantine.py
@@ -4,12 +4,12 @@
 from hypothesis import strategies as st
 
 from walkcart.routing.quarantine import (
+    MAX_ENTRIES,
     MEMORY_TIME,
-    MOST_ENTRIES,
     REFUSAL_TIME,
     Quarantine,
-    Standing,
-    Suspicion,
+    QuarantineLevel,
+    StrikeRecord,
 )
 
 REQUEST = b"request"
@@ -24,60 +24,60 @@
     quarantine = Quarantine()
     standings = []
     for number in range(4):
-        standings.append(quarantine.find_standing(REQUEST, 0.0))
+        standings.append(quarantine.find_level(REQUEST, 0.0))
         strike(quarantine, number)
     assert standings == [
-        Standing.USUAL,
-        Standing.USUAL,
-        Standing.CAREFUL,
-        Standing.REFUSED,
+        QuarantineLevel.USUAL,
+        QuarantineLevel.USUAL,
+        QuarantineLevel.CAREFUL,
+        QuarantineLevel.REFUSED,
     ]
 
 
 def test_an_answer_voids_strikes_for_good():
     quarantine = Quarantine()
     strike(quarantine, 1, 2, 3)
-    assert quarantine.note_answer(REQUEST, 1.0)
+    assert quarantine.record_answer(REQUEST, 1.0)
     # News of the old strikes may still come round.
-    assert not quarantine.merge(REQUEST, Suspicion(frozenset((1, 2, 3)), 0.0), 2.0)
-    assert quarantine.find_standing(REQUEST, 2.0) is Standing.USUAL
+    assert not quarantine.merge(REQUEST, StrikeRecord(frozenset((1, 2, 3)), 0.0), 2.0)
+    assert quarantine.find_level(REQUEST, 2.0) is QuarantineLevel.USUAL
     strike(quarantine, 4, 5, 6, now=3.0)
-    assert quarantine.find_standing(REQUEST, 3.0) is Standing.REFUSED
+    assert quarantine.find_level(REQUEST, 3.0) is QuarantineLevel.REFUSED
 
 
 def test_a_refused_request_is_tried_at_one_leaf_after_a_while_and_later_forgotten():
     quarantine = Quarantine()
     strike(quarantine, 1, 2, 3)
-    assert quarantine.find_standing(REQUEST, REFUSAL_TIME - 1) is Standing.REFUSED
-    assert quarantine.find_standing(REQUEST, REFUSAL_TIME + 1) is Standing.CAREFUL
+    assert quarantine.find_level(REQUEST, REFUSAL_TIME - 1) is QuarantineLevel.REFUSED
+    assert quarantine.find_level(REQUEST, REFUSAL_TIME + 1) is QuarantineLevel.CAREFUL
     strike(quarantine, 4, now=REFUSAL_TIME + 1)
     later = REFUSAL_TIME + 2
-    assert quarantine.find_standing(REQUEST, later) is Standing.REFUSED
-    assert quarantine.find_standing(REQUEST, later + MEMORY_TIME) is Standing.USUAL
+    assert quarantine.find_level(REQUEST, later) is QuarantineLevel.REFUSED
+    assert quarantine.find_level(REQUEST, later + MEMORY_TIME) is QuarantineLevel.USUAL
     assert quarantine.entries(later + MEMORY_TIME) == ()
 
 
 def test_a_flood_of_requests_displaces_nothing_that_is_refused():
     quarantine = Quarantine()
     strike(quarantine, 1, 2, 3)
-    for number in range(10 * MOST_ENTRIES):
+    for number in range(10 * MAX_ENTRIES):
         strike(quarantine, number, now=1.0, request=b"%d" % number)
-    assert len(quarantine) == MOST_ENTRIES
-    assert quarantine.find_standing(REQUEST, 2.0) is Standing.REFUSED
+    assert len(quarantine) == MAX_ENTRIES
+    assert quarantine.find_level(REQUEST, 2.0) is QuarantineLevel.REFUSED
 
 
 def test_a_request_that_strikes_again_finds_room_in_a_flood():
     quarantine = Quarantine()
-    for number in range(10 * MOST_ENTRIES):
+    for number in range(10 * MAX_ENTRIES):
         strike(quarantine, number, now=float(number), request=b"%d" % number)
-    strike(quarantine, 1, 2, 3, now=10.0 * MOST_ENTRIES)
-    now = 10.0 * MOST_ENTRIES
-    assert quarantine.find_standing(REQUEST, now) is Standing.REFUSED
+    strike(quarantine, 1, 2, 3, now=10.0 * MAX_ENTRIES)
+    now = 10.0 * MAX_ENTRIES
+    assert quarantine.find_level(REQUEST, now) is QuarantineLevel.REFUSED
 
 
 news = st.lists(
     st.builds(
-        Suspicion,
+        StrikeRecord,
         st.frozensets(st.integers(1, 5), max_size=3),
         st.integers(0, 9).map(float),
         st.sampled_from([float("-inf"), 2.5, 5.5]),
@@ -111,4 +111,4 @@
     strike(other, 3)
     for fingerprint, item in one.entries(1.0):
         other.merge(fingerprint, item, 1.0)
-    assert other.find_standing(REQUEST, 1.0) is Standing.REFUSED
+    assert other.find_level(REQUEST, 1.0) is QuarantineLevel.REFUSED
--- a/walkcart/routing/tests/test_quota_ways.py
+++ b/walkcart/routing/tests/test_quota_ways.py
@@ -18,11 +18,11 @@
 from walkcart.intent.teams import RateLimit
 from walkcart.routing.allowances import Allowance
 from walkcart.routing.quotas import (
-    MOST_STARTS,
-    SHARES,
+    MAX_SHARES,
+    MAX_STARTS,
     QuotaBounds,
+    QuotaRequest,
     ShareAccount,
-    Want,
     list_shares,
 )
 from walkcart.routing.tokenbucket import BucketSize, TokenBucket
@@ -120,13 +120,13 @@
         began_at = play.now - 60.0
         self.accounts = [
             ShareAccount(share, BOUNDS, began_at, with_start=True)
-            for share in range(SHARES)
+            for share in range(MAX_SHARES)
         ]
         #: Who accounts each share, or from when on the next one does.
-        self.holders = list(range(SHARES))
-        self.free_at = [0.0] * SHARES
-        self.began_at = [began_at] * SHARES
-        self.starts = [1] * SHARES
+        self.holders = list(range(MAX_SHARES))
+        self.free_at = [0.0] * MAX_SHARES
+        self.began_at = [began_at] * MAX_SHARES
+        self.starts = [1] * MAX_SHARES
 
     def restart(self, instance):
         self.allowances[instance] = Allowance(BOUNDS.hold)
@@ -139,7 +139,7 @@
         self.starts[share] = self.starts[share] + 1 if quick else 1
         self.holders[share] = instance
         self.began_at[share] = self.play.now
-        with_start = self.starts[share] <= MOST_STARTS
+        with_start = self.starts[share] <= MAX_STARTS
         self.accounts[share] = ShareAccount(share, BOUNDS, self.play.now, with_start)
         self.play.cost["writes"] += 3
 
@@ -173,8 +173,8 @@
                 if not play.reach(instance, holder):
                     continue
             told = allowance.full.tell(play.now)
-            want = Want(TEAM, LIMIT, 1, allowance.find_wanted(play.now), told)
-            reply = self.accounts[share].ask(want, play.now)
+            want = QuotaRequest(TEAM, LIMIT, 1, allowance.find_wanted(play.now), told)
+            reply = self.accounts[share].grant(want, play.now)
             if reply.granted:
                 allowance.note_use(play.now)
                 allowance.put(reply.granted - 1, play.now + BOUNDS.hold)
@@ -278,25 +278,25 @@
 
 @pytest.mark.parametrize("count", [7, 72, 300])
 def test_accounts_keep_the_bound_and_refuse_nothing_in_calm_times(count):
-    assert find_worst("accounts", count) <= BOUNDS.most(LIMIT)
+    assert find_worst("accounts", count) <= BOUNDS.max_requests(LIMIT)
     calm = play_way("accounts", count)
     assert calm.find_share_refused() < 1 / 200
     # At most an ask and its answer for each share; no call of the store by requests.
-    assert calm.cost["messages"] < 2 * SHARES * len(calm.ran)
+    assert calm.cost["messages"] < 2 * MAX_SHARES * len(calm.ran)
     assert not calm.cost["writes"]
 
 
 @pytest.mark.parametrize("count", [72, 300])
 def test_telling_what_was_used_passes_the_bound_in_large_fleets(count):
     # Why it isn't used: many instances each run a little before they hear of others.
-    assert find_worst("told", count) > BOUNDS.most(LIMIT)
+    assert find_worst("told", count) > BOUNDS.max_requests(LIMIT)
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
 def test_equal_parts_pass_the_bound_or_refuse_what_is_due(count):
     # Why they aren't used: a part must hold a whole request, and views differ.
     calm = play_way("parts", count).find_share_refused()
-    assert find_worst("parts", count) > BOUNDS.most(LIMIT) or calm > 1 / 200
+    assert find_worst("parts", count) > BOUNDS.max_requests(LIMIT) or calm > 1 / 200
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
--- a/walkcart/routing/tests/test_quotas.py
+++ b/walkcart/routing/tests/test_quotas.py
@@ -17,20 +17,20 @@
     LEAST_PATIENCE,
     MOST_PATIENCE,
     Allowance,
-    ReplyPatience,
+    ReplyTimeout,
 )
-from walkcart.routing.fullshares import FullShares
+from walkcart.routing.exhaustedshares import FullShares
 from walkcart.routing.quotas import (
-    MOST_STARTS,
-    SHARES,
-    START_PART,
+    MAX_SHARES,
+    MAX_STARTS,
+    START_FRACTION,
     QuotaBounds,
+    QuotaRequest,
     ShareAccount,
-    Want,
     list_shares,
     size_bucket,
 )
-from walkcart.routing.tokenbucket import LONGEST_TURN
+from walkcart.routing.tokenbucket import MAX_TURN_WAIT
 
 BOUNDS = QuotaBounds(window=5.0, tolerance=0.1, slack=20.0)
 TEAM = "fitters"
@@ -39,7 +39,7 @@
 
 
 def make_want(limit, version=1, amount=1, team=TEAM):
-    return Want(team, limit, version, amount)
+    return QuotaRequest(team, limit, version, amount)
 
 
 @dataclass
@@ -73,7 +73,7 @@
         self.allowances = [Allowance(BOUNDS.hold) for _ in range(self.instances)]
         self.shares = [
             Share(ShareAccount(number, BOUNDS, self.now, True), self.now)
-            for number in range(SHARES)
+            for number in range(MAX_SHARES)
         ]
         self.limits = [(self.now, self.limit)]
 
@@ -82,7 +82,7 @@
         share = self.shares[number]
         quick = self.now - share.began_at <= BOUNDS.window
         starts = share.starts + 1 if quick else 1
-        account = ShareAccount(number, BOUNDS, self.now, starts <= MOST_STARTS)
+        account = ShareAccount(number, BOUNDS, self.now, starts <= MAX_STARTS)
         self.shares[number] = Share(account, self.now, starts)
 
     def send(self, instance, count, behind):
@@ -104,7 +104,7 @@
                 continue
             amount = allowance.find_wanted(self.now)
             told = allowance.full.tell(self.now)
-            want = Want(TEAM, limit, version, amount, told)
+            want = QuotaRequest(TEAM, limit, version, amount, told)
             reply = self.shares[number].account.ask(want, self.now)
             if self.random.random() < self.loss:
                 continue  # the answer is lost
@@ -133,7 +133,7 @@
         until = start + BOUNDS.window
         found = [limit for at, limit in self.limits if since < at <= until]
         before = [limit for at, limit in self.limits if at <= since]
-        return max(BOUNDS.most(limit) for limit in [*found, *before[-1:]])
+        return max(BOUNDS.max_requests(limit) for limit in [*found, *before[-1:]])
 
 
 limits = st.builds(
@@ -150,8 +150,8 @@
             st.sampled_from([1, 3, 10, 60]),
             st.booleans(),
         ),
-        st.tuples(st.just("restart"), st.integers(0, SHARES - 1)),
-        st.tuples(st.just("cut"), st.integers(0, 2), st.integers(0, SHARES - 1)),
+        st.tuples(st.just("restart"), st.integers(0, MAX_SHARES - 1)),
+        st.tuples(st.just("cut"), st.integers(0, 2), st.integers(0, MAX_SHARES - 1)),
         st.tuples(st.just("limit"), limits),
         st.tuples(st.just("give back"), st.integers(0, 2)),
     ),
@@ -203,7 +203,7 @@
     for step in range(2000):
         play.now += 0.1
         if step % 300 == 0:
-            for number in range(SHARES):
+            for number in range(MAX_SHARES):
                 play.restart(number)
         if step % 20 == 0:
             play.send(step % 3, 1, behind=False)
@@ -216,19 +216,21 @@
     shares = list_shares(limit, BOUNDS, TEAM)
     starts = [size_bucket(limit, BOUNDS, TEAM, share).start for share in shares]
     assert starts[:3] == [1.0, 1.0, 1.0]
-    assert sum(starts) == pytest.approx(BOUNDS.slack * START_PART)
+    assert sum(starts) == pytest.approx(BOUNDS.slack * START_FRACTION)
 
 
 def test_a_limit_that_is_too_small_to_cut_stays_whole():
     bounds = QuotaBounds(slack=0.0)
     limit = RateLimit(4.0, 1.0)
-    sizes = [size_bucket(limit, bounds, TEAM, number) for number in range(SHARES)]
+    sizes = [size_bucket(limit, bounds, TEAM, number) for number in range(MAX_SHARES)]
     (size,) = [size for size in sizes if size is not None]
     assert (size.rate, size.depth) == (4.0, 1.0)
-    assert len({list_shares(limit, bounds, f"team-{n}") for n in range(50)}) == SHARES
-    for number in range(SHARES):
+    assert (
+        len({list_shares(limit, bounds, f"team-{n}") for n in range(50)}) == MAX_SHARES
+    )
+    for number in range(MAX_SHARES):
         account = ShareAccount(number, bounds, 0.0, True)
-        reply = account.ask(make_want(limit), now=10.0)
+        reply = account.grant(make_want(limit), now=10.0)
         assert bool(reply.granted) == (sizes[number] is not None)
 
 
@@ -236,43 +238,43 @@
     high, low = RateLimit(300.0, 90.0), RateLimit(6.0, 12.0)
     share = list_shares(low, BOUNDS, TEAM)[0]
     account = ShareAccount(share, BOUNDS, 0.0, True)
-    assert account.ask(make_want(high, 1), now=100.0).granted == 1
+    assert account.grant(make_want(high, 1), now=100.0).granted == 1
     # The level is cut to the new depth, and an asker that is behind gets no more.
-    granted = [account.ask(make_want(low, 2), now=100.0).granted for _ in range(9)]
+    granted = [account.grant(make_want(low, 2), now=100.0).granted for _ in range(9)]
     size = size_bucket(low, BOUNDS, TEAM, share)
     assert sum(granted) == math.floor(size.depth) == 3
-    assert account.ask(make_want(high, 1), now=100.0).granted == 0
-    assert account.ask(make_want(high, 3), now=100.0).granted == 0
-    assert account.ask(make_want(high, 3), now=100.3).granted > 0
+    assert account.grant(make_want(high, 1), now=100.0).granted == 0
+    assert account.grant(make_want(high, 3), now=100.0).granted == 0
+    assert account.grant(make_want(high, 3), now=100.3).granted > 0
 
 
 def test_near_the_limit_nothing_is_granted_ahead():
     limit = RateLimit(60.0, 80.0)
     account = ShareAccount(0, BOUNDS, 0.0, True)
-    first = account.ask(make_want(limit, amount=60), now=100.0).granted
+    first = account.grant(make_want(limit, amount=60), now=100.0).granted
     assert first > 5
-    assert account.ask(make_want(limit, amount=60), now=100.0).granted == 1
+    assert account.grant(make_want(limit, amount=60), now=100.0).granted == 1
 
 
 def test_refused_callers_get_turns_one_after_the_other():
     limit = RateLimit(12.0, 12.0)
     account = ShareAccount(0, BOUNDS, 0.0, True)
-    while account.ask(make_want(limit), now=50.0).granted:
+    while account.grant(make_want(limit), now=50.0).granted:
         pass
-    turns = [account.ask(make_want(limit), now=50.0).turn for _ in range(5)]
+    turns = [account.grant(make_want(limit), now=50.0).turn for _ in range(5)]
     gaps = [later - turn for turn, later in pairwise(turns)]
     assert gaps == pytest.approx([0.5] * 4)
     for _ in range(50):
-        turn = account.ask(make_want(limit), now=50.0).turn
-    assert turn == pytest.approx(LONGEST_TURN)
+        turn = account.grant(make_want(limit), now=50.0).turn
+    assert turn == pytest.approx(MAX_TURN_WAIT)
 
 
 def test_a_steady_flow_asks_ahead_and_a_trickle_does_not():
     allowance = Allowance(hold=0.25)
     for number in range(100):
-        allowance.note_use(number * 0.02)
-    assert 10 <= allowance.find_wanted(2.0) <= 14
-    assert allowance.find_wanted(12.0) == 1
+        allowance.record_use(number * 0.02)
+    assert 10 <= allowance.find_request_amount(2.0) <= 14
+    assert allowance.find_request_amount(12.0) == 1
 
 
 def test_a_share_without_room_is_left_out_until_it_may_have_some():
@@ -289,27 +291,27 @@
     limit = RateLimit(12.0, 12.0)
     account = ShareAccount(0, BOUNDS, 0.0, True)
     told = ((1, 0.2), (2, 0.3))
-    while account.ask(Want(TEAM, limit, 1, 1, told), now=50.0).granted:
+    while account.grant(QuotaRequest(TEAM, limit, 1, 1, told), now=50.0).granted:
         pass
-    reply = account.ask(make_want(limit), now=50.1)
+    reply = account.grant(make_want(limit), now=50.1)
     assert [share for share, _ in reply.full] == [1, 2]
     assert [wait for _, wait in reply.full] == pytest.approx([0.1, 0.2])
 
 
 def test_what_did_not_run_is_held_again_for_a_moment_only():
     allowance = Allowance(hold=0.25)
-    allowance.give_back(admitted_at=10.0, now=10.01)
-    assert allowance.take(10.02)
-    allowance.give_back(admitted_at=10.0, now=10.2)
-    assert not allowance.take(10.21)
+    allowance.refund(admitted_at=10.0, now=10.01)
+    assert allowance.try_consume(10.02)
+    allowance.refund(admitted_at=10.0, now=10.2)
+    assert not allowance.try_consume(10.21)
 
 
 def test_patience_follows_what_is_usual_within_bounds():
-    patience = ReplyPatience()
+    patience = ReplyTimeout()
     for _ in range(100):
-        patience.note(0.001)
-    assert patience.find() == LEAST_PATIENCE
-    patience.note(0.03)
-    assert patience.find() == pytest.approx(0.09)
-    patience.note(2.0)
-    assert patience.find() == MOST_PATIENCE
+        patience.record(0.001)
+    assert patience.find_timeout() == LEAST_PATIENCE
+    patience.record(0.03)
+    assert patience.find_timeout() == pytest.approx(0.09)
+    patience.record(2.0)
+    assert patience.find_timeout() == MOST_PATIENCE
--- a/walkcart/routing/tests/test_repeats.py
+++ b/walkcart/routing/tests/test_repeats.py
@@ -49,7 +49,7 @@
 
 def test_a_service_without_requests_keeps_to_its_part_of_the_allowance():
     budget = RepeatBudget(LIMITS, 0.0)
-    taken = sum(budget.take("s", 50.0, 6) for _ in range(100))
+    taken = sum(budget.try_spend("s", 50.0, 6) for _ in range(100))
     assert taken == int(54 / 6 * 0.8)
 
 
@@ -96,16 +96,16 @@
     budget = RepeatBudget(LIMITS, 0.0)
     part = int(54 / MANY * 0.8)
     assert sum(budget.lend("s", 50.0, MANY) for _ in range(100)) == part
-    assert not budget.take("s", 90.0, MANY)
+    assert not budget.try_spend("s", 90.0, MANY)
     budget.settle("s", 90.0, spent=True)
     budget.settle("s", 90.0, spent=False)
-    assert budget.take("s", 90.0, MANY)
-    assert not budget.take("s", 99.9, MANY)
+    assert budget.try_spend("s", 90.0, MANY)
+    assert not budget.try_spend("s", 99.9, MANY)
     # What was spent and what was taken have left the window.
-    assert [budget.take("s", 101.0, MANY) for _ in range(3)] == [True, True, False]
+    assert [budget.try_spend("s", 101.0, MANY) for _ in range(3)] == [True, True, False]
 
 
 def test_where_instances_are_few_each_keeps_its_own_part():
     budget = RepeatBudget(LIMITS, 0.0)
     assert not budget.lend("s", 50.0, 6)
-    assert sum(budget.take("s", 50.0, 6) for _ in range(100)) == int(54 / 6 * 0.8)
+    assert sum(budget.try_spend("s", 50.0, 6) for _ in range(100)) == int(54 / 6 * 0.8)
--- a/walkcart/routing/tests/test_urgency.py
+++ b/walkcart/routing/tests/test_urgency.py
@@ -19,7 +19,7 @@
         while arrivals and arrivals[0][0] <= now:
             at, rank = arrivals.pop(0)
             queue.add((at, rank), Urgency(rank, due=at + 0.1, since=at))
-        taken = queue.take(now)
+        taken = queue.pop(now)
         if taken is not None:
             waits.setdefault(taken[1], []).append(now - taken[0])
         now += time
@@ -31,8 +31,8 @@
     for number in range(6):
         queue.add(f"long-{number}", Urgency(1, 0.17, since=0.001 * number))
     queue.add("urgent", Urgency(0, 0.09, since=0.01))
-    assert queue.take(now=0.011) == "urgent"
-    assert queue.take(now=0.011) == "long-0"
+    assert queue.pop(now=0.011) == "urgent"
+    assert queue.pop(now=0.011) == "long-0"
 
 
 def test_within_a_rank_the_least_time_left_goes_first_and_what_is_late_last():
@@ -40,15 +40,15 @@
     queue.add("late", Urgency(0, due=0.9, since=0.0))
     queue.add("far", Urgency(0, due=3.0, since=0.1))
     queue.add("near", Urgency(0, due=1.5, since=0.2))
-    assert [queue.take(1.0) for _ in range(3)] == ["near", "far", "late"]
+    assert [queue.pop(1.0) for _ in range(3)] == ["near", "far", "late"]
 
 
 def test_what_may_not_go_is_left_where_it_is():
     queue = UrgencyQueue()
     queue.add("a", Urgency(0, 1.0, 0.0))
     queue.add("b", Urgency(1, 1.0, 0.0))
-    assert queue.take(0.0, lambda item: item == "b") == "b"
-    assert queue.take(0.0, lambda item: False) is None
+    assert queue.pop(0.0, lambda item: item == "b") == "b"
+    assert queue.pop(0.0, lambda item: False) is None
     assert list(queue) == ["a"]
 
 
--- a/walkcart/routing/tokenbucket.py
+++ b/walkcart/routing/tokenbucket.py
@@ -24,7 +24,7 @@
 #: Seconds over which the use of a team is averaged.
 USE_TIME = 2.0
 #: Longest wait that refused callers are told, in seconds: what they ask may change.
-LONGEST_TURN = 5.0
+MAX_TURN_WAIT = 5.0
 #: For comparing sums of fractions.
 _TINY = 1e-9
 
@@ -97,7 +97,7 @@
         """
         earliest = now + self.find_wait(now)
         self._turn_at = max(earliest, self._turn_at + 1.0 / self.size.rate)
-        self._turn_at = min(self._turn_at, max(earliest, now + LONGEST_TURN))
+        self._turn_at = min(self._turn_at, max(earliest, now + MAX_TURN_WAIT))
         return self._turn_at - now
 
     def find_use(self, now: float) -> float:
--- a/walkcart/routing/urgency.py
+++ b/walkcart/routing/urgency.py
@@ -12,9 +12,9 @@
     >>> queue = UrgencyQueue()
     >>> queue.add("long", Urgency(rank=1, due=0.1, since=0.0))
     >>> queue.add("urgent", Urgency(rank=0, due=0.5, since=0.01))
-    >>> queue.take(now=0.02)
+    >>> queue.pop(now=0.02)
     'urgent'
-    >>> queue.take(now=0.02)
+    >>> queue.pop(now=0.02)
     'long'
 """
 
@@ -81,7 +81,7 @@
         waiting, self._waiting = self._waiting, []
         return [item for _, item in waiting]
 
-    def take(
+    def pop(
         self, now: float, may_go: Callable[[T], bool] = lambda item: True
     ) -> T | None:
         """Return the request that goes next, or None when none may go.
--- a/walkcart/standins/leaf.py
+++ b/walkcart/standins/leaf.py
@@ -171,7 +171,7 @@
         finally:
             self._load -= 1
             self._running.pop(attempt, None)
-        if status == protocol.STATUS_TOO_LATE:
+        if status == protocol.STATUS_DEADLINE_PASSED:
             return self._refuse(status, headers)
         if status != 200:
             return HttpReply(status, (*self._echo(headers), *self._status_headers()))
@@ -203,7 +203,7 @@
         """Wait for a slot and do the work; return the status."""
         async with self._slots:
             if trio.current_time() >= deadline:
-                return protocol.STATUS_TOO_LATE
+                return protocol.STATUS_DEADLINE_PASSED
             once_key = headers.get(protocol.ONCE_KEY, b"").decode()
             scope = headers.get(protocol.SCOPE, b"").decode()
             attempt = headers.get(protocol.ATTEMPT, b"").decode()
--- a/walkcart/standins/memory.py
+++ b/walkcart/standins/memory.py
@@ -17,7 +17,7 @@
 from walkcart.standins.machinelinks import MachineLink
 from walkcart.standins.memorypeers import MemoryPeerListener, MemoryTransport
 from walkcart.standins.pipes import MemoryStream, Pipe
-from walkcart.wire.network import PROBES
+from walkcart.wire.network import MAX_PROBES
 
 #: One-way seconds between two sites.
 LatencyModel = Callable[[str, str], float]
@@ -138,7 +138,7 @@
         address: HostPort,
         site: str,
         link: MachineLink | None = None,
-        probe: timedelta | None = None,
+        probe_interval: timedelta | None = None,
     ) -> MemoryStream:
         """Open a stream from `site`."""
         await trio.lowlevel.checkpoint()
@@ -154,8 +154,8 @@
         server = MemoryStream(there, back)
         listener.streams.append(server)
         listener.incoming.send_nowait(server)
-        if probe is not None:
-            back.probe_time = (PROBES + 1) * probe.total_seconds()
+        if probe_interval is not None:
+            back.probe_time = (MAX_PROBES + 1) * probe_interval.total_seconds()
         return MemoryStream(back, there)
 
     def add_peer_listener(
@@ -223,10 +223,10 @@
     link: MachineLink | None = None
 
     async def connect(
-        self, address: HostPort, probe: timedelta | None = None
+        self, address: HostPort, probe_interval: timedelta | None = None
     ) -> MemoryStream:
         """Open a stream."""
-        return await self.network.connect(address, self.site, self.link, probe)
+        return await self.network.connect(address, self.site, self.link, probe_interval)
 
     async def listen(self, address: HostPort) -> MemoryListener:
         """Listen for streams."""
--- a/walkcart/store/calls.py
+++ b/walkcart/store/calls.py
@@ -161,7 +161,7 @@
         except BaseException:
             await connection.close()
             raise
-        if connection.renew() and len(self._idle) < IDLE_CONNECTIONS:
+        if connection.prepare_next() and len(self._idle) < IDLE_CONNECTIONS:
             self._idle.append(connection)
         else:
             await connection.close()
--- a/walkcart/wire/fingerprint.py
+++ b/walkcart/wire/fingerprint.py
@@ -18,7 +18,7 @@
 
 #: Length of a fingerprint in bytes: the probability that any two of a billion requests
 #: share one by chance is below 1e-10.
-SIZE = 12
+FINGERPRINT_BYTES = 12
 #: Headers that identify the destination and the sender of a request. Others may differ
 #: between two tries of the same request.
 IDENTIFYING_HEADERS = (b"host", b"authorization")
@@ -27,7 +27,7 @@
 
 def make_fingerprint(*parts: bytes) -> bytes:
     """Return the fingerprint of a sequence of parts; their order matters."""
-    digest = blake2b(digest_size=SIZE)
+    digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for part in parts:
         digest.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(part)
--- a/walkcart/wire/http.py
+++ b/walkcart/wire/http.py
@@ -215,7 +215,7 @@
         """
         return is_quiet(self._stream)
 
-    def renew(self) -> bool:
+    def prepare_next(self) -> bool:
         """Prepare for the next exchange; return whether the connection allows one."""
         if self._h11.our_state is not h11.DONE:
             return False
--- a/walkcart/wire/network.py
+++ b/walkcart/wire/network.py
@@ -19,7 +19,7 @@
 #: power doesn't close it. Longer than any pause of a living peer.
 UNACKED_TIMEOUT_MS = 10_000
 #: Number of unanswered keepalive probes after which a connection counts as dead.
-PROBES = 2
+MAX_PROBES = 2
 
 
 def is_quiet(stream: trio.abc.Stream) -> bool:
@@ -38,14 +38,14 @@
     """Opens and accepts byte streams."""
 
     async def connect(
-        self, address: HostPort, probe: timedelta | None = None
+        self, address: HostPort, probe_interval: timedelta | None = None
     ) -> trio.abc.Stream:
         """Open a stream.
 
         Args:
             address: address of the peer.
             probe: interval of keepalive probes to a silent peer, in whole seconds, at
-                least one. `PROBES` probes without an answer end the stream one
+                least one. `MAX_PROBES` probes without an answer end the stream one
                 interval after the last. None sends no probes.
 
         Raises:
@@ -78,9 +78,9 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(tcp, socket.TCP_KEEPIDLE, seconds)
     sock.setsockopt(tcp, socket.TCP_KEEPINTVL, seconds)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, PROBES)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, MAX_PROBES)
     # With this option the kernel uses the time in place of the number of probes.
-    silence_ms = (PROBES + 1) * seconds * 1000
+    silence_ms = (MAX_PROBES + 1) * seconds * 1000
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, silence_ms)
 
 
@@ -88,13 +88,13 @@
     """TCP connections by IP address."""
 
     async def connect(
-        self, address: HostPort, probe: timedelta | None = None
+        self, address: HostPort, probe_interval: timedelta | None = None
     ) -> trio.abc.Stream:
         """Open a TCP connection."""
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         sock = trio.socket.socket(family, socket.SOCK_STREAM)
         try:
-            _set_silence_timeout(sock, probe)
+            _set_silence_timeout(sock, probe_interval)
             await sock.connect((address.host, address.port))
         except BaseException:
             sock.close()
--- a/walkcart/wire/server.py
+++ b/walkcart/wire/server.py
@@ -78,7 +78,7 @@
         limits: limits on requests and connections.
         on_fault: makes the reply to a malformed request.
         on_disconnect: called when a client disconnects during a request.
-        cancel_on_gone: whether a request is cancelled when its client disconnects.
+        cancel_on_disconnect: whether a request is cancelled when its client disconnects.
         on_error: called with an unexpected error, which then ends only its connection;
             without it such an error ends the instance.
     """
@@ -89,12 +89,12 @@
         limits: ServerLimits,
         on_fault: Callable[[Fault], HttpReply],
         on_disconnect: Callable[[], None] = lambda: None,
-        cancel_on_gone: bool = False,
+        cancel_on_disconnect: bool = False,
         on_error: Callable[[Exception], None] | None = None,
     ) -> None:
         self._handler = handler
         self.limits = limits
-        self.cancel_on_gone = cancel_on_gone
+        self.cancel_on_disconnect = cancel_on_disconnect
         self._on_fault = on_fault
         self._on_disconnect = on_disconnect
         self._on_error = on_error
@@ -167,7 +167,7 @@
         self, connection: _Connection, request: HttpRequest
     ) -> HttpReply | None:
         """Make the reply; None if the request was cancelled by a disconnect."""
-        if not self.cancel_on_gone:
+        if not self.cancel_on_disconnect:
             return await self._handler(request)
         reply: HttpReply | None = None
         async with trio.open_nursery() as nursery:
--- a/walkcart/wire/tests/test_clients_gone.py
+++ b/walkcart/wire/tests/test_clients_gone.py
@@ -27,7 +27,10 @@
             return HttpReply(200)
 
         server = HttpServer(
-            handle, ServerLimits(), lambda fault: HttpReply(400), cancel_on_gone=True
+            handle,
+            ServerLimits(),
+            lambda fault: HttpReply(400),
+            cancel_on_disconnect=True,
         )
         network = TcpNetwork()
         listener = await network.listen(HostPort("127.0.0.1", 0))
--- a/walkcart/wire/tests/test_network.py
+++ b/walkcart/wire/tests/test_network.py
@@ -7,7 +7,7 @@
 import trio
 
 from walkcart.kernel.settings import HostPort
-from walkcart.wire.network import PROBES, UNACKED_TIMEOUT_MS, TcpNetwork
+from walkcart.wire.network import MAX_PROBES, UNACKED_TIMEOUT_MS, TcpNetwork
 
 
 async def read_options(probe):
@@ -32,7 +32,13 @@
 @pytest.mark.parametrize("seconds", [1, 2])
 def test_a_probed_connection_ends_one_interval_after_the_last_probe(seconds):
     found = trio.run(read_options, timedelta(seconds=seconds))
-    assert found == (True, seconds, seconds, PROBES, (PROBES + 1) * seconds * 1000)
+    assert found == (
+        True,
+        seconds,
+        seconds,
+        MAX_PROBES,
+        (MAX_PROBES + 1) * seconds * 1000,
+    )
 
 
 def test_a_connection_without_an_interval_is_not_probed():
--- a/walkcart/wire/tests/test_server_errors.py
+++ b/walkcart/wire/tests/test_server_errors.py
@@ -19,7 +19,7 @@
             fail,
             ServerLimits(),
             lambda fault: HttpReply(fault.value),
-            cancel_on_gone=True,
+            cancel_on_disconnect=True,
             on_error=told.append,
         )
         ours, theirs = memory_stream_pair()
--- a/walkcart/wire/tests/test_strays.py
+++ b/walkcart/wire/tests/test_strays.py
@@ -27,7 +27,7 @@
             reply = await connection.exchange(
                 request, lambda reply: reply.header(b"x-id") == "b"
             )
-        return reply, connection.renew()
+        return reply, connection.prepare_next()
 
     try:
         return run_mocked(run)
