--- a/walkcart/leaves/attempts.py
+++ b/walkcart/leaves/attempts.py
@@ -29,16 +29,16 @@
         expires: for a non-repeatable request, the time of day, in seconds since
             1970, after which the leaf must not begin it.
         traceparent: W3C trace context.
-        caller_request: the caller's request, which is passed to the leaf unchanged; None
-            for a question of the product's own interface.
+        caller_request: the caller's request, which is passed to the leaf unchanged;
+            None for a question of the product's own interface.
         leaf_id: process of the leaf that the attempt is meant for; empty where
             leaves have no such ids.
         idempotent: whether a second run of the routed request does no harm.
         success_only: whether only a success is of use, as for a question over many
             shards.
         fingerprint: fingerprint of the question, the same whenever it is repeated.
-        check_alive: whether the leaf must be seen to be alive before the send, so that a
-            leaf that had ended before isn't counted as one that ended under the
+        check_alive: whether the leaf must be seen to be alive before the send, so that
+            a leaf that had ended before isn't counted as one that ended under the
             request.
         kind: name of the route that matched a routed request.
         regions: regions that may serve a routed request.
--- a/walkcart/wire/network.py
+++ b/walkcart/wire/network.py
@@ -44,9 +44,9 @@
 
         Args:
             address: address of the peer.
-            probe: interval of keepalive probes to a silent peer, in whole seconds, at
-                least one. `MAX_PROBES` probes without an answer end the stream one
-                interval after the last. None sends no probes.
+            probe_interval: interval of keepalive probes to a silent peer, in whole
+                seconds, at least one. `MAX_PROBES` probes without an answer end the
+                stream one interval after the last. None sends no probes.
 
         Raises:
             OSError: the connection is refused, or the peer can't be reached.
@@ -67,14 +67,14 @@
 
 
 def _set_silence_timeout(
-    sock: trio.socket.SocketType | socket.socket, probe: timedelta | None
+    sock: trio.socket.SocketType | socket.socket, probe_interval: timedelta | None
 ) -> None:
     """Let the kernel end a connection whose peer has gone silent."""
     tcp = socket.IPPROTO_TCP
-    if probe is None:
+    if probe_interval is None:
         sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS)
         return
-    seconds = max(1, round(probe.total_seconds()))
+    seconds = max(1, round(probe_interval.total_seconds()))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(tcp, socket.TCP_KEEPIDLE, seconds)
     sock.setsockopt(tcp, socket.TCP_KEEPINTVL, seconds)
--- a/walkcart/wire/server.py
+++ b/walkcart/wire/server.py
@@ -78,7 +78,8 @@
         limits: limits on requests and connections.
         on_fault: makes the reply to a malformed request.
         on_disconnect: called when a client disconnects during a request.
-        cancel_on_disconnect: whether a request is cancelled when its client disconnects.
+        cancel_on_disconnect: whether a request is cancelled when its client
+            disconnects.
         on_error: called with an unexpected error, which then ends only its connection;
             without it such an error ends the instance.
     """
--- a/walkcart/wire/tests/test_network.py
+++ b/walkcart/wire/tests/test_network.py
@@ -10,11 +10,11 @@
 from walkcart.wire.network import MAX_PROBES, UNACKED_TIMEOUT_MS, TcpNetwork
 
 
-async def read_options(probe):
+async def read_options(probe_interval):
     network = TcpNetwork()
     listener = await network.listen(HostPort("127.0.0.1", 0))
     address = HostPort("127.0.0.1", network.port_of(listener))
-    stream = await network.connect(address, probe)
+    stream = await network.connect(address, probe_interval)
     tcp = socket.IPPROTO_TCP
     read = stream.socket.getsockopt
     found = (
--- a/walkcart/wire/tests/test_wire.py
+++ b/walkcart/wire/tests/test_wire.py
@@ -25,9 +25,9 @@
 
 
 @given(st.integers(0, 200), st.integers(0, 255))
-def test_corrupted_envelope_is_decoded_or_refused(position, value):
+def test_corrupted_envelope_is_decoded_or_refused(place, value):
     data = bytearray(encode_envelope(ENVELOPE))
-    data[position % len(data)] = value
+    data[place % len(data)] = value
     try:
         assert isinstance(decode_envelope(bytes(data)), Envelope)
     except BadMessage as error:
