--- a/walkcart/leaves/access.py
+++ b/walkcart/leaves/access.py
@@ -94,7 +94,7 @@
         """
         obstacle = self._find_obstacle(leaf, attempt)
         cold, now = self._tools.cold, self._tools.link.clock.monotonic()
-        if obstacle is None and cold is not None and not cold.take(leaf, now):
+        if obstacle is None and cold is not None and not cold.try_acquire(leaf, now):
             obstacle = Obstacle.COLD
         if obstacle is None:
             return None
