--- a/walkcart/leaves/forwarding.py
+++ b/walkcart/leaves/forwarding.py
@@ -1,7 +1,7 @@
-"""Leaf requests by way of the instances that hold the leaf's connections.
+"""Forwarding of leaf requests to the instances that hold the leaf's connections.
 
-What the questions of one moment send to one holder goes in one message, and so
-do the outcomes that come back together.
+Attempts for one holder that are submitted together go in one message, and so do the
+outcomes that are ready together.
 """
 
 from __future__ import annotations
@@ -42,16 +42,17 @@
 if TYPE_CHECKING:
     from opentelemetry.trace import Span
 
-#: Seconds that a holder's answer may come after the deadline.
+#: Seconds after the deadline in which a holder's answer is still accepted.
 ANSWER_GRACE = 1.0
-#: Seconds after which an attempt that was on its way to its holder isn't sent on: its
-#: question may have been answered, or its caller gone, half a second before.
-MOST_AGE = 0.2
+#: Largest age in seconds at which a holder still sends a forwarded attempt to the leaf:
+#: an older one's question may have been answered, or its caller gone, half a second
+#: before.
+MAX_ASK_AGE = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class _Sent:
-    """An attempt that a holder has."""
+    """An attempt that was forwarded to a holder and has no outcome yet."""
 
     holder: str
     attempt: Attempt
@@ -60,20 +61,20 @@
     span: Span | None
 
 
-#: Sends an attempt over this instance's own connections to a leaf's address;
-#: returns False when this instance holds none.
+#: Sends an attempt over this instance's own connections to a leaf's address; returns
+#: False if this instance holds none.
 SubmitHere = Callable[[str, Attempt, Deliver], bool]
 
 
 class Forwarder:
-    """Sends attempts to holders, and carries those of others.
+    """Forwards attempts to holders, and sends those that others forward.
 
     Args:
-        links: to the peers.
-        view: which of them live.
+        links: links to the peers.
+        view: states of the peers.
         clock: source of time.
-        on_status: told what a leaf said about itself.
-        tracer: makes a span for each attempt's way by a holder.
+        on_status: called with what a leaf states about itself.
+        tracer: makes a span for each forwarded attempt.
     """
 
     def __init__(
@@ -92,9 +93,9 @@
         self._cancel_here: Callable[[str, str], None] | None = None
         self._find_leaf: Callable[[str], Leaf | None] | None = None
         self._sent: dict[str, _Sent] = {}
-        self._at_holder: Counter[str] = Counter()
-        #: Attempts of others that are in progress, by id: the sender and the leaf.
-        self._carried: dict[str, tuple[str, str]] = {}
+        self._count_by_holder: Counter[str] = Counter()
+        #: Sender and leaf of the attempts of others that are in progress here, by id.
+        self._accepted: dict[str, tuple[str, str]] = {}
         self._asks: dict[str, list[ForwardedAttempt]] = {}
         self._replies: dict[str, list[ForwardedOutcome]] = {}
         self._wakeup = trio.Event()
@@ -103,30 +104,36 @@
         links.on(ForwardCancel, self._on_cancel)
         view.on_change(self._on_member_change)
 
-    def connect(
+    def set_local_access(
         self,
         submit_here: SubmitHere,
         cancel_here: Callable[[str, str], None],
         find_leaf: Callable[[str], Leaf | None],
     ) -> None:
-        """Name how this instance's own connections are used."""
+        """Set how this instance's own connections are used.
+
+        Args:
+            submit_here: sends an attempt over them.
+            cancel_here: cancels an attempt, given the leaf's address and its id.
+            find_leaf: returns the leaf at an address.
+        """
         self._submit_here = submit_here
         self._cancel_here = cancel_here
         self._find_leaf = find_leaf
 
     @property
     def active_count(self) -> int:
-        """Attempts of other instances that are in progress here."""
-        return len(self._carried)
+        """Number of attempts of other instances that are in progress here."""
+        return len(self._accepted)
 
     def in_progress_at(self, holder: str) -> int:
-        """Return the attempts that `holder` has of this instance."""
-        return self._at_holder[holder]
+        """Return the number of this instance's attempts that `holder` has."""
+        return self._count_by_holder[holder]
 
     def submit(
         self, holder: str, leaf: Leaf, attempt: Attempt, deliver: Deliver
     ) -> None:
-        """Send `attempt` by way of `holder`."""
+        """Forward `attempt` to `holder`; `deliver` is called once with its outcome."""
         remaining = attempt.deadline - self._clock.monotonic()
         span = self._tracer.start(
             "peer.forward", attempt.traceparent, attempt=attempt.id, holder=holder
@@ -143,12 +150,12 @@
             attempt.repeatable,
         )
         self._sent[attempt.id] = _Sent(holder, attempt, leaf, deliver, span)
-        self._at_holder[holder] += 1
+        self._count_by_holder[holder] += 1
         self._asks.setdefault(holder, []).append(forwarded)
         self._wakeup.set()
 
     def cancel(self, attempt_id: str) -> bool:
-        """Tell the holder that nobody waits; False when no holder has it."""
+        """Send a cancel to the attempt's holder; return False if no holder has it."""
         sent = self._sent.get(attempt_id)
         if sent is None:
             return False
@@ -156,14 +163,14 @@
         return True
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Send what gathers, and give up on answers that don't come."""
+        """Send queued messages and expire unanswered attempts, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._expire)
             task_status.started()
             while True:
                 await self._wakeup.wait()
                 self._wakeup = trio.Event()
-                # Lets all that is ready to run add to the batch.
+                # Lets all tasks that are ready to run add to the batch.
                 await trio.sleep(0)
                 self._flush()
 
@@ -174,7 +181,7 @@
                 continue
             for forwarded in attempts:
                 detail = f"no message could be queued for {holder}"
-                self._end(forwarded.id, Failed(NotRun(Reason.UNREACHABLE, detail)))
+                self._finish(forwarded.id, Failed(NotRun(Reason.UNREACHABLE, detail)))
         replies, self._replies = self._replies, {}
         for asker, outcomes in replies.items():
             self._links.send(asker, ForwardReply(tuple(outcomes)))
@@ -188,25 +195,25 @@
             ]
             for id in late:
                 verdict = MayHaveRun(Reason.DEADLINE, "the holder didn't answer")
-                self._end(id, Failed(verdict))
+                self._finish(id, Failed(verdict))
 
-    def _end(self, id: str, outcome: Outcome) -> None:
+    def _finish(self, id: str, outcome: Outcome) -> None:
         sent = self._sent.pop(id, None)
         if sent is not None:
-            self._at_holder[sent.holder] -= 1
+            self._count_by_holder[sent.holder] -= 1
             if sent.span is not None:
                 sent.span.end()
             sent.deliver(sent.attempt, outcome)
 
     def _on_member_change(self, old: MemberRecord | None, new: MemberRecord) -> None:
-        """Give up on what a holder has that is suspected or started again."""
+        """End the attempts at a holder that is suspected or was restarted."""
         same_life = old is None or old.incarnation in (0, new.incarnation)
         if same_life and new.state < MemberState.SUSPECT:
             return
         lost = [id for id, sent in self._sent.items() if sent.holder == new.name]
         for id in lost:
             detail = f"the holder {new.name} doesn't answer"
-            self._end(id, Failed(MayHaveRun(Reason.UNREACHABLE, detail)))
+            self._finish(id, Failed(MayHaveRun(Reason.UNREACHABLE, detail)))
 
     def _on_reply(self, sender: str, message: Message) -> None:
         assert isinstance(message, ForwardReply)
@@ -216,30 +223,30 @@
                 continue
             if outcome.headers:
                 self._on_status(sent.leaf, read_status(dict(outcome.headers)))
-            self._end(outcome.id, _read_forwarded(sent.attempt, outcome))
+            self._finish(outcome.id, _read_forwarded(sent.attempt, outcome))
 
     def _on_ask(self, sender: str, message: Message, age: float) -> None:
         assert isinstance(message, ForwardAsk)
         for forwarded in message.attempts:
-            if age > MOST_AGE:
+            if age > MAX_ASK_AGE:
                 verdict = NotRun(Reason.UNREACHABLE, "it was on its way for too long")
                 self._answer(sender, forwarded, Failed(verdict))
             else:
-                self._carry(sender, forwarded)
+                self._submit_for(sender, forwarded)
 
-    def _carry(self, sender: str, forwarded: ForwardedAttempt) -> None:
-        """Send another instance's attempt over this one's connections."""
+    def _submit_for(self, sender: str, forwarded: ForwardedAttempt) -> None:
+        """Send another instance's attempt over this instance's connections."""
 
         def answer(attempt: Attempt, outcome: Outcome) -> None:
-            self._carried.pop(attempt.id, None)
+            self._accepted.pop(attempt.id, None)
             self._answer(sender, forwarded, outcome)
 
-        held = self._carried.get(forwarded.id)
+        held = self._accepted.get(forwarded.id)
         if held is not None:
             if held[0] != sender:
                 verdict = NotRun(Reason.INTERNAL, "the attempt's id is in use")
                 self._answer(sender, forwarded, Failed(verdict))
-            # Else it came once more, and is answered once.
+            # Otherwise it is a duplicate message; the attempt is answered once.
             return
         deadline = self._clock.monotonic() + forwarded.remaining
         try:
@@ -249,7 +256,7 @@
             self._answer(sender, forwarded, Failed(verdict))
             return
         attempt = replace(attempt, body=forwarded.body)
-        self._carried[attempt.id] = (sender, forwarded.leaf)
+        self._accepted[attempt.id] = (sender, forwarded.leaf)
         assert self._submit_here is not None
         if not self._submit_here(forwarded.leaf, attempt, answer):
             verdict = NotRun(Reason.NO_LEAF, "this instance holds no connection")
@@ -258,7 +265,7 @@
     def _on_cancel(self, sender: str, message: Message) -> None:
         assert isinstance(message, ForwardCancel)
         for id in message.ids:
-            owner, address = self._carried.get(id, ("", ""))
+            owner, address = self._accepted.get(id, ("", ""))
             if owner == sender and self._cancel_here is not None:
                 self._cancel_here(address, id)
 
--- a/walkcart/leaves/gateway.py
+++ b/walkcart/leaves/gateway.py
@@ -1,7 +1,7 @@
-"""The way to a leaf: over connections of this instance's own, or a holder's.
+"""Sending of attempts to leaves, over this instance's connections or a holder's.
 
-The gateway also keeps the account of each leaf (outstanding requests, latency,
-ejection, limit), since every attempt passes here.
+The gateway also keeps the statistics of each leaf (outstanding requests, latency,
+ejection, limit), since every attempt passes through it.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 from walkcart.wire.network import Network
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Seconds between two looks at the shares of connections.
+#: Seconds between two updates of the shares of connections.
 SHARE_INTERVAL = 0.5
-#: Seconds between two questions to a leaving leaf, and two looks at idle connections.
+#: Seconds between two status requests to a leaving leaf, and two idle checks.
 CHECK_INTERVAL = 2.0
-#: Seconds for which a new division must stand before an instance grows into it:
-#: by then the others have seen the same change and closed what they gave up.
+#: Seconds for which a larger share must stay the same before an instance uses it: by
+#: then the others have seen the same change and closed the connections they gave up.
 SETTLE_TIME = 2.0
 
 
@@ -43,13 +43,13 @@
 
     Args:
         table: the leaves.
-        marks: which of them are leaving.
-        view: the instances that share their connections.
+        marks: marks of the leaves that are leaving.
+        view: the instances that share the leaves' connections.
         forwarder: reaches leaves through holders.
         network: opens connections.
         clock: source of time.
-        events: where leaf events are logged.
-        metrics: where leaf requests are counted.
+        events: log of leaf events.
+        metrics: counters of leaf requests.
         tracer: makes a span for each attempt.
     """
 
@@ -86,47 +86,47 @@
         self._shares: dict[str, int] = {}
         self._wanted_since: dict[str, tuple[int, float]] = {}
         self._nursery: trio.Nursery | None = None
-        forwarder.connect(self._submit_here, self._cancel_here, table.find)
+        forwarder.set_local_access(self._submit_here, self._cancel_here, table.find)
 
     def hedge_delay_of(self, group: str) -> HedgeDelay:
-        """Return the learned latencies of a shard group."""
+        """Return the hedge delay of a shard group, from its observed latencies."""
         return self._delays.setdefault(group, HedgeDelay())
 
     def set_groups(self, groups: list[ResolvedGroup]) -> None:
-        """Divide the connections of these groups' leaves from now on.
+        """Set the shard groups whose leaves' connections are shared from now on.
 
-        The leaves of the groups before stay connected until the next change, for
-        questions that were admitted under the configuration before.
+        The leaves of the previous groups stay connected until the next change, for
+        questions that were admitted under the previous configuration.
         """
         self._previous = tuple(self._groups.values())
         self._groups = {resolved.group.name: resolved for resolved in groups}
         for resolved in (*self._previous, *groups):
             for leaf in resolved.leaves:
                 self._caps[leaf.address] = resolved.group.connections
-        self._note_groups()
+        self._apply_groups()
 
     def submit(
         self, leaf: Leaf, attempt: Attempt, group: str, deliver: Deliver
     ) -> None:
-        """Send `attempt` to `leaf`; `deliver` is told once how it ended."""
+        """Send `attempt` to `leaf`; `deliver` is called once with its outcome."""
         leaf.outstanding += 1
 
-        def account(attempt: Attempt, outcome: Outcome) -> None:
+        def finish(attempt: Attempt, outcome: Outcome) -> None:
             leaf.outstanding -= 1
-            self._account(leaf, attempt, group, outcome)
+            self._record_outcome(leaf, attempt, group, outcome)
             deliver(attempt, outcome)
 
-        if self._submit_here(leaf.address, attempt, account):
+        if self._submit_here(leaf.address, attempt, finish):
             return
         holder = self._choose_holder(leaf)
         if holder is None:
             detail = f"no instance that holds {leaf.address} is reached"
-            account(attempt, Failed(NotRun(Reason.UNREACHABLE, detail)))
+            finish(attempt, Failed(NotRun(Reason.UNREACHABLE, detail)))
             return
-        self._forwarder.submit(holder, leaf, attempt, account)
+        self._forwarder.submit(holder, leaf, attempt, finish)
 
     def cancel(self, leaf: Leaf, attempt_id: str, waited: float) -> None:
-        """Nobody waits for this attempt any longer; it had `waited` seconds."""
+        """Cancel an attempt whose result isn't needed, after it `waited` seconds."""
         leaf.latency.observe_at_least(self._clock.monotonic(), waited)
         if not self._forwarder.cancel(attempt_id):
             self._cancel_here(leaf.address, attempt_id)
@@ -136,9 +136,9 @@
         return not self._marks.is_leaving(leaf.address)
 
     def record_status(self, leaf: Leaf, status: LeafStatus) -> None:
-        """Take in what a leaf said about itself."""
+        """Record what a leaf stated about itself."""
         if status.incarnation:
-            leaf.note_incarnation(status.incarnation)
+            leaf.update_incarnation(status.incarnation)
         if status.leaving:
             self._marks.record_leaving(leaf.address, status.incarnation)
         elif status.incarnation:
@@ -154,19 +154,19 @@
         return self._holders.holders(leaf.address)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Keep the shares of connections until cancelled."""
+        """Keep the shares of connections up to date until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
-            self._note_groups()
+            self._apply_groups()
             while True:
-                self._look_at_instances()
+                self._update_instances()
                 self._check_leaving()
                 total = sum(link.connections for link in self._links.values())
                 self._metrics.gauge("leaf.connections", total)
                 await trio.sleep(SHARE_INTERVAL)
 
-    def _note_groups(self) -> None:
-        """Take the leaves of all groups; close the links to those that went."""
+    def _apply_groups(self) -> None:
+        """Set the leaves of all groups; close the links to leaves that are gone."""
         held = {
             leaf.address: SharedLeaf(
                 leaf.address,
@@ -178,15 +178,15 @@
         }
         self._holders.set_leaves(list(held.values()))
         for address in [item for item in self._links if item not in held]:
-            # What is in progress there still ends.
+            # Attempts in progress there still end.
             self._links.pop(address).close()
             self._shares.pop(address, None)
-        self._divide()
+        self._update_shares()
 
-    def _look_at_instances(self) -> None:
-        """Divide anew after instances came or went; let shares grow when due."""
+    def _update_instances(self) -> None:
+        """Update the shares after a change of the instances; let due ones grow."""
         for address in list(self._wanted_since):
-            self._divide_leaf(address)
+            self._update_share(address)
         if self._view.version == self._view_version:
             return
         self._view_version = self._view.version
@@ -194,12 +194,13 @@
         instances = {item.name: item.region for item in self._view.sharing()}
         instances.setdefault(own.name, own.region)
         if self._holders.set_instances(instances):
-            self._divide()
+            self._update_shares()
 
     def _check_leaving(self) -> None:
-        """Ask leaving leaves now and then whether they started again.
+        """Ask leaving leaves periodically whether they were restarted.
 
-        They get no work, so nothing else would tell when the list doesn't.
+        They get no work, so only the instance list could tell otherwise. The other
+        leaves' idle connections are checked at the same interval.
         """
         now = self._clock.monotonic()
         if now - self._checked_at < CHECK_INTERVAL:
@@ -211,13 +212,13 @@
             else:
                 link.close_idle()
 
-    def _divide(self) -> None:
-        """Work out this instance's share of each leaf's connections."""
+    def _update_shares(self) -> None:
+        """Recompute this instance's share of each leaf's connections."""
         if self._nursery is not None:
             for leaf in self._holders.leaves():
-                self._divide_leaf(leaf.address)
+                self._update_share(leaf.address)
 
-    def _divide_leaf(self, address: str) -> None:
+    def _update_share(self, address: str) -> None:
         leaf = self._table.find(address)
         if leaf is None or address not in self._caps:
             self._wanted_since.pop(address, None)
@@ -225,16 +226,18 @@
         holders = self._holders.holders(address)
         shares = ConnectionShares(self._caps[address])
         holds = self._view.own.name in holders
-        self._settle(leaf, shares.connections_per_holder(len(holders)) if holds else 0)
+        self._apply_share(
+            leaf, shares.connections_per_holder(len(holders)) if holds else 0
+        )
 
-    def _settle(self, leaf: Leaf, wanted: int) -> None:
-        """Shrink at once, but grow only after the division has stood a while."""
+    def _apply_share(self, leaf: Leaf, wanted: int) -> None:
+        """Shrink a share at once, but let it grow only after `SETTLE_TIME`."""
         address = leaf.address
         now = self._clock.monotonic()
         present = self._shares.get(address, 0)
         if not present:
-            # Others send through a new holder at once; the part of the cap that
-            # isn't given out is for this first connection.
+            # Others forward to a new holder at once; the part of the cap that isn't
+            # assigned to anyone allows for this first connection.
             present = min(wanted, 1)
             self._set_share(leaf, present)
         if wanted <= present:
@@ -287,13 +290,13 @@
             default=None,
         )
 
-    def _account(
+    def _record_outcome(
         self, leaf: Leaf, attempt: Attempt, group: str, outcome: Outcome
     ) -> None:
         now = self._clock.monotonic()
         match outcome:
             case Replied(elapsed=elapsed):
-                self._note_reply(leaf, group, now, elapsed)
+                self._record_reply(leaf, group, now, elapsed)
             case Refused():
                 pass
             case Failed(NotRun(Reason.CANCELLED | Reason.DEADLINE)):
@@ -301,16 +304,16 @@
             case Failed(MayHaveRun(Reason.CANCELLED)):
                 pass
             case Failed():
-                self._note_failure(leaf, group, now)
+                self._record_failure(leaf, group, now)
 
-    def _note_reply(self, leaf: Leaf, group: str, now: float, elapsed: float) -> None:
+    def _record_reply(self, leaf: Leaf, group: str, now: float, elapsed: float) -> None:
         delay = self.hedge_delay_of(group)
         leaf.latency.observe(now, elapsed)
         delay.observe(now, elapsed)
         if leaf.ejection.record_success():
             self._events.emit(Events.LEAF_RETURNED, leaf=leaf.address)
 
-    def _note_failure(self, leaf: Leaf, group: str, now: float) -> None:
+    def _record_failure(self, leaf: Leaf, group: str, now: float) -> None:
         self._metrics.count("leaf.failed")
         resolved = self._groups.get(group)
         leaves = resolved.leaves if resolved else ()
--- a/walkcart/leaves/table.py
+++ b/walkcart/leaves/table.py
@@ -1,4 +1,4 @@
-"""Which leaves serve which shard, resolved for one configuration revision."""
+"""The leaves that serve each shard, resolved for one configuration revision."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 from walkcart.membership.listing import ListedInstance
 
 SHARD_LABEL = "shard"
-#: Resolved revisions that are kept for requests in progress.
-KEPT = 8
+#: Revisions whose groups and policies stay cached for requests in progress, at 32
+#: entries each.
+MAX_CACHED_REVISIONS = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,8 +24,8 @@
     """The leaves of one layout.
 
     Args:
-        epoch: of the layout.
-        shards: for each shard number, its leaves.
+        epoch: epoch of the layout.
+        shards: leaves of each shard, by shard number.
     """
 
     epoch: int
@@ -36,9 +37,9 @@
     """The leaves of a shard group.
 
     Args:
-        group: as configured.
-        layouts: newest first.
-        leaves: all of them, once each.
+        group: the configured shard group.
+        layouts: its layouts, newest first.
+        leaves: leaves of all layouts, each once.
     """
 
     group: ShardGroup
@@ -47,7 +48,7 @@
 
 
 class LeafTable:
-    """Keeps the leaves and resolves groups and policies to them."""
+    """Keeps the leaves, and resolves shard groups and policies."""
 
     def __init__(self) -> None:
         self._leaves: dict[str, Leaf] = {}
@@ -55,11 +56,11 @@
         self._list_version = 0
         self._groups: dict[tuple[int, int, str], ResolvedGroup] = {}
         self._policies: dict[tuple[int, str], Policy] = {}
-        #: Raised whenever some leaf's held versions or place changed.
+        #: Raised whenever a leaf's held versions or the list of leaves changes.
         self.version = 0
 
     def set_listed(self, leaves: tuple[ListedInstance, ...]) -> None:
-        """Take in the leaves of the instance list."""
+        """Set the leaves of the instance list."""
         self._listed = leaves
         self._list_version += 1
         self.version += 1
@@ -69,7 +70,7 @@
                 del self._leaves[address]
 
     def find(self, address: str) -> Leaf | None:
-        """Return the leaf at `address` if it was resolved before."""
+        """Return the leaf at `address`, or None if no group was resolved to it."""
         return self._leaves.get(address)
 
     def find_policy(self, document: Document, service_name: str) -> Policy:
@@ -78,7 +79,7 @@
         if key not in self._policies:
             service = document.configuration.find_service(service_name)
             assert service is not None
-            _trim(self._policies, KEPT * 32)
+            _trim(self._policies, MAX_CACHED_REVISIONS * 32)
             self._policies[key] = resolve_policy(document.configuration, service)
         return self._policies[key]
 
@@ -88,12 +89,12 @@
         if key not in self._groups:
             group = document.configuration.find_group(name)
             assert group is not None
-            _trim(self._groups, KEPT * 32)
+            _trim(self._groups, MAX_CACHED_REVISIONS * 32)
             self._groups[key] = self._resolve(document, group)
         return self._groups[key]
 
     def leaf_labels(self, document: Document) -> list[dict[str, str]]:
-        """Return the labels of all listed leaves, rules laid over."""
+        """Return the labels of all listed leaves, with the label rules applied."""
         return [label_leaf(document.configuration, row.labels) for row in self._listed]
 
     def _resolve(self, document: Document, group: ShardGroup) -> ResolvedGroup:
@@ -119,17 +120,17 @@
         for row, labels in labelled:
             shard = read_number(labels.get(SHARD_LABEL))
             if shard is None or shard >= layout.shards:
-                # Not of this layout: the coverage shows the hole if it is one.
+                # Not part of this layout; coverage shows a shard without leaves.
                 continue
             if not selector.matches(labels):
                 continue
-            leaf = self._take_leaf(row, labels, group)
+            leaf = self._get_or_create(row, labels, group)
             if leaf is not None:
                 shards[shard].append(leaf)
                 found[leaf.address] = leaf
         return ResolvedLayout(layout.epoch, tuple(tuple(part) for part in shards))
 
-    def _take_leaf(
+    def _get_or_create(
         self, row: ListedInstance, labels: dict[str, str], group: ShardGroup
     ) -> Leaf | None:
         try:
--- a/walkcart/wire/tests/test_clients_gone.py
+++ b/walkcart/wire/tests/test_clients_gone.py
@@ -1,4 +1,4 @@
-"""Requests whose client left before they were accepted."""
+"""Requests whose client disconnected before the connection was accepted."""
 
 import socket
 
@@ -13,9 +13,9 @@
 
 
 def serve_one(send, wanted):
-    """Serve a connection by which `send(socket)` sends; return the requests begun.
+    """Serve a connection on which `send(socket)` sends; return the started targets.
 
-    Ends with the connection, or as soon as `wanted` requests were begun.
+    Ends with the connection, or as soon as `wanted` requests were started.
     """
     begun = []
 
@@ -58,5 +58,5 @@
     assert serve_one(lambda client: client.sendall(REQUEST), 1) == ["/"]
 
 
-def test_a_second_request_that_has_come_already_does_no_harm():
+def test_pipelined_requests_are_both_begun():
     assert serve_one(lambda client: client.sendall(REQUEST * 2), 2) == ["/", "/"]
--- a/walkcart/wire/tests/test_network.py
+++ b/walkcart/wire/tests/test_network.py
@@ -1,4 +1,4 @@
-"""Connections whose peer goes silent, as the kernel is asked to find them."""
+"""Kernel options that detect connections whose peer has gone silent."""
 
 import socket
 from datetime import timedelta
@@ -7,14 +7,14 @@
 import trio
 
 from walkcart.kernel.settings import HostPort
-from walkcart.wire.network import MAX_PROBES, SILENCE_MS, TcpNetwork
+from walkcart.wire.network import MAX_PROBES, UNACKED_TIMEOUT_MS, TcpNetwork
 
 
-async def read_options(probe):
+async def read_options(probe_interval):
     network = TcpNetwork()
     listener = await network.listen(HostPort("127.0.0.1", 0))
     address = HostPort("127.0.0.1", network.port_of(listener))
-    stream = await network.connect(address, probe)
+    stream = await network.connect(address, probe_interval)
     tcp = socket.IPPROTO_TCP
     read = stream.socket.getsockopt
     found = (
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("seconds", [1, 2])
-def test_a_probed_connection_ends_a_probe_after_the_last_question(seconds):
+def test_a_probed_connection_ends_one_interval_after_the_last_probe(seconds):
     found = trio.run(read_options, timedelta(seconds=seconds))
     assert found == (
         True,
@@ -41,7 +41,7 @@
     )
 
 
-def test_others_are_not_probed():
+def test_a_connection_without_an_interval_is_not_probed():
     probed, *_, silence = trio.run(read_options, None)
     assert not probed
-    assert silence == SILENCE_MS
+    assert silence == UNACKED_TIMEOUT_MS
--- a/walkcart/wire/tests/test_wire.py
+++ b/walkcart/wire/tests/test_wire.py
@@ -19,13 +19,13 @@
 
 
 @given(st.binary(max_size=100))
-def test_rubbish_is_no_envelope(data):
+def test_arbitrary_bytes_are_not_an_envelope(data):
     with pytest.raises(BadMessage):
         decode_envelope(data)
 
 
 @given(st.integers(0, 200), st.integers(0, 255))
-def test_changed_envelope_is_read_or_refused(place, value):
+def test_corrupted_envelope_is_decoded_or_refused(place, value):
     data = bytearray(encode_envelope(ENVELOPE))
     data[place % len(data)] = value
     try:
@@ -69,7 +69,7 @@
 
 
 def test_envelopes_carry_no_names_of_fields_or_classes():
-    """Operators pay for bytes between regions."""
+    """Operators pay for bytes between regions, so names aren't sent."""
     data = encode_envelope(ENVELOPE)
     assert b"to_incarnation" not in data
     assert type(ASK).__name__.encode() not in data
