--- a/walkcart/entry/queries.py
+++ b/walkcart/entry/queries.py
@@ -150,7 +150,7 @@
         span = tools.tracer.start(
             "entry.query", caller.options.traceparent, service=name
         )
-        with tools.tracer.hold(span):
+        with tools.tracer.end_on_exit(span):
             traceparent = tools.tracer.inject(span, caller.options.traceparent)
             question = make_question(caller, bytes(body.query), traceparent)
             remaining = caller.deadline - start
@@ -180,7 +180,7 @@
         self, body, answer: Answer, caller: CallerContext, start: float
     ) -> HttpReply:
         configuration = ConfigurationState(
-            caller.document.revision, self._tools.keeper.is_cut()
+            caller.document.revision, self._tools.keeper.is_isolated()
         )
         try:
             rows = merge_rows(body, answer)
--- a/walkcart/fanout/origins.py
+++ b/walkcart/fanout/origins.py
@@ -51,7 +51,7 @@
 
     def find_rank(self, kind: str, team: str) -> int:
         """Return the rank of a team's requests of a kind; 0 is the most urgent."""
-        return self.keeper.table.rank_of(kind, team)
+        return self.keeper.table.find_rank(kind, team)
 
     def find_grant(self, kind: str, team: str) -> Grant | None:
         """Return the permission that must stay in force for another instance's request.
@@ -60,4 +60,4 @@
         instance decides then, as it may have a later configuration.
         """
         grant = Grant(team)
-        return grant if self.keeper.table.upholds(kind, grant) else None
+        return grant if self.keeper.table.still_admits(kind, grant) else None
--- a/walkcart/leaves/access.py
+++ b/walkcart/leaves/access.py
@@ -30,7 +30,7 @@
 
     def is_grant_valid(self, kind: str, grant: Grant | None) -> bool:
         """Return whether the grant that admitted a request is still in force."""
-        return grant is None or self._tools.keeper.table.upholds(kind, grant)
+        return grant is None or self._tools.keeper.table.still_admits(kind, grant)
 
     def current_regions(
         self, kind: str, regions: Regions, grant: Grant | None
@@ -45,7 +45,9 @@
         if not self.is_grant_valid(kind, grant):
             return NO_REGIONS
         table = self._tools.keeper.table
-        return regions.intersect(table.regions_of(kind, grant.team if grant else ""))
+        return regions.intersect(
+            table.find_allowed_regions(kind, grant.team if grant else "")
+        )
 
     def leaves_of(
         self, service: str, regions: Regions = ALL_REGIONS
--- a/walkcart/leaves/directory.py
+++ b/walkcart/leaves/directory.py
@@ -4,7 +4,7 @@
 only have lapsed: a living leaf stores it again shortly, so it is kept for a while.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which reads the entries.
+    `walkcart.store.follower.PrefixFollower`, which reads the entries.
 """
 
 from __future__ import annotations
--- a/walkcart/membership/__init__.py
+++ b/walkcart/membership/__init__.py
@@ -4,7 +4,7 @@
 being equal. What must be exact goes through the store's compare-and-swap.
 """
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Detector": "detector",
@@ -20,4 +20,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -12,7 +12,7 @@
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
 from walkcart.kernel.settings import HostPort
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.membership.messageages import ClockReadings, Stamp
 from walkcart.membership.outbox import Outbox
 from walkcart.membership.peerdirectory import PeerDirectory, parse_address
@@ -179,7 +179,7 @@
         try:
             self._receive(data)
         except Exception as error:
-            note_task_fault(self._events, "peer envelope", error)
+            log_task_error(self._events, "peer envelope", error)
 
     def _receive(self, data: bytes) -> None:
         self._metrics.count("peer.bytes", len(data))
@@ -213,7 +213,7 @@
                 handler(sender, message)
         except Exception as error:
             task = f"{type(message).__name__} of {sender}"
-            note_task_fault(self._events, task, error)
+            log_task_error(self._events, task, error)
 
     def _record_unknown_sender(self, envelope: Envelope) -> None:
         """Keep the address of a sender that is not in the directory."""
@@ -257,7 +257,7 @@
             # The next message reconnects; the failure detector checks the peer.
             self._metrics.count("peer.dropped")
         except Exception as error:
-            note_task_fault(self._events, f"link to {name}", error)
+            log_task_error(self._events, f"link to {name}", error)
         finally:
             if self._links.get((name, address)) is link:
                 del self._links[(name, address)]
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -33,7 +33,7 @@
     Committed,
     Item,
     Lease,
-    LeaseOver,
+    LeaseNotFound,
     Put,
     SharedStore,
     Transaction,
@@ -109,7 +109,7 @@
         self._started_at = clock.monotonic()
         self._is_stopping = False
         self._renew_requested = trio.Event()
-        calls.on_away(self.renew_soon)
+        calls.on_unreachable(self.renew_soon)
         self._is_watching: Callable[[], bool] = lambda: True
         self._listeners: list[Callable[[], None]] = []
         self._keys = KeyReader(store, own.name, events)
@@ -160,7 +160,7 @@
                 await self._wait_for_next_cycle()
             except StoreUnavailable:
                 # `StoreCalls` logs the first failure of a series.
-                pause = self._backoff.advance().total_seconds()
+                pause = self._backoff.next_delay().total_seconds()
                 if not self._is_watching():
                     pause *= FED_BACKOFF_FACTOR
                 await trio.sleep(pause)
@@ -226,7 +226,7 @@
 
     async def _renew(self, lease: Lease) -> None:
         """Renew the lease; replace it by a longer one when the fleet has grown."""
-        if isinstance(await self._store.renew_lease(lease), LeaseOver):
+        if isinstance(await self._store.renew_lease(lease), LeaseNotFound):
             self._drop_registration("the lease ended")
         elif self._wants_longer_lease(lease):
             await self._store.end_lease(lease)
@@ -261,7 +261,7 @@
             return None
         lease = Lease(previous.lease, MIN_LEASE_TTL)
         renewed = await self._store.renew_lease(lease)
-        return None if isinstance(renewed, LeaseOver) else renewed
+        return None if isinstance(renewed, LeaseNotFound) else renewed
 
     async def _register(self, lease: Lease) -> Registered | None:
         key = INSTANCE_PREFIX + self.own.name
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -11,7 +11,7 @@
 reads the store itself: a late feeder is no better than a silent one.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which holds a copy.
+    `walkcart.store.follower.PrefixFollower`, which holds a copy.
     `walkcart.membership.feeding.Feeder`, the sender.
 """
 
@@ -32,7 +32,7 @@
 from walkcart.membership.registration import Registration
 from walkcart.membership.watchers import SUSPECT, FeederChoice, Watchers
 from walkcart.store.calls import StoreCalls
-from walkcart.store.following import PrefixFollower
+from walkcart.store.follower import PrefixFollower
 from walkcart.store.packing import BadValue
 from walkcart.store.updates import Origin
 from walkcart.wire.messagebase import Message
@@ -113,7 +113,7 @@
         self._feeder = own_feeder
         calls.on_success(own_feeder.send_heartbeats_if_due)
         for follower in self._followers.values():
-            follower.on_resumed = self._refresh_soon
+            follower.on_watch_resumed = self._refresh_soon
         links.on(RelayUnserved, self._on_unserved)
         links.on_with_age(RelayChanges, self._on_changes)
         links.on_with_age(RelayCopy, self._on_copy)
@@ -159,7 +159,7 @@
         """
         now = self._clock.monotonic()
         self._report_age(now)
-        if self._calls.unserved_time() > MAX_UNSERVED_TIME.total_seconds():
+        if self._calls.find_outage_time() > MAX_UNSERVED_TIME.total_seconds():
             self._feeder.reject_subscribers()
         if self._registration.is_settled and self._watchers.is_watcher():
             self._last_watcher_at = now
@@ -201,7 +201,7 @@
 
     def _on_refused(self, sender: str) -> None:
         """Reject a subscriber that can't be fed, or begin to read the store for it."""
-        if self._calls.unserved_time() > MAX_UNSERVED_TIME.total_seconds():
+        if self._calls.find_outage_time() > MAX_UNSERVED_TIME.total_seconds():
             self._links.send(sender, RelayUnserved())
         elif self._feeder_choice.find_responsive() is None:
             self._become_substitute()
@@ -309,7 +309,7 @@
     ) -> None:
         """Record that a copy was complete to `revision` at most `age` seconds ago."""
         now = self._clock.monotonic()
-        follower.note_current(revision, now - age)
+        follower.record_current(revision, now - age)
         held = self._complete_at[follower.prefix]
         self._complete_at[follower.prefix] = max(held, now - age)
         age = now - min(self._complete_at.values())
