--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -168,7 +168,7 @@
         ranked = self._watchers.is_watcher() or self._is_handing_over()
         if ranked and self._calls.reachable:
             self._feeder_choice.clear()
-            self._set_fed(False, "this instance watches the store")
+            self._set_fed(False, "watches itself")
             return
         age = now - min(self._complete_at.values())
         is_late = age > SUSPECT.total_seconds() and self._feeder_choice.is_grace_over()
@@ -209,7 +209,7 @@
     def _become_substitute(self) -> None:
         """Read the store for the subscribers, as this instance has no feeder left."""
         if self._calls.reachable and self._feeder.has_subscribers():
-            self._set_fed(False, "reads the store for subscribers")
+            self._set_fed(False, "stands in")
 
     def _renew_subscription(self) -> None:
         """Renew the subscription, which also acknowledges received messages."""
