--- a/walkcart/cli/changes.py
+++ b/walkcart/cli/changes.py
@@ -9,9 +9,9 @@
 from cleo.helpers import argument, option
 
 from walkcart.cli.clients import fetch_document, make_applier, run
-from walkcart.cli.command import COMMON, ToolCommand
+from walkcart.cli.command import COMMON_OPTIONS, ToolCommand
 from walkcart.cli.edits import (
-    LABELLED,
+    LABELLED_KINDS,
     Edit,
     drain_leaves,
     end_drain,
@@ -21,7 +21,7 @@
 )
 from walkcart.cli.exits import CommandFailed, Exit
 from walkcart.cli.settings import ToolSettings
-from walkcart.cli.waiting import describe_race, wait_in_force
+from walkcart.cli.waiting import describe_conflict, wait_in_force
 from walkcart.intent.applying import (
     Accepted,
     Outcome,
@@ -44,7 +44,7 @@
 FILES = argument("files", "TOML files.", multiple=True)
 ALLOW_EMPTY = option("allow-empty", None, "Take selectors that match nothing.")
 PRUNE = option("prune", None, "Remove objects that the files lack.")
-APPLYING = [
+APPLY_OPTIONS = [
     option("wait", None, "Return when it is in force at every live instance."),
     option("wait-seconds", None, "Longest wait.", flag=False, default="10"),
     option("author", None, "Who changes; the user's name by default.", flag=False),
@@ -95,7 +95,7 @@
     name = "validate"
     description = "Checks files without touching anything."
     arguments = [FILES]
-    options = [*COMMON, ALLOW_EMPTY]
+    options = [*COMMON_OPTIONS, ALLOW_EMPTY]
     help = "Example: walkcart validate examples/swapline.toml"
 
     def act(self, settings: ToolSettings) -> Exit:
@@ -113,7 +113,7 @@
     name = "diff"
     description = "Shows what applying files would change."
     arguments = [FILES]
-    options = [*COMMON, PRUNE]
+    options = [*COMMON_OPTIONS, PRUNE]
     help = "Example: walkcart diff examples/swapline.toml --output json"
 
     def act(self, settings: ToolSettings) -> Exit:
@@ -145,17 +145,17 @@
     def apply(self, settings: ToolSettings, edit: Edit) -> Exit:
         """Apply `edit` and tell the outcome."""
         if self.option("dry-run"):
-            return self._try(settings, edit)
+            return self._dry_run(settings, edit)
         author = self.option("author") or getpass.getuser()
         allow_empty = self.option("allow-empty")
         proposal = Proposal(str(uuid.uuid4()), author, edit, allow_empty)
 
-        async def act() -> Outcome:
+        async def apply_proposal() -> Outcome:
             return await make_applier(settings).apply(proposal)
 
-        return self._tell(settings, run(act))
+        return self._report_outcome(settings, run(apply_proposal))
 
-    def _try(self, settings: ToolSettings, edit: Edit) -> Exit:
+    def _dry_run(self, settings: ToolSettings, edit: Edit) -> Exit:
         document = run(lambda: fetch_document(settings))
         wanted = edit(document.configuration)
         check_configuration(wanted, self.option("allow-empty"))
@@ -163,19 +163,19 @@
         show_differences(self, settings, found)
         return Exit.OK
 
-    def _tell(self, settings: ToolSettings, outcome: Outcome) -> Exit:
+    def _report_outcome(self, settings: ToolSettings, outcome: Outcome) -> Exit:
         match outcome:
             case Accepted(revision):
                 self.write_plain(f"accepted as revision {revision}")
-                return self._wait(settings, revision)
+                return self._wait_until_in_force(settings, revision)
             case Unchanged(revision):
                 self.write_plain(f"nothing to change at revision {revision}")
-                return self._wait(settings, revision)
+                return self._wait_until_in_force(settings, revision)
             case Refused(faults):
                 lines = [str(fault) for fault in faults]
                 raise CommandFailed(Exit.INVALID, *lines)
             case Raced():
-                raise CommandFailed(Exit.CONFLICT, *describe_race(outcome))
+                raise CommandFailed(Exit.CONFLICT, *describe_conflict(outcome))
             case Unknown(id, True):
                 detail = f"the store can't say whether change {id} was accepted"
                 hint = "look for it in `walkcart get --changes`"
@@ -184,7 +184,7 @@
                 detail = f"the store can't be used; change {id} was not accepted"
                 raise CommandFailed(Exit.UNAVAILABLE, detail)
 
-    def _wait(self, settings: ToolSettings, revision: int) -> Exit:
+    def _wait_until_in_force(self, settings: ToolSettings, revision: int) -> Exit:
         if not self.option("wait"):
             return Exit.OK
         try:
@@ -206,7 +206,7 @@
     name = "apply"
     description = "Brings the objects of files into force."
     arguments = [FILES]
-    options = [*COMMON, *APPLYING, PRUNE]
+    options = [*COMMON_OPTIONS, *APPLY_OPTIONS, PRUNE]
     help = "Example: walkcart apply examples/swapline.toml --wait"
 
     def act(self, settings: ToolSettings) -> Exit:
@@ -228,7 +228,7 @@
         argument("target", "A name; for leaves a selector."),
         argument("labels", "key=value sets, key- removes.", multiple=True),
     ]
-    options = [*COMMON, *APPLYING]
+    options = [*COMMON_OPTIONS, *APPLY_OPTIONS]
     help = (
         "Examples: walkcart label service pack-finder tier=search\n"
         "          walkcart label leaf 'data-centre=hobart-a' busy=yes"
@@ -241,8 +241,8 @@
         if kind == "leaf":
             check_selector(target)
             return self.apply(settings, label_leaves(target, added, removed))
-        if kind not in LABELLED:
-            expected = f"{kind!r}: expected leaf, {', '.join(LABELLED)}"
+        if kind not in LABELLED_KINDS:
+            expected = f"{kind!r}: expected leaf, {', '.join(LABELLED_KINDS)}"
             raise CommandFailed(Exit.USAGE, expected)
         return self.apply(settings, label_object(kind, target, added, removed))
 
@@ -253,7 +253,11 @@
     name = "drain"
     description = "Stops new work to the leaves that a selector matches."
     arguments = [argument("selector", "Leaves.")]
-    options = [*COMMON, *APPLYING, option("end", None, "Take the drain back.")]
+    options = [
+        *COMMON_OPTIONS,
+        *APPLY_OPTIONS,
+        option("end", None, "Take the drain back."),
+    ]
     help = "Example: walkcart drain 'data-centre=hobart-a' --wait"
 
     def act(self, settings: ToolSettings) -> Exit:
--- a/walkcart/cli/clients.py
+++ b/walkcart/cli/clients.py
@@ -27,10 +27,10 @@
 from walkcart.wire.network import TcpNetwork
 
 T = TypeVar("T")
-CALL_TIME = 15.0
-BODY_LIMIT = 16 << 20
+CALL_TIMEOUT = 15.0
+MAX_BODY_BYTES = 16 << 20
 #: How long the tool waits out an outage of the store.
-PATIENCE = timedelta(seconds=10)
+OUTAGE_TIMEOUT = timedelta(seconds=10)
 
 
 def run(action: Callable[[], Awaitable[T]]) -> T:
@@ -68,7 +68,7 @@
 def make_applier(settings: ToolSettings) -> Applier:
     """Return what brings changes into the store."""
     backoff = Backoff(timedelta(seconds=0.1), timedelta(seconds=1), Random())
-    return Applier(make_store(settings), TrioClock(), backoff, PATIENCE)
+    return Applier(make_store(settings), TrioClock(), backoff, OUTAGE_TIMEOUT)
 
 
 async def fetch_document(settings: ToolSettings) -> Document:
@@ -96,9 +96,9 @@
     )
     request = HttpRequest(method, target, (*own, *headers), body)
     try:
-        with trio.fail_after(CALL_TIME):
+        with trio.fail_after(CALL_TIMEOUT):
             stream = await TcpNetwork().connect(settings.instance)
-            connection = HttpConnection(stream, str(settings.instance), BODY_LIMIT)
+            connection = HttpConnection(stream, str(settings.instance), MAX_BODY_BYTES)
             try:
                 return await connection.exchange(request)
             finally:
--- a/walkcart/cli/command.py
+++ b/walkcart/cli/command.py
@@ -12,7 +12,7 @@
 from walkcart.cli.output import render_json, render_table
 from walkcart.cli.settings import DEFAULTS, ToolSettings, read_tool_settings
 
-COMMON = [
+COMMON_OPTIONS = [
     option("store", None, "Key-value service, IP:port.", flag=False),
     option("instance", None, "Any walkcart instance, IP:port.", flag=False),
     option("token", None, "The operators' credential at instances.", flag=False),
--- a/walkcart/cli/edits.py
+++ b/walkcart/cli/edits.py
@@ -12,7 +12,7 @@
 
 Edit = Callable[[Configuration], Configuration]
 DRAIN_PRIORITY = 1000
-LABELLED = ("service", "partner", "shard_group")
+LABELLED_KINDS = ("service", "partner", "shard_group")
 
 
 def read_labels(words: list[str]) -> tuple[dict[str, str], list[str]]:
@@ -57,7 +57,7 @@
 
 def label_leaves(selector: str, added: dict[str, str], removed: list[str]) -> Edit:
     """Return the edit that labels the leaves that a selector matches."""
-    name = name_for("labels", selector)
+    name = make_object_name("labels", selector)
 
     def edit(base: Configuration) -> Configuration:
         held = {item.name: item for item in base.label_rules}
@@ -67,7 +67,7 @@
             held[name] = LabelRule(name, selector, labels)
         else:
             held.pop(name, None)
-        return replace(base, label_rules=_in_order(held))
+        return replace(base, label_rules=_sort_by_name(held))
 
     return edit
 
@@ -75,35 +75,35 @@
 def drain_leaves(selector: str) -> Edit:
     """Return the edit after which matching leaves get no new work."""
     intent = RoutingIntent(
-        name_for("drain", selector), "", DRAIN_PRIORITY, exclude=selector
+        make_object_name("drain", selector), "", DRAIN_PRIORITY, exclude=selector
     )
 
     def edit(base: Configuration) -> Configuration:
         held = {item.name: item for item in base.routing_intents}
         held[intent.name] = intent
-        return replace(base, routing_intents=_in_order(held))
+        return replace(base, routing_intents=_sort_by_name(held))
 
     return edit
 
 
 def end_drain(selector: str) -> Edit:
     """Return the edit that undoes `drain_leaves`."""
-    name = name_for("drain", selector)
+    name = make_object_name("drain", selector)
 
     def edit(base: Configuration) -> Configuration:
         held = {item.name: item for item in base.routing_intents}
         if name not in held:
             raise CommandFailed(Exit.FAILED, f"nothing is drained by {selector!r}")
         del held[name]
-        return replace(base, routing_intents=_in_order(held))
+        return replace(base, routing_intents=_sort_by_name(held))
 
     return edit
 
 
-def name_for(what: str, selector: str) -> str:
+def make_object_name(purpose: str, selector: str) -> str:
     """Return the name of the object that a selector's command makes."""
     digest = blake2b(selector.encode(), digest_size=5).hexdigest()
-    return f"{what}-{digest}"
+    return f"{purpose}-{digest}"
 
 
 def _change_labels(
@@ -113,5 +113,5 @@
     return {key: value for key, value in merged.items() if key not in removed}
 
 
-def _in_order(held: dict) -> tuple:
+def _sort_by_name(held: dict) -> tuple:
     return tuple(held[name] for name in sorted(held))
--- a/walkcart/cli/lossaccount.py
+++ b/walkcart/cli/lossaccount.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from walkcart.cli.losscauses import Cause, InstanceMemory, Outcome, RequestEnd
+from walkcart.cli.losscauses import Cause, InstanceHistory, Outcome, RequestEnd
 
 #: Different counts that are kept; past it seconds are joined two by two.
-MOST_COUNTS = 50_000
+MAX_COUNTS = 50_000
 #: Instances whose earlier lines are remembered.
-MOST_INSTANCES = 2_000
+MAX_INSTANCES = 2_000
 #: Outcomes by what they take from the caller, the worst first.
 WORST_FIRST = (Outcome.FAILED, Outcome.REFUSED, Outcome.LATE, Outcome.PARTIAL)
 
@@ -58,7 +58,7 @@
         self.dropped = 0
         self._start: float | None = None
         self._counts: Counter[tuple[int, str, Outcome, Cause]] = Counter()
-        self._memories: dict[str, InstanceMemory] = {}
+        self._histories: dict[str, InstanceHistory] = {}
 
     def read(self, lines: Iterable[str]) -> None:
         """Take the lines of one log, whatever a collector put before the JSON."""
@@ -73,19 +73,19 @@
                 self.dropped += line["count"]
                 return
             time = datetime.fromisoformat(line["time"]).timestamp()
-            memory = self._memory_of(line["instance"])
+            history = self._find_history(line["instance"])
         except (msgspec.MsgspecError, ValueError, KeyError, TypeError, AttributeError):
             self.unusable += 1
             return
         self.dropped += line.get("dropped_lines", 0)
-        end = memory.take(line, time)
+        end = history.process_line(line, time)
         if end is not None:
             self._count(end)
 
-    def _memory_of(self, instance: str) -> InstanceMemory:
-        while instance not in self._memories and len(self._memories) >= MOST_INSTANCES:
-            del self._memories[next(iter(self._memories))]
-        return self._memories.setdefault(instance, InstanceMemory())
+    def _find_history(self, instance: str) -> InstanceHistory:
+        while instance not in self._histories and len(self._histories) >= MAX_INSTANCES:
+            del self._histories[next(iter(self._histories))]
+        return self._histories.setdefault(instance, InstanceHistory())
 
     def _count(self, end: RequestEnd) -> None:
         self.ended += 1
@@ -95,10 +95,10 @@
             self._start = math.floor(end.time)
         place = math.floor((end.time - self._start) / self.step)
         self._counts[(place, end.route, end.outcome, end.cause)] += 1
-        if len(self._counts) > MOST_COUNTS:
-            self._join_steps()
+        if len(self._counts) > MAX_COUNTS:
+            self._double_step()
 
-    def _join_steps(self) -> None:
+    def _double_step(self) -> None:
         self.step *= 2
         joined: Counter[tuple[int, str, Outcome, Cause]] = Counter()
         for (place, *rest), count in self._counts.items():
--- a/walkcart/cli/losscauses.py
+++ b/walkcart/cli/losscauses.py
@@ -21,10 +21,10 @@
 from walkcart.wire.verdicts import Reason
 
 #: Questions and leafs that are remembered of each instance.
-MOST_REMEMBERED = 10_000
+MAX_REMEMBERED = 10_000
 #: Seconds for which a leaf that was unreachable or ejected counts as the cause: such a
 #: leaf is tried again after some seconds.
-DARK_TIME = 10.0
+UNREACHABLE_TIME = 10.0
 
 
 class Outcome(Enum):
@@ -88,9 +88,11 @@
     Reason.INTERNAL.value: Cause.OWN_FAULT,
 }
 #: Causes that an unreachable leaf of the service explains better.
-_MAY_BE_DARK = frozenset({Cause.SLOW_LEAF, Cause.NO_CONNECTION, Cause.LEAF_FAILED})
+_MAY_BE_UNREACHABLE = frozenset(
+    {Cause.SLOW_LEAF, Cause.NO_CONNECTION, Cause.LEAF_FAILED}
+)
 #: Causes that a lost instance explains better.
-_MAY_BE_LOST = frozenset({Cause.NO_CONNECTION, Cause.SLOW_LEAF})
+_MAY_BE_LOST_INSTANCE = frozenset({Cause.NO_CONNECTION, Cause.SLOW_LEAF})
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,35 +112,35 @@
     cause: Cause
 
 
-class InstanceMemory:
+class InstanceHistory:
     """What earlier lines of one instance said, bounded."""
 
     def __init__(self) -> None:
-        self._lost: OrderedDict[str, None] = OrderedDict()
+        self._lost_requests: OrderedDict[str, None] = OrderedDict()
         #: Service by id and by address of a leaf.
         self._services: OrderedDict[str, str] = OrderedDict()
-        self._dark: OrderedDict[str, float] = OrderedDict()
+        self._unreachable_at: OrderedDict[str, float] = OrderedDict()
 
-    def take(self, line: Mapping[str, Any], time: float) -> RequestEnd | None:
+    def process_line(self, line: Mapping[str, Any], time: float) -> RequestEnd | None:
         """Take a line; return how a request ended if that is what it says."""
         match line.get("number"):
             case Events.DELEGATE_LOST.number:
-                _remember(self._lost, str(line.get("request")), None)
+                _set_bounded(self._lost_requests, str(line.get("request")), None)
             case Events.LEAF_ADDED.number:
                 service = str(line.get("service"))
-                _remember(self._services, str(line.get("leaf")), service)
-                _remember(self._services, str(line.get("address")), service)
+                _set_bounded(self._services, str(line.get("leaf")), service)
+                _set_bounded(self._services, str(line.get("address")), service)
             case Events.LEAF_UNREACHABLE.number | Events.LEAF_EJECTED.number:
                 service = self._services.get(str(line.get("leaf")))
                 if service is not None:
-                    _remember(self._dark, service, time)
+                    _set_bounded(self._unreachable_at, service, time)
             case Events.REQUEST_DONE.number:
-                return self._judge_answer(line, time)
+                return self._classify_answer(line, time)
             case Events.REQUEST_UNSERVED.number:
-                return self._judge_failure(line, time)
+                return self._classify_failure(line, time)
         return None
 
-    def _judge_answer(self, line: Mapping[str, Any], time: float) -> RequestEnd:
+    def _classify_answer(self, line: Mapping[str, Any], time: float) -> RequestEnd:
         outcome = Outcome.GOOD
         objective = line.get("objective_ms")
         if objective is not None and line.get("ms", 0) > objective:
@@ -153,7 +155,7 @@
             cause = Cause.SLOW_LEAF
         return RequestEnd(time, str(line.get("route")), outcome, cause)
 
-    def _judge_failure(self, line: Mapping[str, Any], time: float) -> RequestEnd:
+    def _classify_failure(self, line: Mapping[str, Any], time: float) -> RequestEnd:
         refused = line.get("ran", "NotRun") == "NotRun"
         cause = self._find_cause(line, time, str(line.get("reason")))
         route = str(line.get("route", line.get("host")))
@@ -167,18 +169,25 @@
         cause = CAUSES.get(reason, Cause.UNKNOWN)
         if found:
             cause = max(found, key=found.count)
-        if cause in _MAY_BE_LOST and str(line.get("request")) in self._lost:
+        if (
+            cause in _MAY_BE_LOST_INSTANCE
+            and str(line.get("request")) in self._lost_requests
+        ):
             return Cause.LOST_INSTANCE
-        if cause in _MAY_BE_DARK and any(self._is_dark(key, time) for key in missing):
+        if cause in _MAY_BE_UNREACHABLE and any(
+            self._was_unreachable(key, time) for key in missing
+        ):
             return Cause.DARK_LEAF
         return cause
 
-    def _is_dark(self, service: str, time: float) -> bool:
-        return time - self._dark.get(service, float("-inf")) <= DARK_TIME
+    def _was_unreachable(self, service: str, time: float) -> bool:
+        return (
+            time - self._unreachable_at.get(service, float("-inf")) <= UNREACHABLE_TIME
+        )
 
 
-def _remember(memory: OrderedDict[str, Any], key: str, value: Any) -> None:
-    memory[key] = value
-    memory.move_to_end(key)
-    while len(memory) > MOST_REMEMBERED:
-        memory.popitem(last=False)
+def _set_bounded(entries: OrderedDict[str, Any], key: str, value: Any) -> None:
+    entries[key] = value
+    entries.move_to_end(key)
+    while len(entries) > MAX_REMEMBERED:
+        entries.popitem(last=False)
--- a/walkcart/cli/losses.py
+++ b/walkcart/cli/losses.py
@@ -9,7 +9,7 @@
 
 from cleo.helpers import argument, option
 
-from walkcart.cli.command import COMMON, ToolCommand
+from walkcart.cli.command import COMMON_OPTIONS, ToolCommand
 from walkcart.cli.exits import CommandFailed, Exit
 from walkcart.cli.lossaccount import LossAccount, LossRow
 from walkcart.cli.settings import ToolSettings
@@ -25,7 +25,7 @@
     description = "Says by route and cause which requests were late or lost, from logs."
     arguments = [argument("logs", "Log files, or - for standard input.", multiple=True)]
     options = [
-        *COMMON,
+        *COMMON_OPTIONS,
         option("by-second", None, "A row for each second."),
         option("step", None, "Seconds that are counted together.", flag=False),
         option(
@@ -114,13 +114,13 @@
         raise CommandFailed(Exit.FAILED, detail) from None
     axes = (figure := Figure(figsize=(10, 5))).add_subplot()
     rows = account.rows(by_second=True)
-    floor: dict[float, int] = {}
+    stacked: dict[float, int] = {}
     for cause in sorted({row.cause for row in rows}, key=lambda item: item.value):
         heights: dict[float, int] = {}
         for row in rows:
             if row.cause is cause:
                 heights[row.second] = heights.get(row.second, 0) + row.requests
-        bottoms = [floor.get(second, 0) for second in heights]
+        bottoms = [stacked.get(second, 0) for second in heights]
         axes.bar(
             list(heights),
             list(heights.values()),
@@ -130,7 +130,7 @@
             label=cause.value,
         )
         for second, height in heights.items():
-            floor[second] = floor.get(second, 0) + height
+            stacked[second] = stacked.get(second, 0) + height
     axes.set_xlabel("seconds since the first loss")
     axes.set_ylabel(f"requests in {account.step:g} s")
     if rows:
--- a/walkcart/cli/output.py
+++ b/walkcart/cli/output.py
@@ -39,21 +39,24 @@
 
 def render_table(header: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
     """Return a table with aligned columns."""
-    texts = [[_show(cell) for cell in row] for row in rows]
+    texts = [[_format_cell(cell) for cell in row] for row in rows]
     widths = [
         max(len(cell) for cell in column) for column in zip(header, *texts, strict=True)
     ]
-    lines = [_join(header, widths), _join(["-" * width for width in widths], widths)]
-    lines += [_join(row, widths) for row in texts]
+    lines = [
+        _format_line(header, widths),
+        _format_line(["-" * width for width in widths], widths),
+    ]
+    lines += [_format_line(row, widths) for row in texts]
     return "\n".join(lines)
 
 
-def _join(cells: Sequence[str], widths: Sequence[int]) -> str:
+def _format_line(cells: Sequence[str], widths: Sequence[int]) -> str:
     padded = [cell.ljust(width) for cell, width in zip(cells, widths, strict=True)]
     return "  ".join(padded).rstrip()
 
 
-def _show(cell: Any) -> str:
+def _format_cell(cell: Any) -> str:
     plain = _to_plain(cell)
     match plain:
         case None:
--- a/walkcart/cli/settings.py
+++ b/walkcart/cli/settings.py
@@ -48,7 +48,7 @@
         CommandFailed: with all values that can't be taken.
     """
     faults: list[str] = []
-    texts = {name: _pick(name, options, environment) for name in DEFAULTS}
+    texts = {name: _find_text(name, options, environment) for name in DEFAULTS}
     store = _read_address("store", texts, faults)
     instance = _read_address("instance", texts, faults)
     if texts["output"] not in OUTPUTS:
@@ -60,7 +60,7 @@
     )
 
 
-def _pick(
+def _find_text(
     name: str, options: Mapping[str, str | None], environment: Mapping[str, str]
 ) -> str:
     given = options.get(name)
--- a/walkcart/cli/tests/test_losses.py
+++ b/walkcart/cli/tests/test_losses.py
@@ -5,12 +5,12 @@
 import pytest
 
 from walkcart.cli.exits import Exit
-from walkcart.cli.lossaccount import MOST_COUNTS, LossAccount
+from walkcart.cli.lossaccount import MAX_COUNTS, LossAccount
 from walkcart.cli.losscauses import (
-    DARK_TIME,
-    MOST_REMEMBERED,
+    MAX_REMEMBERED,
+    UNREACHABLE_TIME,
     Cause,
-    InstanceMemory,
+    InstanceHistory,
     Outcome,
 )
 from walkcart.cli.tests.running import run_alone
@@ -25,10 +25,10 @@
 
 def judge(*lines):
     """Return how the last of the lines says that a request ended."""
-    memory = InstanceMemory()
+    memory = InstanceHistory()
     end = None
     for number, line in enumerate(lines):
-        end = memory.take(line, line.get("at", float(number)))
+        end = memory.process_line(line, line.get("at", float(number)))
     return end.outcome, end.cause
 
 
@@ -105,21 +105,21 @@
     dark = make_line(Events.LEAF_UNREACHABLE, leaf="10.0.0.1:1", at=1.0)
     failed = {"reason": "deadline", "ran": "MayHaveRun", "missing": {"a": "deadline"}}
     soon = make_line(UNSERVED, at=2.0, **failed)
-    later = make_line(UNSERVED, at=2.0 + DARK_TIME, **failed)
+    later = make_line(UNSERVED, at=2.0 + UNREACHABLE_TIME, **failed)
     assert judge(added, dark, soon) == (Outcome.FAILED, Cause.DARK_LEAF)
     assert judge(added, dark, later) == (Outcome.FAILED, Cause.SLOW_LEAF)
 
 
 def test_what_is_remembered_is_bounded():
-    memory = InstanceMemory()
-    for number in range(MOST_REMEMBERED + 100):
-        memory.take(make_line(Events.DELEGATE_LOST, request=str(number)), 0.0)
-    assert len(memory._lost) == MOST_REMEMBERED
+    memory = InstanceHistory()
+    for number in range(MAX_REMEMBERED + 100):
+        memory.process_line(make_line(Events.DELEGATE_LOST, request=str(number)), 0.0)
+    assert len(memory._lost_requests) == MAX_REMEMBERED
 
 
 def test_many_different_losses_are_counted_in_longer_steps(monkeypatch):
-    monkeypatch.setattr("walkcart.cli.lossaccount.MOST_COUNTS", 100)
-    assert MOST_COUNTS > 100
+    monkeypatch.setattr("walkcart.cli.lossaccount.MAX_COUNTS", 100)
+    assert MAX_COUNTS > 100
     account = LossAccount()
     for second in range(1000):
         line = make_line(UNSERVED, second, host="h", reason="no_route")
--- a/walkcart/cli/views.py
+++ b/walkcart/cli/views.py
@@ -8,7 +8,7 @@
 from cleo.helpers import argument, option
 
 from walkcart.cli.clients import call_instance, fetch_document, fetch_json, run
-from walkcart.cli.command import COMMON, ToolCommand
+from walkcart.cli.command import COMMON_OPTIONS, ToolCommand
 from walkcart.cli.exits import CommandFailed, Exit
 from walkcart.cli.settings import ToolSettings
 from walkcart.intent.document import Document
@@ -25,7 +25,10 @@
         argument("kind", f"One of {', '.join(KINDS)}.", optional=True),
         argument("name", "Of the object.", optional=True),
     ]
-    options = [*COMMON, option("changes", None, "Show the last changes instead.")]
+    options = [
+        *COMMON_OPTIONS,
+        option("changes", None, "Show the last changes instead."),
+    ]
     help = "Examples: walkcart get service; walkcart get --changes --output json"
 
     def act(self, settings: ToolSettings) -> Exit:
@@ -67,7 +70,7 @@
 
     name = "status"
     description = "Shows the instances as one of them sees them."
-    options = COMMON
+    options = COMMON_OPTIONS
     help = "Example: walkcart status --instance 127.0.0.1:7000"
 
     def act(self, settings: ToolSettings) -> Exit:
@@ -85,7 +88,7 @@
     name = "explain"
     description = "Says which intents apply to a service and which leaves it uses."
     arguments = [argument("service", "Its name.")]
-    options = COMMON
+    options = COMMON_OPTIONS
     help = "Example: walkcart explain pack-finder"
 
     def act(self, settings: ToolSettings) -> Exit:
@@ -128,7 +131,7 @@
         argument("query", "JSON that each leaf is asked."),
     ]
     options = [
-        *COMMON,
+        *COMMON_OPTIONS,
         option("deadline-ms", None, "Time for the reply.", flag=False),
         option("least-coverage", None, "Share of the shards, 0 to 1.", flag=False),
     ]
--- a/walkcart/cli/waiting.py
+++ b/walkcart/cli/waiting.py
@@ -14,17 +14,17 @@
 
 WAIT_INTERVAL = 0.1
 #: Instances that are asked at once for their revision.
-ASKED_AT_ONCE = 32
+MAX_CONCURRENT_REQUESTS = 32
 
 
-def describe_race(raced: Raced) -> list[str]:
+def describe_conflict(conflict: Raced) -> list[str]:
     """Return lines that show both sides of a conflict."""
-    change = raced.change
+    change = conflict.change
     lines = [
         f"conflict: revision {change.revision} by {change.author} at {change.time} "
         "changed the same objects first; nothing was written"
     ]
-    for side, found in (("yours", raced.mine), ("theirs", raced.theirs)):
+    for side, found in (("yours", conflict.mine), ("theirs", conflict.theirs)):
         for difference in found:
             fields = "; ".join(
                 f"{name}: {old} -> {new}" for name, old, new in difference.fields
@@ -59,7 +59,7 @@
 ) -> list[str]:
     """Return the names of the members that don't have `revision` yet."""
     behind: list[str] = []
-    limit = trio.CapacityLimiter(ASKED_AT_ONCE)
+    limit = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
 
     async def ask(member: dict) -> None:
         async with limit:
--- a/walkcart/daemon/assembly.py
+++ b/walkcart/daemon/assembly.py
@@ -72,34 +72,34 @@
     peer_address: HostPort
 
 
-async def assemble_instance(settings: Settings, around: Surroundings) -> Instance:
+async def assemble_instance(settings: Settings, environment: Surroundings) -> Instance:
     """Take the addresses and put the services together.
 
     Raises:
         OSError: an address can't be had.
     """
-    network = around.network
+    network = environment.network
     listener = await network.listen(settings.listen)
     address = HostPort(settings.listen.host, network.port_of(listener))
     try:
-        peers = await around.transport.listen(settings.peer_listen)
+        peers = await environment.transport.listen(settings.peer_listen)
     except OSError:
         await trio.aclose_forcefully(listener)
         raise
     kernel = Kernel()
-    _add_base(kernel, settings, around)
-    _add_membership(kernel, settings, around, peers, address)
-    _add_intent(kernel, around)
-    add_leaves(kernel, around)
-    _add_once(kernel, around)
-    _add_entry(kernel, settings, around, listener)
-    stop = _make_stop(kernel, settings, around)
+    _add_base(kernel, settings, environment)
+    _add_membership(kernel, settings, environment, peers, address)
+    _add_intent(kernel, environment)
+    add_leaves(kernel, environment)
+    _add_once(kernel, environment)
+    _add_entry(kernel, settings, environment, listener)
+    stop = _make_stop(kernel, settings, environment)
     return Instance(kernel, stop, address, peers.address)
 
 
-def _add_base(kernel: Kernel, settings: Settings, around: Surroundings) -> None:
-    clock = around.clock
-    events = EventLog(settings.instance, clock, around.log, settings.log_level)
+def _add_base(kernel: Kernel, settings: Settings, environment: Surroundings) -> None:
+    clock = environment.clock
+    events = EventLog(settings.instance, clock, environment.log, settings.log_level)
     metrics = Metrics(settings.statsd, settings.instance)
     tracer = Tracer(settings.instance, settings.span_output, settings.span_ratio)
     budget = CallBudget(STORE_RATE, STORE_BURST, clock)
@@ -109,7 +109,7 @@
     kernel.add("invariants", Invariants(events, metrics, settings.fatal_invariants))
     store = StoreClient(
         StoreCalls(
-            settings.store, around.network, clock, budget, events, metrics, tracer
+            settings.store, environment.network, clock, budget, events, metrics, tracer
         )
     )
     kernel.add("store", store)
@@ -118,7 +118,7 @@
 def _add_membership(
     kernel: Kernel,
     settings: Settings,
-    around: Surroundings,
+    environment: Surroundings,
     peers: PeerListener,
     address: HostPort,
 ) -> None:
@@ -126,7 +126,7 @@
     metrics = kernel.find("metrics", Metrics)
     own = MemberRecord(
         name=settings.instance,
-        incarnation=int(around.clock.now().timestamp() * 1000),
+        incarnation=int(environment.clock.now().timestamp() * 1000),
         counter=0,
         state=int(MemberState.LIVE),
         peer_address=str(peers.address),
@@ -138,25 +138,25 @@
     view = MembershipView(own)
     marks = LeafMarks()
     gossip = GossipQueue(view, marks)
-    links = PeerLinks(peers, around.transport, view, events, metrics)
+    links = PeerLinks(peers, environment.transport, view, events, metrics)
     detector = Detector(
         view,
         marks,
         gossip,
         links,
-        around.clock,
-        around.random,
+        environment.clock,
+        environment.random,
         events,
         metrics,
         settings.heartbeat_interval,
     )
     listing = InstanceList(
         settings.instance_list,
-        around.network,
+        environment.network,
         view,
         marks,
         events,
-        around.random,
+        environment.random,
         settings.list_interval,
     )
     kernel.add("view", view)
@@ -166,14 +166,14 @@
     kernel.add("listing", listing)
 
 
-def _add_intent(kernel: Kernel, around: Surroundings) -> None:
+def _add_intent(kernel: Kernel, environment: Surroundings) -> None:
     detector = kernel.find("detector", Detector)
     keeper = ConfigurationKeeper(
         kernel.find("store", StoreClient),
         kernel.find("view", MembershipView),
         kernel.find("links", PeerLinks),
-        around.clock,
-        make_backoff(around.random),
+        environment.clock,
+        make_backoff(environment.random),
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
         kernel.find("invariants", Invariants),
@@ -187,11 +187,11 @@
     return Backoff(timedelta(seconds=0.1), timedelta(seconds=2), random)
 
 
-def _add_once(kernel: Kernel, around: Surroundings) -> None:
+def _add_once(kernel: Kernel, environment: Surroundings) -> None:
     tools = OwnerTools(
         kernel.find("store", StoreClient),
-        around.clock,
-        around.random,
+        environment.clock,
+        environment.random,
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
     )
@@ -200,7 +200,7 @@
         kernel.find("view", MembershipView),
         kernel.find("links", PeerLinks),
         owners,
-        around.clock,
+        environment.clock,
     )
     kernel.add("owners", owners)
     kernel.add("claimant", claimant)
@@ -209,7 +209,7 @@
 def _add_entry(
     kernel: Kernel,
     settings: Settings,
-    around: Surroundings,
+    environment: Surroundings,
     listener: trio.abc.Listener[trio.abc.Stream],
 ) -> None:
     keeper = kernel.find("keeper", ConfigurationKeeper)
@@ -217,13 +217,13 @@
     metrics = kernel.find("metrics", Metrics)
     table = kernel.find("table", LeafTable)
     gatherer = kernel.find("gatherer", Gatherer)
-    admissions = Admissions(around.clock)
+    admissions = Admissions(environment.clock)
     tools = CallerTools(
         keeper,
         table,
         Authenticator(),
         admissions,
-        around.clock,
+        environment.clock,
         events,
         metrics,
         kernel.find("tracer", Tracer),
@@ -238,7 +238,7 @@
         kernel.find("gateway", LeafGateway),
         gatherer,
         admissions,
-        around.clock,
+        environment.clock,
         events,
         metrics,
     )
@@ -256,14 +256,16 @@
     kernel.add("entry", entry)
 
 
-def _make_stop(kernel: Kernel, settings: Settings, around: Surroundings) -> PlannedStop:
+def _make_stop(
+    kernel: Kernel, settings: Settings, environment: Surroundings
+) -> PlannedStop:
     return PlannedStop(
         kernel.find("entry", EntryService),
         kernel.find("view", MembershipView),
         kernel.find("detector", Detector),
         kernel.find("forwarder", Forwarder),
         kernel.find("owners", BucketOwners),
-        around.clock,
+        environment.clock,
         kernel.find("events", EventLog),
         settings.stop_grace,
         settings.stop_bound,
--- a/walkcart/daemon/deferred.py
+++ b/walkcart/daemon/deferred.py
@@ -6,17 +6,17 @@
 
 from __future__ import annotations
 
-from walkcart.lazyimport import defer_modules, refuse_modules
+from walkcart.lazyimport import block_modules, defer_modules
 
 #: Imported for uses that an instance doesn't have, each with a library: OpenSSL, event
 #: loops, names of hosts that aren't ASCII.
-DEFERRED = ("asyncio", "hmac", "idna", "ssl")
+DEFERRED_MODULES = ("asyncio", "hmac", "idna", "ssl")
 #: Loads OpenSSL for hashes that the interpreter has of its own, which `hashlib` gives
 #: when this can't be imported.
 REFUSED = ("_hashlib",)
 
 
-def spare_modules() -> None:
+def skip_unused_modules() -> None:
     """Keep these modules from being loaded; to be called before any library."""
-    defer_modules(DEFERRED)
-    refuse_modules(REFUSED)
+    defer_modules(DEFERRED_MODULES)
+    block_modules(REFUSED)
--- a/walkcart/daemon/instanceleaves.py
+++ b/walkcart/daemon/instanceleaves.py
@@ -31,7 +31,7 @@
 from walkcart.routing.replicas import ReplicaChooser
 
 
-def add_leaves(kernel: Kernel, around: Surroundings) -> None:
+def add_leaves(kernel: Kernel, environment: Surroundings) -> None:
     """Add the leaves, the ways to them and what asks them."""
     events = kernel.find("events", EventLog)
     metrics = kernel.find("metrics", Metrics)
@@ -42,19 +42,19 @@
     listing.on_change(table.set_listed)
     gateway: LeafGateway | None = None
 
-    def note_status(leaf, status) -> None:
+    def record_status(leaf, status) -> None:
         assert gateway is not None
         gateway.record_status(leaf, status)
 
     tracer = kernel.find("tracer", Tracer)
-    forwarder = Forwarder(links, view, around.clock, note_status, tracer)
+    forwarder = Forwarder(links, view, environment.clock, record_status, tracer)
     gateway = LeafGateway(
         table,
         kernel.find("marks", LeafMarks),
         view,
         forwarder,
-        around.network,
-        around.clock,
+        environment.network,
+        environment.clock,
         events,
         metrics,
         tracer,
@@ -63,13 +63,13 @@
     kernel.add("forwarder", forwarder)
     kernel.add("gateway", gateway)
     own = view.own
-    quarantines = _add_quarantines(kernel, around)
+    quarantines = _add_quarantines(kernel, environment)
     tools = GatherTools(
         table,
         gateway,
-        LeafSelector(gateway, ReplicaChooser(around.random)),
+        LeafSelector(gateway, ReplicaChooser(environment.random)),
         IdSource(own.name, own.incarnation),
-        around.clock,
+        environment.clock,
         kernel.find("invariants", Invariants),
         metrics,
         quarantines,
@@ -79,31 +79,31 @@
     kernel.add("sender", SingleSender(tools, gatherer))
     keeper = kernel.find("keeper", ConfigurationKeeper)
 
-    def use_groups() -> None:
+    def update_groups() -> None:
         document = keeper.document
         names = [group.name for group in document.configuration.shard_groups]
         gateway.set_groups([table.find_group(document, name) for name in names])
 
-    keeper.on_change(lambda document: use_groups())
-    listing.on_change(lambda leaves: use_groups())
+    keeper.on_change(lambda document: update_groups())
+    listing.on_change(lambda leaves: update_groups())
 
 
-def _add_quarantines(kernel: Kernel, around: Surroundings) -> Quarantines:
+def _add_quarantines(kernel: Kernel, environment: Surroundings) -> Quarantines:
     """Add what remembers requests under which leafs ended, and tells of them."""
     view = kernel.find("view", MembershipView)
     quarantine = Quarantine()
     quarantines = Quarantines(
         quarantine,
-        around.clock,
+        environment.clock,
         view.own.name,
-        around.random,
+        environment.random,
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
     )
     spread = QuarantineGossip(
         quarantine,
         kernel.find("links", PeerLinks),
-        around.clock,
+        environment.clock,
         lambda: [record.name for record in view.usable_peers()],
         lambda: False,
         quarantines.log_news,
--- a/walkcart/daemon/main.py
+++ b/walkcart/daemon/main.py
@@ -26,22 +26,24 @@
 
 def main(arguments: Sequence[str] | None = None) -> None:
     """Run the daemon and exit the process."""
-    words = list(sys.argv[1:] if arguments is None else arguments)
-    sys.exit(run_daemon(words, os.environ))
+    given = list(sys.argv[1:] if arguments is None else arguments)
+    sys.exit(run_daemon(given, os.environ))
 
 
-def run_daemon(words: list[str], environment) -> int:
+def run_daemon(arguments: list[str], environment) -> int:
     """Run the daemon.
 
     Returns:
         0 after a planned stop, 1 when it can't run, 2 for settings that can't be
         taken.
     """
-    if any(flag in words for flag in HELP_FLAGS):
+    if any(flag in arguments for flag in HELP_FLAGS):
         _print_help()
         return EXIT_OK
-    check = CHECK_FLAG in words
-    loaded = load_settings([word for word in words if word != CHECK_FLAG], environment)
+    check = CHECK_FLAG in arguments
+    loaded = load_settings(
+        [word for word in arguments if word != CHECK_FLAG], environment
+    )
     for fault in loaded.faults:
         print(f"walkcartd: {fault}", file=sys.stderr)
     if loaded.faults:
@@ -70,9 +72,9 @@
 
 
 async def _run_instance(settings: Settings) -> int:
-    around = Surroundings(TcpNetwork(), NngTransport(), TrioClock(), Random())
+    environment = Surroundings(TcpNetwork(), NngTransport(), TrioClock(), Random())
     try:
-        instance = await assemble_instance(settings, around)
+        instance = await assemble_instance(settings, environment)
     except OSError as error:
         print(f"walkcartd: an address can't be had: {error}", file=sys.stderr)
         return EXIT_FAILED
--- a/walkcart/daemon/platform.py
+++ b/walkcart/daemon/platform.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from walkcart.daemon.deferred import spare_modules
+from walkcart.daemon.deferred import skip_unused_modules
 
 if __name__ == "__main__":
-    spare_modules()
+    skip_unused_modules()
 
 import os
 import signal
@@ -41,13 +41,13 @@
 
 #: The port of the metrics page; the deploy file names the same one.
 METRICS_VARIABLE = "WALKCART_METRICS_PORT"
-LAST_PORT = 65535
+MAX_PORT = 65535
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_USAGE = 2
 #: Seconds between two looks whether the settings file changed: it may without a
 #: signal, and half of the time for a change to be in force is plenty.
-FILE_INTERVAL = 1.0
+FILE_CHECK_INTERVAL = 1.0
 
 
 def main() -> None:
@@ -62,7 +62,7 @@
         print(f"walkcartd: {error}", file=sys.stderr)
         sys.exit(EXIT_USAGE)
     port = read_number(os.environ.get(METRICS_VARIABLE, "0"))
-    if port is None or port > LAST_PORT:
+    if port is None or port > MAX_PORT:
         print(f"walkcartd: {METRICS_VARIABLE} must be a port number", file=sys.stderr)
         sys.exit(EXIT_USAGE)
     sys.exit(trio.run(_run, settings, Path(path), port, clock=BootClock()))
@@ -70,11 +70,11 @@
 
 async def _run(settings: PlatformSettings, path: Path, port: int) -> int:
     log = cast(TextIO, LogSink(sys.stdout.fileno()))
-    around = TenantSurroundings(
+    environment = TenantSurroundings(
         TcpNetwork(), NngTransport(), TrioClock(), Random(), log, port
     )
     try:
-        tenant = await assemble_tenant(settings, around)
+        tenant = await assemble_tenant(settings, environment)
     except OSError as error:
         print(f"walkcartd: an address can't be had: {error}", file=sys.stderr)
         return EXIT_FAILED
@@ -82,7 +82,7 @@
     with trio.open_signal_receiver(*signals) as received:
         async with trio.open_nursery() as nursery:
             await nursery.start(tenant.kernel.run)
-            nursery.start_soon(_follow_file, tenant, path)
+            nursery.start_soon(_watch_file, tenant, path)
             await _wait_for_stop(received, tenant, path)
             ended = await tenant.stop.stop()
             nursery.cancel_scope.cancel()
@@ -96,18 +96,18 @@
         reload_settings(tenant, path)
 
 
-async def _follow_file(tenant: Tenant, path: Path) -> None:
+async def _watch_file(tenant: Tenant, path: Path) -> None:
     """Read the settings anew whenever the file changed."""
-    seen = _stamp(path)
+    seen = _read_file_state(path)
     while True:
-        await trio.sleep(FILE_INTERVAL)
-        now = _stamp(path)
+        await trio.sleep(FILE_CHECK_INTERVAL)
+        now = _read_file_state(path)
         if now != seen:
             seen = now
             reload_settings(tenant, path)
 
 
-def _stamp(path: Path) -> tuple[int, int] | None:
+def _read_file_state(path: Path) -> tuple[int, int] | None:
     try:
         found = path.stat()
     except OSError:
--- a/walkcart/daemon/tenant.py
+++ b/walkcart/daemon/tenant.py
@@ -45,24 +45,24 @@
 
 
 async def assemble_tenant(
-    settings: PlatformSettings, around: TenantSurroundings
+    settings: PlatformSettings, environment: TenantSurroundings
 ) -> Tenant:
     """Take the addresses and put the services together.
 
     Raises:
         OSError: an address can't be had.
     """
-    callers = await around.network.listen(settings.callers)
-    readiness = await around.network.listen(settings.readiness)
-    peers = await listen_for_peers(settings, around.transport)
+    callers = await environment.network.listen(settings.callers)
+    readiness = await environment.network.listen(settings.readiness)
+    peers = await listen_for_peers(settings, environment.transport)
     kernel = Kernel()
-    add_base(kernel, settings, around)
-    add_store(kernel, settings, around, peers)
-    add_intent(kernel, settings, around)
-    add_leaves(kernel, settings, around)
-    add_delegates(kernel, settings, around, peers)
-    add_limits(kernel, settings, around)
-    add_entry(kernel, settings, around, callers)
+    add_base(kernel, settings, environment)
+    add_store(kernel, settings, environment, peers)
+    add_intent(kernel, settings, environment)
+    add_leaves(kernel, settings, environment)
+    add_delegates(kernel, settings, environment, peers)
+    add_limits(kernel, settings, environment)
+    add_entry(kernel, settings, environment, callers)
     service = kernel.find("entry", RoutedService)
     events = kernel.find("events", EventLog)
     server = HttpServer(
@@ -72,8 +72,8 @@
         on_error=partial(note_task_fault, events, "question of the balancer"),
     )
     kernel.add("readiness", ListenerService(readiness, server))
-    if around.metrics_port:
-        await add_metrics_page(kernel, settings, around)
+    if environment.metrics_port:
+        await add_metrics_page(kernel, settings, environment)
     stop = RoutedStop(
         service,
         kernel.find("carrier", DelegationServer),
--- a/walkcart/daemon/tenantlimits.py
+++ b/walkcart/daemon/tenantlimits.py
@@ -37,11 +37,11 @@
 
     def __init__(self, keeper: RouteKeeper) -> None:
         self._keeper = keeper
-        self.limited = _find_limited(keeper.table)
+        self.limited = _find_limited_teams(keeper.table)
 
-    def take(self, table: RouteTable) -> None:
+    def update(self, table: RouteTable) -> None:
         """Take the limits of a new document."""
-        self.limited = _find_limited(table)
+        self.limited = _find_limited_teams(table)
 
     @property
     def any(self) -> bool:
@@ -56,7 +56,7 @@
 
 
 def add_cold_shares(
-    kernel: Kernel, around: TenantSurroundings, gatherers: GatheringInstances
+    kernel: Kernel, environment: TenantSurroundings, gatherers: GatheringInstances
 ) -> None:
     """Add what divides the bounds of cold leafs among the instances."""
     cold = kernel.find("cold", ColdLimiter)
@@ -64,7 +64,7 @@
         kernel.find("store", PlatformStore),
         kernel.find("registration", Registration),
         ColdShareDemand(cold.find_bounded, cold.find_cold, gatherers.rank_for),
-        around.clock,
+        environment.clock,
         kernel.find("events", EventLog),
     )
     cold.set_share_source(shares.find_share)
@@ -72,7 +72,7 @@
 
 
 def add_limits(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
     """Add what holds teams to their rate limits, over all instances together."""
     registration = kernel.find("registration", Registration)
@@ -85,52 +85,54 @@
     keys = QuotaKeys(
         kernel.find("store", PlatformStore),
         registration.own,
-        around.clock,
+        environment.clock,
         bounds.window,
     )
-    holders = QuotaHolders(registration, around.clock, events)
+    holders = QuotaHolders(registration, environment.clock, events)
     shares = QuotaShares(
         keys,
         holders,
         links,
         bounds,
         lambda: in_force.any,
-        around.clock,
+        environment.clock,
         events,
         metrics,
     )
     registration.add_prefix_reader(QUOTA_PREFIX, shares.handle_item)
-    answers = QuotaServer(links, shares, holders, bounds, in_force.find, around.clock)
+    answers = QuotaServer(
+        links, shares, holders, bounds, in_force.find, environment.clock
+    )
     asks = QuotaClient(
         links,
         registration,
         shares,
         holders,
         bounds,
-        around.clock,
-        around.random,
+        environment.clock,
+        environment.random,
         metrics,
     )
     limits = DistributedRateLimiter(
         asks,
         bounds,
         in_force.find,
-        around.clock,
-        around.random,
+        environment.clock,
+        environment.random,
         metrics,
     )
 
-    def take(table: RouteTable) -> None:
-        in_force.take(table)
+    def update_limits(table: RouteTable) -> None:
+        in_force.update(table)
         limits.retain_teams(in_force.limited)
         shares.wake()
 
-    keeper.on_change(take)
+    keeper.on_change(update_limits)
     kernel.add("quota_shares", shares)
     kernel.add("quota_answers", answers)
     kernel.add("limits", limits)
 
 
-def _find_limited(table: RouteTable) -> frozenset[str]:
+def _find_limited_teams(table: RouteTable) -> frozenset[str]:
     teams = table.teams.all()
     return frozenset(team.name for team in teams if team.limit is not None)
--- a/walkcart/daemon/tenantserving.py
+++ b/walkcart/daemon/tenantserving.py
@@ -82,15 +82,15 @@
 def add_delegates(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantSurroundings,
+    environment: TenantSurroundings,
     peers: PeerListener,
 ) -> None:
     """Add the links to other instances and what gathers by them."""
     events = kernel.find("events", EventLog)
     metrics = kernel.find("metrics", Metrics)
     registration = kernel.find("registration", Registration)
-    links = PeerLinks(peers, around.transport, registration, events, metrics)
-    life = around.random.getrandbits(32)
+    links = PeerLinks(peers, environment.transport, registration, events, metrics)
+    life = environment.random.getrandbits(32)
     ids = IdSource(settings.instance, life)
     # Questions to other instances cross regions: a random number names them as well as
     # the instance's name beside it, and is shorter.
@@ -99,7 +99,7 @@
     directory = kernel.find("directory", LeafDirectory)
     gatherers = GatheringInstances(
         registration,
-        around.clock,
+        environment.clock,
         lambda: find_gathering_places(keeper.table, directory),
     )
     keeper.on_change(lambda table: gatherers.invalidate_places())
@@ -111,14 +111,14 @@
             registration,
             PeerStats(),
             question_ids,
-            around.clock,
-            around.random,
+            environment.clock,
+            environment.random,
             events,
             gatherers,
         )
     )
-    add_cold_shares(kernel, around, gatherers)
-    quarantines = add_quarantines(kernel, around, links, gatherers)
+    add_cold_shares(kernel, environment, gatherers)
+    quarantines = add_quarantines(kernel, environment, links, gatherers)
     limits = RepeatLimits(
         settings.repeat_ratio,
         settings.repeat_window.total_seconds(),
@@ -126,14 +126,14 @@
     )
     gathering = RoutedTools(
         kernel.find("pool", LeafPool),
-        RepeatBudget(limits, around.clock.monotonic()),
+        RepeatBudget(limits, environment.clock.monotonic()),
         registration.count,
         ids,
-        around.clock,
+        environment.clock,
         metrics,
         events,
         Location(settings.region, settings.data_centre),
-        around.random,
+        environment.random,
         quarantines,
         delegates,
     )
@@ -142,31 +142,33 @@
         def merge(answer: RoutedAnswer) -> MergedAnswer:
             return merge_parts(answer, top)
 
-        handing = MergingHandover(handover, merge)
-        result = await RoutedGathering(gathering, question, handover=handing).run()
+        merging = MergingHandover(handover, merge)
+        result = await RoutedGathering(gathering, question, handover=merging).run()
         return result.map(merge)
 
-    def find_usual_high(kind: str) -> float:
+    def find_high_latency(kind: str) -> float:
         times = gathering.pool.times_of(kind, Distance.SAME_DATA_CENTRE)
-        return times.high(around.clock.monotonic())
+        return times.high(environment.clock.monotonic())
 
     carrier = DelegationServer(
         links,
-        around.clock,
+        environment.clock,
         gather,
-        find_usual_high,
+        find_high_latency,
         events,
         quarantines,
         kernel.find("origins", RequestOrigins),
     )
     kernel.add("links", links)
-    add_relay(kernel, around, links)
+    add_relay(kernel, environment, links)
     kernel.add("delegates", delegates)
     kernel.add("carrier", carrier)
     kernel.add("gathering", gathering)
 
 
-def add_relay(kernel: Kernel, around: TenantSurroundings, links: PeerLinks) -> None:
+def add_relay(
+    kernel: Kernel, environment: TenantSurroundings, links: PeerLinks
+) -> None:
     """Add what passes stored changes on between instances."""
     registration = kernel.find("registration", Registration)
     relay = Relay(
@@ -177,7 +179,7 @@
         kernel.find("calls", StoreCalls),
         links,
         registration,
-        around.clock,
+        environment.clock,
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
     )
@@ -187,7 +189,7 @@
 
 def add_quarantines(
     kernel: Kernel,
-    around: TenantSurroundings,
+    environment: TenantSurroundings,
     links: PeerLinks,
     gatherers: GatheringInstances,
 ) -> Quarantines:
@@ -197,9 +199,9 @@
     quarantine = Quarantine()
     quarantines = Quarantines(
         quarantine,
-        around.clock,
+        environment.clock,
         registration.own.name,
-        around.random,
+        environment.random,
         events,
         kernel.find("metrics", Metrics),
     )
@@ -207,7 +209,7 @@
     spread = QuarantineGossip(
         quarantine,
         links,
-        around.clock,
+        environment.clock,
         peers.find_peers,
         peers.may_relay,
         quarantines.log_news,
@@ -215,8 +217,8 @@
     keys = QuarantineKeys(
         kernel.find("store", PlatformStore),
         quarantine,
-        around.clock,
-        make_store_backoff(around.random),
+        environment.clock,
+        make_store_backoff(environment.random),
         events,
         quarantines.log_news,
     )
@@ -231,7 +233,7 @@
 def add_entry(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantSurroundings,
+    environment: TenantSurroundings,
     listener: trio.abc.Listener[trio.abc.Stream],
 ) -> None:
     """Add the callers' service."""
@@ -243,8 +245,8 @@
     keeper.on_change(lambda table: gate.recheck())
     directory.on_change(gate.recheck)
     room = OverloadGate(
-        around.clock,
-        around.random,
+        environment.clock,
+        environment.random,
         events,
         metrics,
         lambda team: keeper.table.teams.claim_of(team),
@@ -260,7 +262,7 @@
             events,
             metrics,
             kernel.find("tracer", Tracer),
-            around.random,
+            environment.random,
             gate,
             kernel.find("origins", RequestOrigins),
             kernel.find("configuration", PrefixFollower).find_age,
@@ -280,12 +282,12 @@
 
 
 async def add_metrics_page(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
     """Add the page of metrics."""
     metrics = kernel.find("metrics", Metrics)
-    address = HostPort(settings.host, around.metrics_port)
-    listener = await around.network.listen(address)
+    address = HostPort(settings.host, environment.metrics_port)
+    listener = await environment.network.listen(address)
 
     async def answer(request: HttpRequest) -> HttpReply:
         # Loaded with the first question: most instances are never asked.
--- a/walkcart/daemon/tenantstore.py
+++ b/walkcart/daemon/tenantstore.py
@@ -59,23 +59,25 @@
 STORE_BURST = 40.0
 #: A call of the store without a reply after this has failed: it answers in
 #: milliseconds, and watches wait on top.
-STORE_CALL_TIME = timedelta(seconds=1)
+STORE_CALL_TIMEOUT = timedelta(seconds=1)
 #: Pause after leafs' entries changed: many leafs change theirs at once when they start,
 #: and a change may take three seconds to be heeded. Meanwhile the copy ages, and those
 #: whom it feeds look for another feeder after 1.3 s.
-LEAF_PAUSE = timedelta(seconds=0.8)
+LEAF_UPDATE_PAUSE = timedelta(seconds=0.8)
 #: A configuration that was current longer ago than this is read anew: at six changes a
 #: second of 32 KB each a watch would bring more than a small link carries in 0.15 s.
-CONFIGURATION_READ_PAST = timedelta(seconds=1)
-STORE_FIRST_BACKOFF = timedelta(seconds=0.1)
-STORE_LONGEST_BACKOFF = timedelta(seconds=0.8)
+CONFIGURATION_REREAD_AGE = timedelta(seconds=1)
+STORE_MIN_BACKOFF = timedelta(seconds=0.1)
+STORE_MAX_BACKOFF = timedelta(seconds=0.8)
 
 
 def add_base(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
     """Add log, metrics and spans."""
-    kernel.add("events", EventLog(settings.instance, around.clock, around.log))
+    kernel.add(
+        "events", EventLog(settings.instance, environment.clock, environment.log)
+    )
     kernel.add("metrics", Metrics(None, settings.instance))
     kernel.add("tracer", Tracer(settings.instance, OUTPUT_NONE, 0.0))
 
@@ -83,7 +85,7 @@
 def add_store(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantSurroundings,
+    environment: TenantSurroundings,
     peers: PeerListener,
 ) -> None:
     """Add the store and this instance's registration."""
@@ -91,16 +93,16 @@
     rate = settings.store_rate * STORE_SHARE
     calls = StoreCalls(
         settings.store,
-        around.network,
-        around.clock,
-        CallBudget(rate, STORE_BURST, around.clock),
+        environment.network,
+        environment.clock,
+        CallBudget(rate, STORE_BURST, environment.clock),
         events,
         kernel.find("metrics", Metrics),
         kernel.find("tracer", Tracer),
-        STORE_CALL_TIME,
+        STORE_CALL_TIMEOUT,
     )
     store = PlatformStore(calls)
-    started = around.clock.now().isoformat()
+    started = environment.clock.now().isoformat()
     own = InstanceRecord(
         settings.instance,
         started,
@@ -110,7 +112,12 @@
         settings.cores,
     )
     registration = Registration(
-        store, calls, own, around.clock, make_store_backoff(around.random), events
+        store,
+        calls,
+        own,
+        environment.clock,
+        make_store_backoff(environment.random),
+        events,
     )
     kernel.add("calls", calls)
     kernel.add("store", store)
@@ -119,22 +126,22 @@
 
 def make_store_backoff(random: Random) -> Backoff:
     """Return the back-off for calls of the store."""
-    return Backoff(STORE_FIRST_BACKOFF, STORE_LONGEST_BACKOFF, random)
+    return Backoff(STORE_MIN_BACKOFF, STORE_MAX_BACKOFF, random)
 
 
 def add_intent(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
     """Add the routing document in force and what follows it."""
     events = kernel.find("events", EventLog)
     regions = frozenset(settings.regions.values())
     metrics = kernel.find("metrics", Metrics)
-    keeper = RouteKeeper(around.clock, events, metrics, regions)
+    keeper = RouteKeeper(environment.clock, events, metrics, regions)
     evacuations = Evacuations(events, metrics, frozenset(settings.regions))
 
-    def take(update: Update) -> None:
+    def apply_update(update: Update) -> None:
         # First: whoever acts on the routes must know where nothing may go.
-        evacuations.take(read_evacuated(update.items), update.origin)
+        evacuations.update(read_evacuated(update.items), update.origin)
         item = update.items.get(CONFIGURATION_KEY)
         if item is None or CONFIGURATION_KEY not in update.changed:
             return
@@ -147,11 +154,11 @@
         kernel.find("store", PlatformStore),
         kernel.find("calls", StoreCalls),
         OPERATOR_PREFIX,
-        around.clock,
-        make_store_backoff(around.random),
+        environment.clock,
+        make_store_backoff(environment.random),
         events,
-        take,
-        read_past=CONFIGURATION_READ_PAST,
+        apply_update,
+        read_past=CONFIGURATION_REREAD_AGE,
     )
     kernel.add("keeper", keeper)
     kernel.add("origins", RequestOrigins(keeper, TEAM))
@@ -160,12 +167,12 @@
 
 
 def add_leaves(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
     """Add the leafs, what follows them, and the pool of links."""
     events = kernel.find("events", EventLog)
     calls = kernel.find("calls", StoreCalls)
-    clock = around.clock
+    clock = environment.clock
 
     def find_return() -> float:
         return calls.reachable_since if calls.reachable else clock.monotonic()
@@ -183,7 +190,7 @@
     evacuations.on_change(evacuate)
     entries = LeafEntries(settings.regions, events)
 
-    def take(update: Update) -> None:
+    def apply_update(update: Update) -> None:
         directory.set_entries(entries.read(update.items, update.changed))
 
     follower = PrefixFollower(
@@ -191,14 +198,14 @@
         calls,
         LEAF_PREFIX,
         clock,
-        make_store_backoff(around.random),
+        make_store_backoff(environment.random),
         events,
-        take,
-        LEAF_PAUSE,
+        apply_update,
+        LEAF_UPDATE_PAUSE,
         leaf_entry_differs,
         first_fresh=False,
     )
-    pool = make_pool(kernel, settings, around, directory, cold)
+    pool = make_pool(kernel, settings, environment, directory, cold)
     kernel.add("directory", directory)
     kernel.add("cold", cold)
     kernel.add("leaf_entries", follower)
@@ -208,14 +215,14 @@
 def make_pool(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantSurroundings,
+    environment: TenantSurroundings,
     directory: LeafDirectory,
     cold: ColdLimiter,
 ) -> LeafPool:
     """Return the pool of links to leafs."""
     pool: LeafPool | None = None
 
-    def note_status(leaf: Leaf, status: LeafStatus) -> None:
+    def record_status(leaf: Leaf, status: LeafStatus) -> None:
         assert pool is not None
         pool.record_status(leaf, status)
 
@@ -224,12 +231,12 @@
         return pool.access.admit(leaf, attempt)
 
     link = LinkTools(
-        around.network,
-        around.clock,
+        environment.network,
+        environment.clock,
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
         kernel.find("tracer", Tracer),
-        note_status,
+        record_status,
         PlatformLeafProtocol(),
         admit,
     )
@@ -240,7 +247,7 @@
             link,
             kernel.find("registration", Registration).count,
             Location(settings.region, settings.data_centre),
-            around.random,
+            environment.random,
             cold,
         )
     )
--- a/walkcart/daemon/tests/test_deferred_modules.py
+++ b/walkcart/daemon/tests/test_deferred_modules.py
@@ -130,8 +130,8 @@
 def test_a_deferred_module_is_whole_when_it_is_used():
     code = """
 import sys
-from walkcart.daemon.deferred import spare_modules
-spare_modules()
+from walkcart.daemon.deferred import skip_unused_modules
+skip_unused_modules()
 import ssl, asyncio
 print("_ssl" in sys.modules)
 print(ssl.create_default_context().verify_mode.name, "_ssl" in sys.modules)
@@ -144,8 +144,8 @@
 def test_hashes_are_there_without_openssl():
     code = """
 import sys
-from walkcart.daemon.deferred import spare_modules
-spare_modules()
+from walkcart.daemon.deferred import skip_unused_modules
+skip_unused_modules()
 from hashlib import blake2b, sha256
 print(sha256(b"a").hexdigest()[:8], blake2b(b"a").hexdigest()[:8])
 print(sys.modules["_hashlib"])
--- a/walkcart/intent/applying.py
+++ b/walkcart/intent/applying.py
@@ -141,7 +141,7 @@
         self._store = store
         self._clock = clock
         self._backoff = backoff
-        self._patience = patience
+        self._outage_timeout = patience
 
     async def apply(self, proposal: Proposal) -> Outcome:
         """Bring `proposal` into the store.
@@ -149,7 +149,7 @@
         Raises:
             DocumentError: the stored value isn't a configuration.
         """
-        until = self._clock.monotonic() + self._patience.total_seconds()
+        until = self._clock.monotonic() + self._outage_timeout.total_seconds()
         first: Document | None = None
         may_be_accepted = False
         while True:
@@ -157,11 +157,11 @@
                 document, revision = await read_stored(self._store)
                 accepted = _find_change(document, proposal.id)
                 if accepted is not None:
-                    return Accepted(accepted.revision, _differences(first, document))
+                    return Accepted(accepted.revision, _diff_since(first, document))
                 if first is not None:
-                    raced = _find_race(first, document, proposal)
-                    if raced is not None:
-                        return raced
+                    conflict = _find_conflict(first, document, proposal)
+                    if conflict is not None:
+                        return conflict
                 first = first or document
                 outcome = await self._write(proposal, document, revision)
                 if outcome is not None:
@@ -209,13 +209,13 @@
     return next((item for item in document.changes if item.id == id), None)
 
 
-def _differences(first: Document | None, document: Document) -> tuple[Difference, ...]:
+def _diff_since(first: Document | None, document: Document) -> tuple[Difference, ...]:
     if first is None:
         return ()
     return diff_configurations(first.configuration, document.configuration)
 
 
-def _find_race(first: Document, now: Document, proposal: Proposal) -> Raced | None:
+def _find_conflict(first: Document, now: Document, proposal: Proposal) -> Raced | None:
     """Return the race if a change since `first` touched the same objects."""
     wanted = proposal.edit(first.configuration)
     mine = diff_configurations(first.configuration, wanted)
--- a/walkcart/intent/distribution.py
+++ b/walkcart/intent/distribution.py
@@ -43,17 +43,17 @@
 )
 
 #: Instances of a data centre that watch the store.
-WATCHERS = 2
+WATCHERS_PER_DATA_CENTRE = 2
 #: Under the time after which silence counts as a cut: the end of a watch is the
 #: sign that the store lives.
-WATCH_TIME = timedelta(seconds=3)
+WATCH_TIMEOUT = timedelta(seconds=3)
 #: An instance that doesn't watch looks this often whether it should.
-RECHECK_TIME = timedelta(seconds=1)
+RECHECK_INTERVAL = timedelta(seconds=1)
 #: A pull without an answer after this is tried at another peer, in seconds.
-PULL_TIME = 0.4
+PULL_TIMEOUT = 0.4
 #: Without a word from store or peers for this long, an instance says so.
-CUT_TIME = 5.0
-FIRST_TRIES = 3
+ISOLATION_TIMEOUT = 5.0
+MAX_INITIAL_READS = 3
 
 
 class ConfigurationKeeper:
@@ -95,10 +95,10 @@
         #: The document that each peer was sent last, which may wait yet.
         self._pushes: dict[str, ConfigurationPush] = {}
         self._listeners: list[Callable[[Document], None]] = []
-        self._was_cut = False
+        self._was_isolated = False
         # Both are worked out anew only after the view has changed.
-        self._watch_choice = (-1, False)
-        self._seen_version = -1
+        self._watcher_selection = (-1, False)
+        self._checked_version = -1
         links.on(ConfigurationPull, self._on_pull)
         links.on(ConfigurationPush, self._on_push)
         view.on_change(self._on_member_change)
@@ -115,7 +115,7 @@
     def is_cut(self) -> bool:
         """Return whether neither store nor peers were heard for a while."""
         last = max(self._store.last_success, self._links.last_received)
-        return self._clock.monotonic() - last > CUT_TIME
+        return self._clock.monotonic() - last > ISOLATION_TIMEOUT
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Follow the configuration until cancelled.
@@ -123,7 +123,7 @@
         The start is told after the first read, or a few tries during an outage;
         then the peers' word has to do.
         """
-        for _ in range(FIRST_TRIES):
+        for _ in range(MAX_INITIAL_READS):
             if await self._read_once():
                 break
             await self._clock.sleep(self._backoff.advance())
@@ -134,7 +134,7 @@
                 if self._should_watch():
                     await self._watch_once()
                 else:
-                    await self._clock.sleep(RECHECK_TIME)
+                    await self._clock.sleep(RECHECK_INTERVAL)
 
     async def _read_once(self) -> bool:
         try:
@@ -146,14 +146,14 @@
             return False
         self._backoff.reset()
         self._entry_revision = revision
-        self.offer(document, "store")
+        self.apply_if_newer(document, "store")
         return True
 
     async def _watch_once(self) -> None:
         """Wait for one change at the store."""
         try:
             entry = await self._store.watch(
-                CONFIGURATION_KEY, self._entry_revision, WATCH_TIME
+                CONFIGURATION_KEY, self._entry_revision, WATCH_TIMEOUT
             )
         except StoreUnavailable:
             await self._clock.sleep(self._backoff.advance())
@@ -163,7 +163,7 @@
             return
         self._entry_revision = entry.revision
         try:
-            self.offer(read_document(entry.value), "store")
+            self.apply_if_newer(read_document(entry.value), "store")
         except DocumentError as error:
             self._events.emit(Events.REVISION_BAD, detail=str(error)[:200])
             await self._clock.sleep(self._backoff.advance())
@@ -173,13 +173,13 @@
 
         One that hears no peers watches too: then nobody else tells it.
         """
-        if not self._hears_peers():
+        if not self._receives_from_peers():
             return True
-        if self._watch_choice[0] != self._view.version:
-            self._watch_choice = (self._view.version, self._is_chosen())
-        return self._watch_choice[1]
+        if self._watcher_selection[0] != self._view.version:
+            self._watcher_selection = (self._view.version, self._is_selected_watcher())
+        return self._watcher_selection[1]
 
-    def _is_chosen(self) -> bool:
+    def _is_selected_watcher(self) -> bool:
         """Return whether the hash makes this instance one of the watchers."""
         own = self._view.own
         near = [
@@ -188,13 +188,13 @@
             if item.data_centre == own.data_centre
         ]
         near.sort(key=lambda name: rank_rendezvous("watcher", name))
-        return own.name in near[:WATCHERS] or own.name not in near
+        return own.name in near[:WATCHERS_PER_DATA_CENTRE] or own.name not in near
 
-    def _hears_peers(self) -> bool:
+    def _receives_from_peers(self) -> bool:
         silence = self._clock.monotonic() - self._links.last_received
-        return silence <= CUT_TIME / 2
+        return silence <= ISOLATION_TIMEOUT / 2
 
-    def offer(self, document: Document, source: str) -> bool:
+    def apply_if_newer(self, document: Document, source: str) -> bool:
         """Apply `document` if it is newer; return whether it was."""
         held = self._document
         if document.revision <= held.revision:
@@ -229,7 +229,7 @@
     def _pull(self, name: str) -> None:
         """Ask a peer for its configuration, unless one was asked just now."""
         now = self._clock.monotonic()
-        if now - self._pulled_at < PULL_TIME:
+        if now - self._pulled_at < PULL_TIMEOUT:
             return
         self._pulled_at = now
         self._links.send(name, ConfigurationPull(self._document.revision))
@@ -257,21 +257,21 @@
             self._events.emit(Events.REVISION_BAD, detail=str(error)[:200])
             return
         self._pulled_at = float("-inf")
-        self.offer(document, sender)
+        self.apply_if_newer(document, sender)
 
     async def _watch_health(self) -> None:
         """Say when neither store nor peers are reached; pull what was missed."""
         while True:
-            await trio.sleep(PULL_TIME)
-            cut = self.is_cut()
-            if cut and not self._was_cut:
+            await trio.sleep(PULL_TIMEOUT)
+            isolated = self.is_cut()
+            if isolated and not self._was_isolated:
                 self._events.emit(Events.CONTROL_CUT)
-            self._was_cut = cut
-            self._metrics.gauge("intent.stale", int(cut))
-            if self._view.version != self._seen_version:
-                self._pull_missed()
+            self._was_isolated = isolated
+            self._metrics.gauge("intent.stale", int(isolated))
+            if self._view.version != self._checked_version:
+                self._pull_newest()
 
-    def _pull_missed(self) -> None:
+    def _pull_newest(self) -> None:
         """Pull from whoever has a newer revision, until nobody has."""
         newest = max(
             self._view.usable_peers(), key=lambda item: item.revision, default=None
@@ -279,4 +279,4 @@
         if newest is not None and newest.revision > self._document.revision:
             self._pull(newest.name)
         else:
-            self._seen_version = self._view.version
+            self._checked_version = self._view.version
--- a/walkcart/intent/document.py
+++ b/walkcart/intent/document.py
@@ -16,10 +16,10 @@
 from walkcart.store.packing import BadValue, pack_value, unpack_value
 
 CONFIGURATION_KEY = "walkcart/configuration"
-KEPT_CHANGES = 256
+MAX_CHANGES = 256
 _COMPRESSION = 6
 #: Bounds what a stored value may unpack to, in bytes.
-UNPACKED_LIMIT = 16 << 20
+MAX_UNPACKED_BYTES = 16 << 20
 
 
 class DocumentError(ValueError):
@@ -73,7 +73,7 @@
     base: Document, configuration: Configuration, change: Change
 ) -> Document:
     """Return the document that follows `base` by `change`."""
-    changes = (*base.changes, change)[-KEPT_CHANGES:]
+    changes = (*base.changes, change)[-MAX_CHANGES:]
     stored = _Stored(change.revision, changes, to_tables(configuration))
     data = pack_value(stored, _COMPRESSION)
     return Document(change.revision, changes, configuration, data)
@@ -86,7 +86,7 @@
         DocumentError: they are not one.
     """
     try:
-        stored = unpack_value(data, _Stored, UNPACKED_LIMIT)
+        stored = unpack_value(data, _Stored, MAX_UNPACKED_BYTES)
     except BadValue as error:
         raise DocumentError(str(error)) from None
     loaded = load_tables(stored.tables)
--- a/walkcart/intent/evacuations.py
+++ b/walkcart/intent/evacuations.py
@@ -40,7 +40,7 @@
         """Call `listener` with each change."""
         self._listeners.append(listener)
 
-    def take(self, data_centres: frozenset[str], origin: Origin) -> None:
+    def update(self, data_centres: frozenset[str], origin: Origin) -> None:
         """Take all evacuations that stand now.
 
         Args:
--- a/walkcart/intent/loading.py
+++ b/walkcart/intent/loading.py
@@ -94,17 +94,19 @@
     for key in row.keys() - known:
         expected = f"one of the fields {', '.join(sorted(known))}"
         faults.append(ConfigurationFault(f"{place}, {key}", expected))
-    ready = {key: value for key, value in row.items() if key in known}
-    if isinstance(ready.get("layouts"), list):
-        ready["layouts"] = [
+    prepared = {key: value for key, value in row.items() if key in known}
+    if isinstance(prepared.get("layouts"), list):
+        prepared["layouts"] = [
             _load_object(Layout, item, f"{place}, layout", faults)
-            for item in ready["layouts"]
+            for item in prepared["layouts"]
         ]
-    ready = {key: _read_duration(cls, key, value) for key, value in ready.items()}
-    return msgspec.convert(ready, cls, builtin_types=(timedelta,))
+    prepared = {
+        key: _convert_duration(cls, key, value) for key, value in prepared.items()
+    }
+    return msgspec.convert(prepared, cls, builtin_types=(timedelta,))
 
 
-def _read_duration(cls: type, key: str, value: Any) -> Any:
+def _convert_duration(cls: type, key: str, value: Any) -> Any:
     """Turn a number of seconds into a duration where the field wants one."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return value
--- a/walkcart/intent/policy.py
+++ b/walkcart/intent/policy.py
@@ -56,12 +56,12 @@
     chosen = [
         intent
         for intent in configuration.routing_intents
-        if _selector(intent).matches(labels)
+        if _parse_intent_selector(intent).matches(labels)
     ]
     return tuple(sorted(chosen, key=lambda intent: (-intent.priority, intent.name)))
 
 
-def _selector(intent: RoutingIntent) -> Selector:
+def _parse_intent_selector(intent: RoutingIntent) -> Selector:
     return parse_selector(intent.selector)
 
 
--- a/walkcart/intent/routekeeper.py
+++ b/walkcart/intent/routekeeper.py
@@ -42,7 +42,7 @@
         regions: frozenset[str] | None = None,
     ) -> None:
         self._regions = regions
-        self._unknown: set[str] = set()
+        self._logged_regions: set[str] = set()
         self._clock = clock
         self._events = events
         self._metrics = metrics
@@ -91,29 +91,29 @@
         self._metrics.gauge("intent.revision", document.version)
         if known:
             self._metrics.time("intent.delay", origin.delay * 1000)
-        self._note_unknown_regions(document)
+        self._log_unknown_regions(document)
         for listener in self._listeners:
             listener(self.table)
         return True
 
-    def _note_unknown_regions(self, document: RoutingDocument) -> None:
+    def _log_unknown_regions(self, document: RoutingDocument) -> None:
         """Log regions that no data centre is in, once each: they serve nothing."""
         if self._regions is None:
             return
         for route in document.routes:
-            for region in self._find_unknown(route.regions):
+            for region in self._find_new_unknown(route.regions):
                 self._events.emit(
                     Events.ROUTE_REGION_UNKNOWN, region=region, route=route.name
                 )
         for team in document.teams or ():
-            for region in self._find_unknown(team.regions):
+            for region in self._find_new_unknown(team.regions):
                 self._events.emit(
                     Events.TEAM_REGION_UNKNOWN, region=region, team=team.name
                 )
 
-    def _find_unknown(self, regions: Regions) -> list[str]:
+    def _find_new_unknown(self, regions: Regions) -> list[str]:
         """Return the regions that no data centre is in and that weren't logged yet."""
         named = regions.names or frozenset()
-        unknown = sorted(named - (self._regions or frozenset()) - self._unknown)
-        self._unknown.update(unknown)
+        unknown = sorted(named - (self._regions or frozenset()) - self._logged_regions)
+        self._logged_regions.update(unknown)
         return unknown
--- a/walkcart/intent/routes.py
+++ b/walkcart/intent/routes.py
@@ -22,9 +22,9 @@
 from walkcart.routing.eligibility import ALL_REGIONS, Regions
 
 #: Attempts at one leaf or shard where a route sets no bound.
-MOST_ATTEMPTS = 3
+DEFAULT_MAX_ATTEMPTS = 3
 #: Longest time for a request where a route sets none.
-LONGEST_TIME = timedelta(seconds=30)
+DEFAULT_TIMEOUT = timedelta(seconds=30)
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,9 +90,9 @@
     prefix: str
     target: Target
     idempotent: bool = True
-    timeout: timedelta = LONGEST_TIME
+    timeout: timedelta = DEFAULT_TIMEOUT
     objective: timedelta | None = None
-    most_attempts: int = MOST_ATTEMPTS
+    most_attempts: int = DEFAULT_MAX_ATTEMPTS
     rank: int = 0
     regions: Regions = ALL_REGIONS
     public: bool = False
@@ -179,9 +179,9 @@
             team: name of the team; empty for none.
         """
         route = self._by_name.get(name)
-        asker = self.teams.named(team) if team else None
+        found = self.teams.named(team) if team else None
         regions = route.regions if route else ALL_REGIONS
-        return regions.intersect(asker.regions) if asker else regions
+        return regions.intersect(found.regions) if found else regions
 
     def rank_of(self, name: str, team: str = "") -> int:
         """Return the rank of a request: its team's, else its route's.
@@ -190,9 +190,9 @@
             name: of the route.
             team: name of the team; empty for none.
         """
-        asker = self.teams.named(team) if team else None
-        if asker is not None and asker.rank is not None:
-            return asker.rank
+        found = self.teams.named(team) if team else None
+        if found is not None and found.rank is not None:
+            return found.rank
         route = self._by_name.get(name)
         return route.rank if route else 0
 
@@ -227,7 +227,7 @@
         return None
 
 
-def services_of(target: Target) -> tuple[str, ...]:
+def list_target_services(target: Target) -> tuple[str, ...]:
     """Return the services that a target may send to."""
     match target:
         case ToService(service):
--- a/walkcart/intent/selectors.py
+++ b/walkcart/intent/selectors.py
@@ -78,10 +78,10 @@
 
     def matches(self, labels: Labels) -> bool:
         """Return whether `labels` meet all requirements."""
-        return all(_holds(item, labels) for item in self.requirements)
+        return all(_is_met(item, labels) for item in self.requirements)
 
 
-def _holds(requirement: Requirement, labels: Labels) -> bool:
+def _is_met(requirement: Requirement, labels: Labels) -> bool:
     match requirement:
         case In(key, values):
             return labels.get(key) in values
@@ -106,22 +106,26 @@
 
 
 def _parse_requirement(part: str) -> Requirement:
-    text = part.strip()
-    if found := _COMPARISON.fullmatch(text):
+    stripped = part.strip()
+    if found := _COMPARISON.fullmatch(stripped):
         values = frozenset({found["value"]})
-        return _choose(found["sign"] == "=", found["key"], values)
-    if found := _MEMBERSHIP.fullmatch(text):
-        return _choose(found["sign"] == "in", found["key"], _split(found["values"]))
-    if found := _EXISTENCE.fullmatch(text):
+        return _make_set_requirement(found["sign"] == "=", found["key"], values)
+    if found := _MEMBERSHIP.fullmatch(stripped):
+        return _make_set_requirement(
+            found["sign"] == "in", found["key"], _parse_values(found["values"])
+        )
+    if found := _EXISTENCE.fullmatch(stripped):
         return Missing(found["key"]) if found["sign"] else Exists(found["key"])
-    raise SelectorError(f"can't read {text!r} as a requirement")
+    raise SelectorError(f"can't read {stripped!r} as a requirement")
 
 
-def _choose(positive: bool, key: str, values: frozenset[str]) -> Requirement:
+def _make_set_requirement(
+    positive: bool, key: str, values: frozenset[str]
+) -> Requirement:
     return In(key, values) if positive else NotIn(key, values)
 
 
-def _split(text: str) -> frozenset[str]:
+def _parse_values(text: str) -> frozenset[str]:
     values = frozenset(value.strip() for value in text.split(","))
     for value in values:
         if not VALUE_PATTERN.fullmatch(value):
--- a/walkcart/intent/teams.py
+++ b/walkcart/intent/teams.py
@@ -85,7 +85,7 @@
     def __init__(self, teams: Iterable[Team] = ()) -> None:
         self._by_name = {team.name: team for team in teams}
         rates = [team.limit.rate for team in self._by_name.values() if team.limit]
-        self._usual_claim = sum(rates) / len(rates) if any(rates) else 1.0
+        self._mean_rate = sum(rates) / len(rates) if any(rates) else 1.0
         self._by_key = {
             key: team for team in self._by_name.values() for key in team.keys
         }
@@ -98,8 +98,8 @@
         """
         team = self._by_name.get(name)
         if team is None or team.limit is None:
-            return self._usual_claim
-        return team.limit.rate or self._usual_claim
+            return self._mean_rate
+        return team.limit.rate or self._mean_rate
 
     def find(self, digest: bytes) -> Team | None:
         """Return the team that has a key, by the key's digest."""
--- a/walkcart/lazyimport.py
+++ b/walkcart/lazyimport.py
@@ -68,16 +68,16 @@
     loader = spec.loader
     # Threads that come while another one loads the module must wait for its names.
     lock = RLock()
-    has_begun = False
+    is_loading = False
 
     def load(attribute: str) -> Any:
-        nonlocal has_begun
+        nonlocal is_loading
         # The import system asks for some of these of every module.
         if attribute.startswith("__"):
             raise AttributeError(attribute)
         with lock:
-            if not has_begun:
-                has_begun = True
+            if not is_loading:
+                is_loading = True
                 loader.exec_module(module)
                 if vars(module).get("__getattr__") is load:
                     del vars(module)["__getattr__"]
@@ -91,7 +91,7 @@
     return module
 
 
-def refuse_modules(names: Iterable[str]) -> None:
+def block_modules(names: Iterable[str]) -> None:
     """Let imports of modules fail; one that is loaded already stays.
 
     For modules whose importers go on without them.
