--- a/walkcart/cli/lossaccount.py
+++ b/walkcart/cli/lossaccount.py
@@ -73,12 +73,12 @@
                 self.dropped += line["count"]
                 return
             time = datetime.fromisoformat(line["time"]).timestamp()
-            history = self._find_history(line["instance"])
+            memory = self._find_history(line["instance"])
         except (msgspec.MsgspecError, ValueError, KeyError, TypeError, AttributeError):
             self.unusable += 1
             return
         self.dropped += line.get("dropped_lines", 0)
-        end = history.process_line(line, time)
+        end = memory.process_line(line, time)
         if end is not None:
             self._count(end)
 
--- a/walkcart/cli/losscauses.py
+++ b/walkcart/cli/losscauses.py
@@ -186,8 +186,8 @@
         )
 
 
-def _set_bounded(entries: OrderedDict[str, Any], key: str, value: Any) -> None:
-    entries[key] = value
-    entries.move_to_end(key)
-    while len(entries) > MAX_REMEMBERED:
-        entries.popitem(last=False)
+def _set_bounded(memory: OrderedDict[str, Any], key: str, value: Any) -> None:
+    memory[key] = value
+    memory.move_to_end(key)
+    while len(memory) > MAX_REMEMBERED:
+        memory.popitem(last=False)
--- a/walkcart/intent/loading.py
+++ b/walkcart/intent/loading.py
@@ -94,16 +94,16 @@
     for key in row.keys() - known:
         expected = f"one of the fields {', '.join(sorted(known))}"
         faults.append(ConfigurationFault(f"{place}, {key}", expected))
-    prepared = {key: value for key, value in row.items() if key in known}
-    if isinstance(prepared.get("layouts"), list):
-        prepared["layouts"] = [
+    ready = {key: value for key, value in row.items() if key in known}
+    if isinstance(ready.get("layouts"), list):
+        ready["layouts"] = [
             _load_object(Layout, item, f"{place}, layout", faults)
-            for item in prepared["layouts"]
+            for item in ready["layouts"]
         ]
-    prepared = {
-        key: _convert_duration(cls, key, value) for key, value in prepared.items()
+    ready = {
+        key: _convert_duration(cls, key, value) for key, value in ready.items()
     }
-    return msgspec.convert(prepared, cls, builtin_types=(timedelta,))
+    return msgspec.convert(ready, cls, builtin_types=(timedelta,))
 
 
 def _convert_duration(cls: type, key: str, value: Any) -> Any:
