--- a/walkcart/intent/__init__.py
+++ b/walkcart/intent/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' intent: objects, selectors, validation, acceptance, propagation."""
+"""Configuration that operators set: objects, selectors, checks and distribution."""
 
 from walkcart.lazyimport import attach_names
 
--- a/walkcart/intent/applying.py
+++ b/walkcart/intent/applying.py
@@ -1,9 +1,9 @@
-"""Acceptance of a change: one compare-and-swap on the configuration.
+"""Applies changes to the stored configuration by compare-and-swap.
 
-A change is accepted when its write took effect, and only then has it a
-revision. A lost reply is settled by reading back and looking for the change's
-id. A change that raced with another on the same objects is a conflict that
-shows both sides; on other objects it is made again on top.
+A change is accepted, and gets a revision, when its write takes effect. If the reply to
+the write is lost, the document is read back and searched for the change's id. If
+another change came first, a change of the same objects is a conflict that shows both
+sides; a change of other objects is retried on top of the new revision.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The change is in the store with this revision."""
+    """The change is stored with this revision."""
 
     revision: int
     differences: tuple[Difference, ...]
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The configuration at this revision is already as wanted."""
+    """The change has no effect on the configuration at this revision."""
 
     revision: int
 
@@ -66,9 +66,9 @@
     """Another operator changed the same objects first; nothing was written.
 
     Args:
-        change: the other one.
-        mine: what this change would have done.
-        theirs: what the other did.
+        change: the first conflicting change of the other operator.
+        mine: differences that this change would have made.
+        theirs: differences that others have made in the meantime.
     """
 
     change: Change
@@ -78,11 +78,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The store can't say whether the change took effect.
+    """The store was unavailable until the change was given up.
 
     Args:
-        id: of the change; found again in ``walkcart get --changes``.
-        may_be_accepted: False when it surely is not.
+        id: id of the change, to look for in ``walkcart get --changes``.
+        may_be_accepted: False if the change certainly wasn't accepted.
     """
 
     id: str
@@ -94,12 +94,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change that is wanted.
+    """A change that an operator requests.
 
     Args:
-        id: unique.
-        author: who wants it.
-        edit: makes the new configuration from the present one.
+        id: unique id.
+        author: person who requests the change.
+        edit: function that returns the new configuration for the present one. It may be
+            called several times.
         allow_empty: whether selectors may match nothing.
     """
 
@@ -110,10 +111,12 @@
 
 
 async def read_stored(store: StoreClient) -> tuple[Document, int]:
-    """Return the stored document and the entry's revision; empty when absent.
+    """Return the stored document and the entry's revision in the store.
+
+    Without an entry these are the empty document and 0.
 
     Raises:
-        StoreUnavailable: no usable reply.
+        StoreUnavailable: the store gave no usable reply.
         DocumentError: the stored value isn't a configuration.
     """
     return _read_entry(await store.get(CONFIGURATION_KEY))
@@ -126,13 +129,13 @@
 
 
 class Applier:
-    """Brings changes into the store.
+    """Applies changes to the stored configuration.
 
     Args:
-        store: the key-value service.
+        store: client of the key-value service.
         clock: source of time.
-        backoff: waits between tries during an outage.
-        patience: how long an outage is waited out.
+        backoff: waits between attempts during an outage.
+        patience: time after which attempts to reach the store are given up.
     """
 
     def __init__(
@@ -144,7 +147,7 @@
         self._outage_timeout = patience
 
     async def apply(self, proposal: Proposal) -> Outcome:
-        """Bring `proposal` into the store.
+        """Apply `proposal` and return its outcome.
 
         Raises:
             DocumentError: the stored value isn't a configuration.
@@ -175,7 +178,7 @@
     async def _write(
         self, proposal: Proposal, document: Document, revision: int
     ) -> Outcome | None:
-        """Try one write; None when another came first."""
+        """Try one write; return None if another change was written first."""
         wanted = proposal.edit(document.configuration)
         differences = diff_configurations(document.configuration, wanted)
         if not differences:
@@ -216,7 +219,7 @@
 
 
 def _find_conflict(first: Document, now: Document, proposal: Proposal) -> Raced | None:
-    """Return the race if a change since `first` touched the same objects."""
+    """Return the conflict if a change after `first` touched the same objects."""
     wanted = proposal.edit(first.configuration)
     mine = diff_configurations(first.configuration, wanted)
     mine_touched = {item.object for item in mine}
--- a/walkcart/intent/diffing.py
+++ b/walkcart/intent/diffing.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, and what a file does to one."""
+"""Compares and merges configurations."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ChangeKind(Enum):
-    """What happens to an object."""
+    """How an object changes."""
 
     ADDED = "added"
     CHANGED = "changed"
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One object that differs.
+    """One object that differs between two configurations.
 
     Args:
-        object: as in ``service pack-finder``.
-        kind: what happens to it.
-        fields: rows of field, old and new value.
+        object: kind and name, as in ``service pack-finder``.
+        kind: whether the object is added, changed or removed.
+        fields: name, old value and new value of each changed field.
     """
 
     object: str
@@ -35,7 +35,7 @@
 def diff_configurations(
     old: Configuration, new: Configuration
 ) -> tuple[Difference, ...]:
-    """Return what makes `new` of `old`."""
+    """Return the differences that lead from `old` to `new`."""
     found: list[Difference] = []
     for kind, (_, place) in KINDS.items():
         before = {item.name: item for item in getattr(old, place)}
@@ -65,12 +65,12 @@
 def merge_configurations(
     base: Configuration, update: Configuration, prune: bool
 ) -> Configuration:
-    """Return `base` with the objects of `update` put over those of equal name.
+    """Return `base` with the objects of `update` added or replaced by name.
 
     Args:
-        base: what is there.
+        base: the present configuration.
         update: objects to add or replace.
-        prune: whether objects that `update` lacks go.
+        prune: whether to remove the objects that `update` lacks.
     """
     if prune:
         return update
--- a/walkcart/intent/distribution.py
+++ b/walkcart/intent/distribution.py
@@ -1,9 +1,9 @@
-"""The configuration in force at one instance, and how a newer one reaches it.
+"""Keeps the configuration in force at an instance up to date.
 
-A few instances of each data centre watch the store; the others hear of a new
-revision from peers at once, and heartbeats carry the revision, so one that
-missed the news pulls it. Whoever tells, only a higher revision than the one held
-is applied, so a stale read or an old peer can't revert anything.
+A few instances of each data centre watch the store and announce a new revision to
+their peers at once. Heartbeats carry the revision too, so an instance that missed the
+announcement pulls the configuration. Only a revision above the present one is applied,
+whatever its source, so a stale read or an outdated peer can't revert a change.
 
 See Also:
     ``docs/design/propagation.md``.
@@ -42,17 +42,19 @@
     Message,
 )
 
-#: Instances of a data centre that watch the store.
+#: Number of instances of a data centre that watch the store.
 WATCHERS_PER_DATA_CENTRE = 2
-#: Under the time after which silence counts as a cut: the end of a watch is the
-#: sign that the store lives.
+#: Time after which a watch ends without a change. It is below `ISOLATION_TIMEOUT`, as
+#: the reply at its end shows that the store is reachable.
 WATCH_TIMEOUT = timedelta(seconds=3)
-#: An instance that doesn't watch looks this often whether it should.
+#: Interval at which an instance that doesn't watch checks whether it should.
 RECHECK_INTERVAL = timedelta(seconds=1)
-#: A pull without an answer after this is tried at another peer, in seconds.
+#: Seconds after which an unanswered pull is repeated, possibly at another peer.
 PULL_TIMEOUT = 0.4
-#: Without a word from store or peers for this long, an instance says so.
+#: Seconds without a message from store or peers after which the instance reports that
+#: it is isolated.
 ISOLATION_TIMEOUT = 5.0
+#: Attempts to read the store before the instance starts without it.
 MAX_INITIAL_READS = 3
 
 
@@ -60,14 +62,14 @@
     """Holds the configuration in force.
 
     Args:
-        store: the key-value service.
+        store: client of the key-value service.
         view: the peers and their revisions.
-        links: to them.
+        links: links to the peers.
         clock: source of time.
-        backoff: waits between tries during an outage.
-        events: where revisions are logged.
-        metrics: where the revision is shown.
-        invariants: checks that revisions never go down.
+        backoff: waits between attempts during an outage.
+        events: log of the revisions.
+        metrics: receives the revision in force.
+        invariants: checks that the revision never goes down.
     """
 
     def __init__(
@@ -92,11 +94,11 @@
         self._document = EMPTY_DOCUMENT
         self._entry_revision = 0
         self._pulled_at = float("-inf")
-        #: The document that each peer was sent last, which may wait yet.
+        #: The last document sent to each peer; it may still be queued.
         self._pushes: dict[str, ConfigurationPush] = {}
         self._listeners: list[Callable[[Document], None]] = []
         self._was_isolated = False
-        # Both are worked out anew only after the view has changed.
+        # Both are recomputed only when the version of the view changes.
         self._watcher_selection = (-1, False)
         self._checked_version = -1
         links.on(ConfigurationPull, self._on_pull)
@@ -109,19 +111,19 @@
         return self._document
 
     def on_change(self, listener: Callable[[Document], None]) -> None:
-        """Call `listener` after a new configuration came into force."""
+        """Call `listener` whenever a new configuration is in force."""
         self._listeners.append(listener)
 
     def is_cut(self) -> bool:
-        """Return whether neither store nor peers were heard for a while."""
+        """Return whether neither store nor peers were heard for `ISOLATION_TIMEOUT`."""
         last = max(self._store.last_success, self._links.last_received)
         return self._clock.monotonic() - last > ISOLATION_TIMEOUT
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Follow the configuration until cancelled.
 
-        The start is told after the first read, or a few tries during an outage;
-        then the peers' word has to do.
+        The service counts as started after the first successful read, or after
+        `MAX_INITIAL_READS` failed ones; then it relies on its peers.
         """
         for _ in range(MAX_INITIAL_READS):
             if await self._read_once():
@@ -150,7 +152,7 @@
         return True
 
     async def _watch_once(self) -> None:
-        """Wait for one change at the store."""
+        """Watch the store until it reports a change or the watch ends."""
         try:
             entry = await self._store.watch(
                 CONFIGURATION_KEY, self._entry_revision, WATCH_TIMEOUT
@@ -169,9 +171,10 @@
             await self._clock.sleep(self._backoff.advance())
 
     def _should_watch(self) -> bool:
-        """Return whether this instance is one of its data centre's watchers.
+        """Return whether this instance is to watch the store.
 
-        One that hears no peers watches too: then nobody else tells it.
+        An instance that receives nothing from peers watches even if it wasn't
+        selected, as nobody else would tell it of a change.
         """
         if not self._receives_from_peers():
             return True
@@ -180,7 +183,7 @@
         return self._watcher_selection[1]
 
     def _is_selected_watcher(self) -> bool:
-        """Return whether the hash makes this instance one of the watchers."""
+        """Return whether rendezvous hashing selects this instance as a watcher."""
         own = self._view.own
         near = [
             item.name
@@ -195,7 +198,7 @@
         return silence <= ISOLATION_TIMEOUT / 2
 
     def apply_if_newer(self, document: Document, source: str) -> bool:
-        """Apply `document` if it is newer; return whether it was."""
+        """Apply `document` if its revision is higher; return whether it was applied."""
         held = self._document
         if document.revision <= held.revision:
             same = document.revision == held.revision and document.data == held.data
@@ -227,7 +230,7 @@
             self._pull(new.name)
 
     def _pull(self, name: str) -> None:
-        """Ask a peer for its configuration, unless one was asked just now."""
+        """Ask a peer for its configuration unless an earlier pull is still pending."""
         now = self._clock.monotonic()
         if now - self._pulled_at < PULL_TIMEOUT:
             return
@@ -238,8 +241,8 @@
         assert isinstance(message, ConfigurationPull)
         if self._document.revision <= message.revision:
             return
-        # A peer asks again when the answer is late. On a full link whole documents
-        # would wait behind ones that they replace.
+        # A peer repeats its pull when the answer is late. On a congested link, documents
+        # would queue behind older ones that they replace.
         waiting = self._pushes.pop(sender, None)
         if waiting is not None:
             self._links.withdraw(sender, waiting)
@@ -260,7 +263,7 @@
         self.apply_if_newer(document, sender)
 
     async def _watch_health(self) -> None:
-        """Say when neither store nor peers are reached; pull what was missed."""
+        """Report isolation from store and peers, and pull a revision that was missed."""
         while True:
             await trio.sleep(PULL_TIMEOUT)
             isolated = self.is_cut()
@@ -272,7 +275,7 @@
                 self._pull_newest()
 
     def _pull_newest(self) -> None:
-        """Pull from whoever has a newer revision, until nobody has."""
+        """Pull from the peer with the newest revision, until none has a newer one."""
         newest = max(
             self._view.usable_peers(), key=lambda item: item.revision, default=None
         )
--- a/walkcart/intent/document.py
+++ b/walkcart/intent/document.py
@@ -1,8 +1,8 @@
 """The stored form of a configuration: one value under one key.
 
-One value, so that one compare-and-swap accepts a change whole. The document
-keeps the ids of the last changes, so that a writer whose reply was lost finds
-out whether its change took effect even after others came on top.
+A single value allows a change to be accepted atomically by one compare-and-swap. The
+document keeps the ids of the last changes, so that a writer whose reply was lost can
+find out whether its change took effect, even if other changes followed.
 """
 
 from __future__ import annotations
@@ -16,25 +16,26 @@
 from walkcart.store.packing import BadValue, pack_value, unpack_value
 
 CONFIGURATION_KEY = "walkcart/configuration"
+#: Changes that a document remembers.
 MAX_CHANGES = 256
 _COMPRESSION = 6
-#: Bounds what a stored value may unpack to, in bytes.
+#: Maximum size of a stored value after decompression, in bytes.
 MAX_UNPACKED_BYTES = 16 << 20
 
 
 class DocumentError(ValueError):
-    """Bytes that are no stored configuration."""
+    """The bytes aren't a stored configuration."""
 
 
 class Change(msgspec.Struct, frozen=True):
     """One accepted change.
 
     Args:
-        id: chosen by the writer; unique.
-        revision: that it gave.
-        author: who made it.
-        time: time of day of the writer, ISO 8601.
-        touched: objects that it added, changed or removed, as ``kind name``.
+        id: unique id, chosen by the writer.
+        revision: revision that the change created.
+        author: person who made the change.
+        time: the writer's wall-clock time, ISO 8601.
+        touched: objects that were added, changed or removed, as ``kind name``.
     """
 
     id: str
@@ -54,10 +55,10 @@
     """A configuration with its revision.
 
     Args:
-        revision: 1 for the first accepted change, then up by one each.
-        changes: the last ones, oldest first.
+        revision: 1 for the first accepted change, one more for each later one.
+        changes: the last changes, oldest first.
         configuration: the objects.
-        data: the stored bytes, to be passed on as they are.
+        data: the stored bytes, forwarded to peers unchanged.
     """
 
     revision: int
@@ -72,7 +73,7 @@
 def make_document(
     base: Document, configuration: Configuration, change: Change
 ) -> Document:
-    """Return the document that follows `base` by `change`."""
+    """Return the document that results from applying `change` to `base`."""
     changes = (*base.changes, change)[-MAX_CHANGES:]
     stored = _Stored(change.revision, changes, to_tables(configuration))
     data = pack_value(stored, _COMPRESSION)
@@ -80,10 +81,10 @@
 
 
 def read_document(data: bytes) -> Document:
-    """Return the document in stored bytes.
+    """Decode a stored document.
 
     Raises:
-        DocumentError: they are not one.
+        DocumentError: `data` isn't a stored configuration.
     """
     try:
         stored = unpack_value(data, _Stored, MAX_UNPACKED_BYTES)
--- a/walkcart/intent/evacuations.py
+++ b/walkcart/intent/evacuations.py
@@ -1,8 +1,8 @@
-"""Data centres whose leafs operators want to get nothing, for a while.
+"""Data centres that operators have evacuated: their leaves get no requests meanwhile.
 
 See Also:
-    `walkcart.routing.eligibility`, which decides by them.
-    `walkcart.store.following.PrefixFollower`, whose copy brings them.
+    `walkcart.routing.eligibility`, which excludes their leaves.
+    `walkcart.store.following.PrefixFollower`, which reads them from the store.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.store.updates import Origin
 
-#: Told the evacuated data centres, and those that have just been taken back.
+#: Receives the evacuated data centres, and those whose evacuation has just ended.
 EvacuationListener = Callable[[frozenset[str], frozenset[str]], None]
 
 
 class Evacuations:
-    """Holds the data centres that are evacuated now.
+    """Tracks the data centres that are evacuated now.
 
     Args:
-        events: where they are logged.
-        metrics: where their number is shown.
+        events: log of evacuations.
+        metrics: receives the number of evacuated data centres.
         known: names of all data centres; others are logged as unknown.
     """
 
@@ -37,15 +37,15 @@
         self.data_centres: frozenset[str] = frozenset()
 
     def on_change(self, listener: EvacuationListener) -> None:
-        """Call `listener` with each change."""
+        """Call `listener` after each change."""
         self._listeners.append(listener)
 
     def update(self, data_centres: frozenset[str], origin: Origin) -> None:
-        """Take all evacuations that stand now.
+        """Replace the set of evacuated data centres.
 
         Args:
-            data_centres: that are evacuated.
-            origin: who brought the news.
+            data_centres: names of all data centres that are evacuated now.
+            origin: where the update came from.
         """
         before, self.data_centres = self.data_centres, data_centres
         if data_centres == before:
--- a/walkcart/intent/loading.py
+++ b/walkcart/intent/loading.py
@@ -1,6 +1,6 @@
-"""Configurations from TOML and to plain values.
+"""Reads configurations from TOML and converts them to plain values.
 
-All faults of a file are found in one go, each with the object and field.
+All faults of a file are reported together, each with its object and field.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationFault:
-    """What is wrong with one object or field.
+    """An error in one object or field.
 
     Args:
-        place: as in ``service pack-finder, shard_group``.
-        expected: what would be right.
+        place: object and field, as in ``service pack-finder, shard_group``.
+        expected: what would be valid.
     """
 
     place: str
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedConfiguration:
-    """A configuration, or why it can't be read."""
+    """The objects that could be read, with the faults of the others."""
 
     configuration: Configuration
     faults: tuple[ConfigurationFault, ...]
 
 
 def load_toml(text: str) -> LoadedConfiguration:
-    r"""Read a TOML text.
+    r"""Read a configuration from TOML.
 
     Examples:
         >>> load_toml("[[service]]\nname = 'a'").faults[0].expected
@@ -56,7 +56,7 @@
 
 
 def load_tables(tables: dict[str, Any]) -> LoadedConfiguration:
-    """Read tables as TOML gives them."""
+    """Read a configuration from parsed TOML tables."""
     faults: list[ConfigurationFault] = []
     parts: dict[str, tuple[Any, ...]] = {}
     for kind, rows in tables.items():
@@ -100,14 +100,12 @@
             _load_object(Layout, item, f"{place}, layout", faults)
             for item in ready["layouts"]
         ]
-    ready = {
-        key: _convert_duration(cls, key, value) for key, value in ready.items()
-    }
+    ready = {key: _convert_duration(cls, key, value) for key, value in ready.items()}
     return msgspec.convert(ready, cls, builtin_types=(timedelta,))
 
 
 def _convert_duration(cls: type, key: str, value: Any) -> Any:
-    """Turn a number of seconds into a duration where the field wants one."""
+    """Convert a number of seconds to a `timedelta` if the field is a duration."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return value
     return timedelta(seconds=value) if key in _duration_fields(cls) else value
@@ -115,7 +113,7 @@
 
 @cache
 def _duration_fields(cls: type) -> frozenset[str]:
-    """Return the fields of a kind that hold durations."""
+    """Return the names of the fields that hold durations."""
     hints = get_type_hints(cls)
     return frozenset(key for key, hint in hints.items() if "timedelta" in str(hint))
 
@@ -126,7 +124,7 @@
 
 
 def to_tables(configuration: Configuration) -> dict[str, list[dict[str, Any]]]:
-    """Return plain tables from which `load_tables` makes an equal configuration."""
+    """Return plain tables that `load_tables` reads back to an equal configuration."""
     tables: dict[str, list[dict[str, Any]]] = {}
     for kind, (_, place) in KINDS.items():
         rows = getattr(configuration, place)
--- a/walkcart/intent/model.py
+++ b/walkcart/intent/model.py
@@ -1,8 +1,8 @@
 """The objects of a configuration.
 
-Operators write them in TOML; each class here is one kind of table. The fields'
-metadata holds the help, the unit and the bounds from which the validation and
-``docs/CONFIGURATION.md`` are made.
+Operators write them in TOML; each class is one kind of table. The fields' metadata
+holds the help, unit and bounds that the validation uses and from which
+``docs/CONFIGURATION.md`` is generated.
 
 See Also:
     `walkcart.intent.loading`, `walkcart.intent.validation`.
@@ -27,7 +27,10 @@
     high: Any = None,
     selector: bool = False,
 ) -> Any:
-    """Return a field with its help, unit and bounds; mappings start empty."""
+    """Return a dataclass field with its help, unit and bounds as metadata.
+
+    A mapping as `default` makes each object start with an empty one of its own.
+    """
     details = {
         "help": help,
         "unit": unit,
@@ -44,48 +47,57 @@
 class DataCentre:
     """A data centre and its region."""
 
-    name: str = _item("Name; instances and leaves name it in their settings or labels.")
-    region: str = _item("Region that it belongs to.")
+    name: str = _item(
+        "Name that instances give in their settings and leaves in their labels."
+    )
+    region: str = _item("Region that the data centre belongs to.")
 
 
 @dataclass(frozen=True)
 class Partner:
-    """A caller's organisation, told by its credential."""
+    """An organisation whose callers are identified by its credential."""
 
     name: str = _item("Name of the partner.")
     credential_sha256: str = _item(
-        "SHA-256 of the bearer token, 64 small hex digits; the token isn't stored."
+        "SHA-256 of the bearer token as 64 lowercase hex digits; no token is stored."
     )
-    scope: str = _item("Scope that leaves are told; rows of others stay hidden.")
+    scope: str = _item("Scope that leaves receive; they hide the rows of other scopes.")
     share: float = _item(
-        "Weight in the fair sharing of a busy service.", 1.0, low=0.01, high=100.0
+        "Weight of the partner when a busy service is shared fairly.",
+        1.0,
+        low=0.01,
+        high=100.0,
     )
     labels: dict[str, str] = _item("Labels.", {})
 
 
 @dataclass(frozen=True)
 class Layout:
-    """One division of a shard group's data into shards."""
+    """One partitioning of a shard group's data into shards."""
 
-    epoch: int = _item("Number of the layout; the highest served whole is used.", low=1)
+    epoch: int = _item(
+        "Number of the layout; the highest whose shards are all served is used.", low=1
+    )
     shards: int = _item("Number of shards.", unit="shards", low=1, high=10_000)
     selector: str = _item(
-        "Leaves that hold this layout; their label `shard` says which one.",
+        "Leaves that hold this layout; their label `shard` gives the shard's number.",
         selector=True,
     )
 
 
 @dataclass(frozen=True)
 class ShardGroup:
-    """Leaves that hold one body of data."""
+    """Leaves that together hold one data set."""
 
     name: str = _item("Name of the group.")
-    layouts: tuple[Layout, ...] = _item("Its layouts; two during a repartition.")
+    layouts: tuple[Layout, ...] = _item(
+        "Layouts of the group; two during a repartition."
+    )
     slots: int = _item(
-        "Requests that a leaf runs at once.", 2, unit="requests", low=1, high=1000
+        "Requests that a leaf runs concurrently.", 2, unit="requests", low=1, high=1000
     )
     connections: int = _item(
-        "Connections that a leaf takes from all instances.",
+        "Connections that a leaf accepts from all instances together.",
         25,
         unit="connections",
         low=1,
@@ -96,46 +108,52 @@
 
 @dataclass(frozen=True)
 class Service:
-    """What callers ask by name."""
+    """A service that callers query by name."""
 
-    name: str = _item("Name in the callers' path.")
-    shard_group: str = _item("Group that answers.")
-    writes: bool = _item("Whether non-repeatable requests are taken.", False)
-    labels: dict[str, str] = _item("Labels; routing intents select by them.", {})
+    name: str = _item("Name of the service in request paths.")
+    shard_group: str = _item("Shard group that serves the requests.")
+    writes: bool = _item(
+        "Whether requests that must not be repeated are accepted.", False
+    )
+    labels: dict[str, str] = _item(
+        "Labels by which routing intents select the service.", {}
+    )
 
 
 @dataclass(frozen=True)
 class RoutingIntent:
-    """How the services that it selects are to be served.
+    """How the services that the intent selects are served.
 
-    Of the intents that select a service, a field's value comes from the one with
-    the highest priority that sets it; `exclude` adds up over all.
+    If several intents select a service, each field takes the value of the intent with
+    the highest priority that sets it. `exclude` applies from all of them.
     """
 
     name: str = _item("Name of the intent.")
-    selector: str = _item("Services that it is for.", selector=True)
-    priority: int = _item("The higher goes first.", 0, low=-1000, high=1000)
-    prefer: str | None = _item("Leaves to use first.", None, selector=True)
+    selector: str = _item("Services that the intent applies to.", selector=True)
+    priority: int = _item(
+        "Intents with a higher priority take precedence.", 0, low=-1000, high=1000
+    )
+    prefer: str | None = _item("Leaves that are preferred.", None, selector=True)
     exclude: str | None = _item("Leaves that get no new work.", None, selector=True)
     deadline: timedelta | None = _item(
-        "Time for a reply when the caller names none; also the most it may name.",
+        "Default and maximum of the time that a caller may allow for a reply.",
         None,
         unit="s",
         low=MILLISECOND,
         high=600 * SECOND,
     )
     partial_after: timedelta | None = _item(
-        "After this, a reply goes out once `least_coverage` is reached.",
+        "Time after which a reply that reaches `least_coverage` is sent.",
         None,
         unit="s",
         low=MILLISECOND,
         high=600 * SECOND,
     )
     least_coverage: float | None = _item(
-        "Share of the shards that an answer must cover.", None, low=0.0, high=1.0
+        "Minimum share of the shards that an answer covers.", None, low=0.0, high=1.0
     )
     hedge_budget: float | None = _item(
-        "Hedges, as a share of the shards asked; 0 turns them off.",
+        "Hedged requests as a share of the shards asked; 0 disables hedging.",
         None,
         low=0.0,
         high=0.5,
@@ -147,7 +165,7 @@
         "One of expected_wait, outstanding, random, round_robin.", None
     )
     queries_in_progress: int | None = _item(
-        "Most queries of the service in progress at one instance.",
+        "Maximum number of the service's queries in progress at one instance.",
         None,
         unit="queries",
         low=1,
@@ -157,16 +175,18 @@
 
 @dataclass(frozen=True)
 class LabelRule:
-    """Labels that operators put on leaves, over those of the instance list."""
+    """Labels set on leaves by operators; they override those of the instance list."""
 
     name: str = _item("Name of the rule.")
-    selector: str = _item("Leaves that it is for, by their own labels.", selector=True)
-    labels: dict[str, str] = _item("Labels that it sets.", {})
+    selector: str = _item(
+        "Leaves that the rule applies to, by their own labels.", selector=True
+    )
+    labels: dict[str, str] = _item("Labels that the rule sets.", {})
 
 
 @dataclass(frozen=True)
 class Configuration:
-    """All objects, each kind in the order of the names."""
+    """All objects of a configuration, each kind sorted by name."""
 
     data_centres: tuple[DataCentre, ...] = ()
     partners: tuple[Partner, ...] = ()
@@ -184,7 +204,7 @@
         return next((item for item in self.shard_groups if item.name == name), None)
 
 
-#: Name of the TOML table, class and place in `Configuration` of each kind.
+#: For each kind, by its TOML table: the class and the field of `Configuration`.
 KINDS: dict[str, tuple[type, str]] = {
     "data_centre": (DataCentre, "data_centres"),
     "partner": (Partner, "partners"),
--- a/walkcart/intent/policy.py
+++ b/walkcart/intent/policy.py
@@ -1,4 +1,4 @@
-"""The policy of one service, from the routing intents that select it."""
+"""Resolves the policy of a service from the routing intents that select it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 REPLICA_POLICIES = ("expected_wait", "outstanding", "random", "round_robin")
 
-#: Label by which an intent can select one service by name.
+#: Label that holds a service's name, so that an intent can select one service.
 SERVICE_LABEL = "service"
 
 
@@ -20,7 +20,7 @@
     """How one service is served; see `RoutingIntent` for the fields.
 
     Args:
-        sources: by field, the name of the intent that it comes from.
+        sources: pairs of a field and the name of the intent that set it.
     """
 
     prefer: str | None = None
@@ -39,7 +39,7 @@
         return any(parse_selector(text).matches(labels) for text in self.exclude)
 
     def prefers(self, labels: Labels) -> bool:
-        """Return whether a leaf with `labels` is used first."""
+        """Return whether a leaf with `labels` is preferred."""
         return self.prefer is None or parse_selector(self.prefer).matches(labels)
 
 
@@ -66,7 +66,7 @@
 
 
 def resolve_policy(configuration: Configuration, service: Service) -> Policy:
-    """Merge the intents that select `service`."""
+    """Return the policy that the intents selecting `service` add up to."""
     intents = find_intents(configuration, service)
     values: dict[str, Any] = {}
     sources: dict[str, str] = {}
@@ -82,7 +82,7 @@
 
 
 def label_leaf(configuration: Configuration, labels: Labels) -> dict[str, str]:
-    """Return a leaf's labels with those of the matching rules laid over them."""
+    """Return a leaf's labels, overridden by those of the matching label rules."""
     merged = dict(labels)
     for rule in configuration.label_rules:
         if parse_selector(rule.selector).matches(labels):
--- a/walkcart/intent/routekeeper.py
+++ b/walkcart/intent/routekeeper.py
@@ -1,10 +1,10 @@
 """The routing document in force at this instance.
 
-It is replaced only by one of a higher version, whoever brings it, so that what was
-in force never comes back.
+Only a document with a higher version replaces it, whatever its source, so that an old
+document never comes into force again.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which brings stored documents.
+    `walkcart.store.following.PrefixFollower`, which delivers stored documents.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from walkcart.routing.eligibility import Regions
 from walkcart.store.updates import Origin
 
-#: Told the new table; must not wait.
+#: Receives the new table; must not block.
 RouteListener = Callable[[RouteTable], None]
 
 
@@ -29,9 +29,9 @@
 
     Args:
         clock: source of time.
-        events: where changes are logged.
-        metrics: where the version in force and its delay are shown.
-        regions: that there are; None where that isn't known.
+        events: log of changes.
+        metrics: receives the version in force and the delay until it was applied.
+        regions: all existing regions; None if they aren't known.
     """
 
     def __init__(
@@ -56,15 +56,15 @@
         return self.table.document.version > 0
 
     def on_change(self, listener: RouteListener) -> None:
-        """Call `listener` with each new table."""
+        """Call `listener` with the table of each new document."""
         self._listeners.append(listener)
 
     def apply(self, document: RoutingDocument, origin: Origin) -> bool:
-        """Put `document` in force if it is newer; return whether it was.
+        """Put `document` in force if its version is higher; return whether it was.
 
         Args:
             document: a routing document.
-            origin: who brought it, and how long after it was read from the store.
+            origin: its source and the time since it was read from the store.
         """
         held = self.table.document.version
         if document.version <= held:
@@ -97,7 +97,7 @@
         return True
 
     def _log_unknown_regions(self, document: RoutingDocument) -> None:
-        """Log regions that no data centre is in, once each: they serve nothing."""
+        """Log each region without a data centre once: nothing is served there."""
         if self._regions is None:
             return
         for route in document.routes:
@@ -112,7 +112,7 @@
                 )
 
     def _find_new_unknown(self, regions: Regions) -> list[str]:
-        """Return the regions that no data centre is in and that weren't logged yet."""
+        """Return the regions without a data centre that haven't been logged yet."""
         named = regions.names or frozenset()
         unknown = sorted(named - (self._regions or frozenset()) - self._logged_regions)
         self._logged_regions.update(unknown)
--- a/walkcart/intent/routes.py
+++ b/walkcart/intent/routes.py
@@ -1,8 +1,8 @@
-"""Routing intents: which requests go to which services.
+"""Routing documents: which requests go to which services.
 
-A routing document is one version of everything that operators decided: routes by
-host and path prefix, services, and what callers may send. A request is routed by
-one document from its admission to its answer.
+A routing document is one version of all settings that operators made: routes by host
+and path prefix, services, teams and limits of callers. A request is routed by the same
+document from its admission to its reply.
 
 Examples:
     >>> route = Route("r", "h.example", "/a/", ToService("s"))
@@ -21,22 +21,22 @@
 from walkcart.intent.teams import Grant, Team, TeamBook
 from walkcart.routing.eligibility import ALL_REGIONS, Regions
 
-#: Attempts at one leaf or shard where a route sets no bound.
+#: Maximum number of leaves per shard for a request if its route sets none.
 DEFAULT_MAX_ATTEMPTS = 3
-#: Longest time for a request where a route sets none.
+#: Timeout of a request if its route sets none.
 DEFAULT_TIMEOUT = timedelta(seconds=30)
 
 
 @dataclass(frozen=True, slots=True)
 class ToService:
-    """Every request goes to one service."""
+    """Target that sends every request to one service."""
 
     service: str
 
 
 @dataclass(frozen=True, slots=True)
 class SplitPart:
-    """A service and its share of the requests, relative to the other parts."""
+    """A service of a split and its weight relative to the other parts."""
 
     service: str
     weight: float
@@ -44,19 +44,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ToSplit:
-    """Requests are divided over services by weight."""
+    """Target that distributes requests over services by weight."""
 
     parts: tuple[SplitPart, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ToShards:
-    """Every request goes to one leaf of each shard; the replies are merged.
+    """Target that sends every request to one leaf of each shard and merges the replies.
 
     Args:
-        services: the shards, each a service.
-        top: records of the merged reply at the most.
-        least_coverage: share of the shards that an answer must cover.
+        services: the shards, each of which is a service.
+        top: maximum number of records in the merged reply.
+        least_coverage: minimum share of the shards that an answer must cover.
     """
 
     services: tuple[str, ...]
@@ -69,20 +69,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What is done with the requests to one host and path prefix.
+    """How the requests to one host and path prefix are handled.
 
     Args:
-        name: names the route.
-        host: of the requests, in small letters, without a port.
-        prefix: start of their path; ends with a slash.
-        target: where they go.
+        name: name of the route.
+        host: host of the requests, in lowercase and without a port.
+        prefix: prefix of the requests' path; ends with a slash.
+        target: services that the requests are sent to.
         idempotent: whether a request may run more than once.
-        timeout: longest time for which a request is held.
-        objective: time within which an answer is of full value; None when any is.
-        most_attempts: leafs that may run one request, for each shard.
-        rank: 0 is the most urgent.
-        regions: that its requests may be served in.
-        public: whether its requests need no key where there are teams.
+        timeout: maximum time until a request is answered.
+        objective: latency objective of a reply; None if there is none.
+        most_attempts: maximum number of leaves that may run one request, for each shard.
+        rank: urgency of the requests; 0 is the most urgent.
+        regions: regions that the requests may be served in.
+        public: whether the requests need no key although the document has teams.
     """
 
     name: str
@@ -100,13 +100,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service, as operators describe it.
+    """A service as operators configure it.
 
     Args:
-        name: names the service.
-        most_connections: that one of its leafs takes from all callers together.
-        cold_time: for which a leaf is cold after a start or an evacuation.
-        cold_rate: requests a second that a cold leaf bears; 0 where no bound is set.
+        name: name of the service.
+        most_connections: maximum number of connections that one leaf of the service
+            accepts from all clients together.
+        cold_time: time for which a leaf is cold after a start or an evacuation.
+        cold_rate: requests per second that a cold leaf can handle; 0 for no limit.
     """
 
     name: str
@@ -117,13 +118,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send and how long it may take.
+    """Limits on the requests and connections of a caller.
 
     Args:
-        header_bytes: of one request's head.
-        body_bytes: of one request's body.
-        head_time: from the first byte of a request to the end of its head.
-        idle_time: for which a connection without a request is kept.
+        header_bytes: maximum size of a request's head.
+        body_bytes: maximum size of a request's body.
+        head_time: maximum time from the first byte of a request to the end of its head.
+        idle_time: time after which a connection without a request is closed.
     """
 
     header_bytes: int = 32768
@@ -134,14 +135,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingDocument:
-    """One version of the routing intents.
+    """One version of the routing settings.
 
     Args:
-        version: a higher one replaces a lower one.
+        version: version of the document; a higher one replaces a lower one.
         routes: all routes.
         services: all services.
-        limits: of callers.
-        teams: whose keys requests need; None where requests need none.
+        limits: limits of each caller.
+        teams: teams with one of whose keys a request must come; None if requests need
+            no key.
     """
 
     version: int
@@ -152,10 +154,10 @@
 
 
 class RouteTable:
-    """One document, indexed for the search of routes.
+    """A routing document, indexed for looking up routes and teams.
 
     Args:
-        document: what is indexed.
+        document: the document to index.
     """
 
     def __init__(self, document: RoutingDocument) -> None:
@@ -170,12 +172,12 @@
             routes.sort(key=lambda route: -len(route.prefix))
 
     def regions_of(self, name: str, team: str = "") -> Regions:
-        """Return where requests of a route and a team may be served.
+        """Return the regions in which requests of a route and a team may be served.
 
-        What isn't known here binds nothing.
+        An unknown route or team doesn't restrict them.
 
         Args:
-            name: of the route.
+            name: name of the route.
             team: name of the team; empty for none.
         """
         route = self._by_name.get(name)
@@ -184,10 +186,12 @@
         return regions.intersect(found.regions) if found else regions
 
     def rank_of(self, name: str, team: str = "") -> int:
-        """Return the rank of a request: its team's, else its route's.
+        """Return the rank of a request: its team's if it has one, else its route's.
+
+        An unknown route has rank 0.
 
         Args:
-            name: of the route.
+            name: name of the route.
             team: name of the team; empty for none.
         """
         found = self.teams.named(team) if team else None
@@ -197,11 +201,11 @@
         return route.rank if route else 0
 
     def upholds(self, name: str, grant: Grant) -> bool:
-        """Return whether a request that was let in once would be let in now.
+        """Return whether a request admitted earlier would still be admitted.
 
         Args:
-            name: of the route.
-            grant: by what it was let in.
+            name: name of the route.
+            grant: team and key with which the request was admitted.
         """
         if self.document.teams is None:
             return True
@@ -214,11 +218,11 @@
         return team is not None and team.name == grant.team
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route with the longest prefix of a request's path, or None.
+        """Return the route with the longest prefix that matches, or None.
 
         Args:
-            host: the ``Host`` header; case and port make no difference.
-            target: path of the request, with a query if there is one.
+            host: the request's ``Host`` header; case and port are ignored.
+            target: the request's path, optionally with a query.
         """
         path = target.partition("?")[0]
         for route in self._by_host.get(_strip_port(host).lower(), ()):
@@ -228,7 +232,7 @@
 
 
 def list_target_services(target: Target) -> tuple[str, ...]:
-    """Return the services that a target may send to."""
+    """Return the services that a target may send requests to."""
     match target:
         case ToService(service):
             return (service,)
--- a/walkcart/intent/selectors.py
+++ b/walkcart/intent/selectors.py
@@ -1,8 +1,8 @@
-"""Selectors over labels.
+"""Label selectors.
 
-A selector is a list of requirements, joined by commas, that must all hold:
+A selector is a comma-separated list of requirements that must all hold:
 ``key=value``, ``key!=value``, ``key in (a, b)``, ``key notin (a, b)``, ``key``
-(the label exists) and ``!key`` (it doesn't). An empty selector matches all.
+(the label exists) and ``!key`` (it doesn't). An empty selector matches everything.
 
 Examples:
     >>> selector = parse_selector("region=hobart, tier in (search, ledger), !old")
@@ -34,12 +34,12 @@
 
 
 class SelectorError(ValueError):
-    """A text that is no selector."""
+    """The text isn't a valid selector."""
 
 
 @dataclass(frozen=True, slots=True)
 class In:
-    """The label exists and has one of `values`."""
+    """Requires that the label exists and has one of `values`."""
 
     key: str
     values: frozenset[str]
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotIn:
-    """The label is missing or has none of `values`."""
+    """Requires that the label is missing or has none of `values`."""
 
     key: str
     values: frozenset[str]
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Exists:
-    """The label exists."""
+    """Requires that the label exists."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """The label is missing."""
+    """Requires that the label is missing."""
 
     key: str
 
@@ -95,10 +95,10 @@
 
 @lru_cache(maxsize=4096)
 def parse_selector(text: str) -> Selector:
-    """Read a selector.
+    """Parse a selector.
 
     Raises:
-        SelectorError: with the part that can't be read.
+        SelectorError: a requirement or value is invalid; the message quotes it.
     """
     if not text.strip():
         return Selector()
--- a/walkcart/intent/teams.py
+++ b/walkcart/intent/teams.py
@@ -1,7 +1,7 @@
-"""Teams: who may ask, by which keys, how urgently, where and how much.
+"""Teams: their keys, rank, rate limit and permitted regions.
 
-A team's keys are kept as digests alone, so that no key can appear in a log, a metric
-or a message between instances.
+Only digests of a team's keys are kept, so that no key can appear in a log, a metric or a
+message between instances.
 
 Examples:
     >>> team = Team("fitters", keys=frozenset({digest_key(b"secret")}))
@@ -20,22 +20,22 @@
 
 from walkcart.routing.eligibility import ALL_REGIONS, Regions
 
-#: Bytes of a key's digest: two keys never share one by chance.
+#: Size of a key's digest in bytes; at this size no two keys collide by chance.
 DIGEST_SIZE = 16
 
 
 def digest_key(key: bytes) -> bytes:
-    """Return what stands for an API key inside walkcart."""
+    """Return the digest that represents an API key inside walkcart."""
     return blake2b(key, digest_size=DIGEST_SIZE).digest()
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What all callers of a team may send together, over all instances.
+    """Rate limit of all callers of a team together, over all instances.
 
     Args:
-        rate: requests a second.
-        burst: requests on top, at once.
+        rate: requests per second.
+        burst: requests beyond the rate that may come at once.
     """
 
     rate: float
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """An organisation whose callers share keys, a rank and a limit.
+    """An organisation whose callers share keys, a rank and a rate limit.
 
     Args:
-        name: names it; leafs are told.
-        keys: digests of its API keys.
-        rank: goes before the rank of a route; None where it has none.
-        limit: of its requests; None where there is none.
-        regions: that its requests may be served in.
+        name: name of the team; it is sent to leaves.
+        keys: digests of the team's API keys.
+        rank: rank that overrides the rank of a route; None to use the route's.
+        limit: rate limit of the team's requests; None for no limit.
+        regions: regions that the team's requests may be served in.
     """
 
     name: str
@@ -63,12 +63,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """By what a request was let in; nothing more is sent for it once that is gone.
+    """The team and key with which a request was admitted.
+
+    Once the team or key has been removed, nothing more is sent for the request.
 
     Args:
-        team: whose key came along; empty where none did, or none was needed.
-        credential: digest of that key; None at an instance that only helps, to which
-            the key isn't told.
+        team: team that the request's key belongs to; empty if the request had no key or
+            needed none.
+        credential: digest of the key; None at an instance that gathers for another one,
+            as the key isn't sent there.
     """
 
     team: str = ""
@@ -76,10 +79,10 @@
 
 
 class TeamBook:
-    """The teams of one routing document, by name and by the digests of their keys.
+    """Index of the teams of a routing document by name and by key digest.
 
     Args:
-        teams: all teams.
+        teams: all teams of the document.
     """
 
     def __init__(self, teams: Iterable[Team] = ()) -> None:
@@ -91,10 +94,10 @@
         }
 
     def claim_of(self, name: str) -> float:
-        """Return a team's claim to what is short, relative to those of others.
+        """Return a team's weight when scarce capacity is divided among teams.
 
-        It follows the team's limit; a team without one claims what the others do on
-        average, and without limits all claim alike.
+        The weight is the rate of the team's limit. A team without a limit gets the mean
+        rate of the others, and if no team has a limit all weights are equal.
         """
         team = self._by_name.get(name)
         if team is None or team.limit is None:
@@ -102,11 +105,11 @@
         return team.limit.rate or self._mean_rate
 
     def find(self, digest: bytes) -> Team | None:
-        """Return the team that has a key, by the key's digest."""
+        """Return the team that owns the key with this digest, or None."""
         return self._by_key.get(digest)
 
     def named(self, name: str) -> Team | None:
-        """Return the team of a name."""
+        """Return the team with this name, or None."""
         return self._by_name.get(name)
 
     def all(self) -> tuple[Team, ...]:
--- a/walkcart/intent/validation.py
+++ b/walkcart/intent/validation.py
@@ -1,8 +1,8 @@
-"""Checks of a whole configuration before it is accepted.
+"""Validates a whole configuration before it is accepted.
 
-Faults always refuse it. Selectors that match nothing are warnings, which refuse
-it too unless the operator allows them: a selector with a slip in it is the
-likeliest way to lose an intent without noticing.
+A configuration with faults is always refused. Selectors that match nothing are warnings,
+which also lead to a refusal unless the operator allows them: a mistyped selector is the
+most likely way in which an intent silently has no effect.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What is wrong with a configuration.
+    """Result of validating a configuration.
 
     Args:
-        faults: each refuses it.
+        faults: errors, each of which leads to a refusal.
         warnings: selectors that match nothing.
     """
 
@@ -44,12 +44,12 @@
     configuration: Configuration,
     leaf_labels: Iterable[Mapping[str, str]] | None = None,
 ) -> Report:
-    """Check `configuration`.
+    """Validate `configuration`.
 
     Args:
-        configuration: what is to be checked.
-        leaf_labels: the leaves' labels, to check the leaf selectors too; None
-            leaves those unchecked.
+        configuration: the configuration to validate.
+        leaf_labels: labels of all leaves, against which selectors of leaves are checked;
+            None to skip this check.
     """
     faults: list[ConfigurationFault] = []
     for kind, (_, place) in KINDS.items():
