--- a/walkcart/intent/distribution.py
+++ b/walkcart/intent/distribution.py
@@ -241,8 +241,8 @@
         assert isinstance(message, ConfigurationPull)
         if self._document.revision <= message.revision:
             return
-        # A peer repeats its pull when the answer is late. On a congested link, documents
-        # would queue behind older ones that they replace.
+        # A peer repeats its pull when the answer is late. On a congested link, the new
+        # document would queue behind older ones that it replaces.
         waiting = self._pushes.pop(sender, None)
         if waiting is not None:
             self._links.withdraw(sender, waiting)
@@ -263,7 +263,7 @@
         self.apply_if_newer(document, sender)
 
     async def _watch_health(self) -> None:
-        """Report isolation from store and peers, and pull a revision that was missed."""
+        """Report isolation from store and peers, and pull a missed revision."""
         while True:
             await trio.sleep(PULL_TIMEOUT)
             isolated = self.is_cut()
--- a/walkcart/intent/model.py
+++ b/walkcart/intent/model.py
@@ -48,7 +48,7 @@
     """A data centre and its region."""
 
     name: str = _item(
-        "Name that instances give in their settings and leaves in their labels."
+        "Its name, which instances have in their settings and leaves in their labels."
     )
     region: str = _item("Region that the data centre belongs to.")
 
@@ -61,9 +61,9 @@
     credential_sha256: str = _item(
         "SHA-256 of the bearer token as 64 lowercase hex digits; no token is stored."
     )
-    scope: str = _item("Scope that leaves receive; they hide the rows of other scopes.")
+    scope: str = _item("Scope that leaves are told; they hide the rows of others.")
     share: float = _item(
-        "Weight of the partner when a busy service is shared fairly.",
+        "Weight of the partner in the fair sharing of a busy service.",
         1.0,
         low=0.01,
         high=100.0,
@@ -91,10 +91,10 @@
 
     name: str = _item("Name of the group.")
     layouts: tuple[Layout, ...] = _item(
-        "Layouts of the group; two during a repartition."
+        "The group's layouts; two during a repartition."
     )
     slots: int = _item(
-        "Requests that a leaf runs concurrently.", 2, unit="requests", low=1, high=1000
+        "Requests that a leaf runs at once.", 2, unit="requests", low=1, high=1000
     )
     connections: int = _item(
         "Connections that a leaf accepts from all instances together.",
@@ -110,7 +110,7 @@
 class Service:
     """A service that callers query by name."""
 
-    name: str = _item("Name of the service in request paths.")
+    name: str = _item("Name of the service in the callers' request paths.")
     shard_group: str = _item("Shard group that serves the requests.")
     writes: bool = _item(
         "Whether requests that must not be repeated are accepted.", False
@@ -133,10 +133,10 @@
     priority: int = _item(
         "Intents with a higher priority take precedence.", 0, low=-1000, high=1000
     )
-    prefer: str | None = _item("Leaves that are preferred.", None, selector=True)
+    prefer: str | None = _item("Leaves to use first.", None, selector=True)
     exclude: str | None = _item("Leaves that get no new work.", None, selector=True)
     deadline: timedelta | None = _item(
-        "Default and maximum of the time that a caller may allow for a reply.",
+        "Time for a reply if the caller sets none, and the maximum that it may set.",
         None,
         unit="s",
         low=MILLISECOND,
--- a/walkcart/intent/routes.py
+++ b/walkcart/intent/routes.py
@@ -79,7 +79,7 @@
         idempotent: whether a request may run more than once.
         timeout: maximum time until a request is answered.
         objective: latency objective of a reply; None if there is none.
-        most_attempts: maximum number of leaves that may run one request, for each shard.
+        most_attempts: maximum number of leaves that may run a request, for each shard.
         rank: urgency of the requests; 0 is the most urgent.
         regions: regions that the requests may be served in.
         public: whether the requests need no key although the document has teams.
--- a/walkcart/intent/teams.py
+++ b/walkcart/intent/teams.py
@@ -1,7 +1,7 @@
 """Teams: their keys, rank, rate limit and permitted regions.
 
-Only digests of a team's keys are kept, so that no key can appear in a log, a metric or a
-message between instances.
+Only digests of a team's keys are kept, so that no key can appear in a log, a metric or
+a message between instances.
 
 Examples:
     >>> team = Team("fitters", keys=frozenset({digest_key(b"secret")}))
--- a/walkcart/intent/validation.py
+++ b/walkcart/intent/validation.py
@@ -1,8 +1,8 @@
 """Validates a whole configuration before it is accepted.
 
-A configuration with faults is always refused. Selectors that match nothing are warnings,
-which also lead to a refusal unless the operator allows them: a mistyped selector is the
-most likely way in which an intent silently has no effect.
+A configuration with faults is always refused. Selectors that match nothing are
+warnings, which also lead to a refusal unless the operator allows them: a mistyped
+selector is the most likely way in which an intent silently has no effect.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
     Args:
         configuration: the configuration to validate.
-        leaf_labels: labels of all leaves, against which selectors of leaves are checked;
+        leaf_labels: labels of all leaves, to check the selectors of leaves too;
             None to skip this check.
     """
     faults: list[ConfigurationFault] = []
