--- a/walkcart/intent/model.py
+++ b/walkcart/intent/model.py
@@ -61,7 +61,7 @@
     credential_sha256: str = _item(
         "SHA-256 of the bearer token as 64 lowercase hex digits; no token is stored."
     )
-    scope: str = _item("Scope that leaves are told; they hide the rows of others.")
+    scope: str = _item("Scope that leaves are told; rows of others are hidden.")
     share: float = _item(
         "Weight of the partner in the fair sharing of a busy service.",
         1.0,
@@ -143,7 +143,7 @@
         high=600 * SECOND,
     )
     partial_after: timedelta | None = _item(
-        "Time after which a reply that reaches `least_coverage` is sent.",
+        "Time after which a reply is sent once it reaches `least_coverage`.",
         None,
         unit="s",
         low=MILLISECOND,
--- a/walkcart/intent/tests/test_objects.py
+++ b/walkcart/intent/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""Selectors, loading, validation, diffing, policies."""
+"""Tests of selectors, loading, validation, diffing and policies."""
 
 from pathlib import Path
 
@@ -41,14 +41,14 @@
         assert parse_selector(text).matches(LABELS) is expected, text
 
 
-def test_bad_selectors_say_what_is_wrong():
+def test_invalid_selectors_raise_an_error():
     for text in ("=x", "a==b", "a in b", "a in (b", "a,,b", "a in ()"):
         with pytest.raises(SelectorError):
             parse_selector(text)
 
 
 @given(st.text(max_size=30))
-def test_any_text_is_a_selector_or_an_error(text):
+def test_any_text_is_a_selector_or_raises_an_error(text):
     try:
         parse_selector(text).matches(LABELS)
     except SelectorError as error:
@@ -64,7 +64,7 @@
         assert not report.warnings
 
 
-def test_all_faults_of_a_file_are_told_in_one_go():
+def test_all_faults_of_a_file_are_reported_together():
     text = """
         [[service]]
         name = "a"
@@ -96,7 +96,7 @@
     assert [item.place for item in report.warnings] == ["routing_intent i, selector"]
 
 
-def test_tables_and_documents_give_the_same_configuration_back():
+def test_configuration_survives_a_round_trip_through_tables_and_documents():
     text = (EXAMPLES / "trentside.toml").read_text(encoding="utf-8")
     configuration = load_toml(text).configuration
     assert load_tables(to_tables(configuration)).configuration == configuration
@@ -108,7 +108,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_rubbish_is_no_document(data):
+def test_arbitrary_bytes_are_not_a_document(data):
     with pytest.raises(DocumentError):
         read_document(data)
 
@@ -134,7 +134,7 @@
     assert policy.excludes({"worn": "yes"})
 
 
-def test_label_rules_lie_over_the_list():
+def test_label_rules_override_listed_labels():
     text = '[[label_rule]]\nname = "r"\nselector = "a=1"\nlabels = { b = "2" }\n'
     configuration = load_toml(text).configuration
     assert label_leaf(configuration, {"a": "1", "b": "0"}) == {"a": "1", "b": "2"}
--- a/walkcart/intent/tests/test_propagation.py
+++ b/walkcart/intent/tests/test_propagation.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere and never reverts."""
+"""Tests that an accepted configuration comes into force everywhere and never reverts."""
 
 import trio
 
@@ -9,6 +9,7 @@
 from walkcart.standins.memorypeers import MemoryPeerSender
 from walkcart.wire.messages import ConfigurationPull, ConfigurationPush
 
+#: Seconds within which a change must be in force at every instance.
 BOUND = 4.0
 
 
@@ -18,14 +19,14 @@
     )
 
 
-def revisions(world):
+def list_revisions(world):
     return [
         item.find("keeper", ConfigurationKeeper).document.revision
         for item in world.instances.values()
     ]
 
 
-def test_hundred_changes_are_in_force_within_the_bound():
+def test_each_of_a_hundred_changes_is_in_force_in_time():
     async def run():
         async with open_estate(instances=7) as world:
             times = []
@@ -40,7 +41,7 @@
     assert sorted(times)[50] <= 1.0
 
 
-def test_data_centre_cut_from_the_store_hears_it_from_peers():
+def test_data_centre_without_the_store_gets_a_change_from_peers():
     async def run():
         sites = [("north", "north-a"), ("south", "south-a")]
         async with open_estate(instances=6, sites=sites) as world:
@@ -52,7 +53,7 @@
     assert run_mocked(run) <= BOUND
 
 
-def test_change_spreads_with_the_watchers_killed():
+def test_change_spreads_although_the_watchers_were_killed():
     async def run():
         async with open_estate(instances=7) as world:
             watching = [
@@ -70,7 +71,7 @@
     assert time <= BOUND
 
 
-def test_new_instance_during_an_outage_runs_the_newest():
+def test_instance_started_during_an_outage_gets_the_newest_configuration():
     async def run():
         async with open_estate() as world:
             outcome = await world.apply(make_intent(1.5))
@@ -90,33 +91,33 @@
         async with open_estate() as world:
             world.store.faults.stale_read = 0.5
             world.store.faults.repeat_watches = True
-            lowest = []
+            lowest_revisions = []
             for number in range(10):
                 outcome = await world.apply(make_intent(1 + number / 100))
                 if isinstance(outcome, Accepted):
                     await world.wait_in_force(outcome.revision)
                 for _ in range(20):
                     await trio.sleep(0.05)
-                    lowest.append(min(revisions(world)))
-            return lowest
+                    lowest_revisions.append(min(list_revisions(world)))
+            return lowest_revisions
 
-    lowest = run_mocked(run)
-    assert lowest == sorted(lowest)
+    lowest_revisions = run_mocked(run)
+    assert lowest_revisions == sorted(lowest_revisions)
 
 
 def test_garbage_in_the_store_changes_nothing():
     async def run():
         async with open_estate() as world:
-            before = revisions(world)
+            before = list_revisions(world)
             world.store._set("walkcart/configuration", b"rubbish")
             await trio.sleep(3)
-            return before, revisions(world)
+            return before, list_revisions(world)
 
     before, after = run_mocked(run)
     assert before == after
 
 
-def test_lost_reply_is_settled_by_reading_back():
+def test_change_whose_reply_was_lost_is_found_by_reading_back():
     async def run():
         async with open_estate() as world:
             world.store.faults.lose_reply = 1.0
@@ -127,7 +128,7 @@
     assert outcome.revision == 2
 
 
-def test_racing_operators_get_a_conflict_that_shows_both_sides():
+def test_concurrent_changes_of_one_object_conflict_and_show_both_sides():
     async def run():
         async with open_estate() as world:
             outcomes = []
@@ -141,13 +142,13 @@
             return outcomes
 
     outcomes = run_mocked(run)
-    raced = [item for item in outcomes if isinstance(item, Raced)]
-    assert len(raced) == 1
-    assert raced[0].mine != raced[0].theirs
-    assert raced[0].change.touched == ("routing_intent all",)
+    conflicts = [item for item in outcomes if isinstance(item, Raced)]
+    assert len(conflicts) == 1
+    assert conflicts[0].mine != conflicts[0].theirs
+    assert conflicts[0].change.touched == ("routing_intent all",)
 
 
-def test_racing_operators_on_other_objects_both_succeed():
+def test_concurrent_changes_of_different_objects_both_succeed():
     async def run():
         async with open_estate() as world:
             outcomes = []
@@ -163,7 +164,7 @@
     assert run_mocked(run) == [2, 3]
 
 
-def test_store_down_is_told_as_not_accepted():
+def test_outage_of_the_store_gives_an_unknown_outcome():
     async def run():
         async with open_estate() as world:
             world.store.faults.down = True
@@ -173,21 +174,23 @@
     assert isinstance(outcome, Unknown)
 
 
-def test_instance_cut_from_store_and_peers_says_so():
+def test_instance_without_store_and_peers_reports_isolation():
     async def run():
         sites = [("north", "north-a"), ("south", "south-a")]
         async with open_estate(instances=2, sites=sites) as world:
             for site in ("north-a", "platform"):
                 world.memory.cut("south-a", site)
             await trio.sleep(10)
-            cut = world.instances["instance-1"].find("keeper", ConfigurationKeeper)
-            well = world.instances["instance-0"].find("keeper", ConfigurationKeeper)
-            return cut.is_cut(), well.is_cut()
+            isolated = world.instances["instance-1"].find("keeper", ConfigurationKeeper)
+            connected = world.instances["instance-0"].find(
+                "keeper", ConfigurationKeeper
+            )
+            return isolated.is_cut(), connected.is_cut()
 
     assert run_mocked(run) == (True, False)
 
 
-def test_documents_that_a_later_one_replaced_do_not_wait_for_a_slow_peer(monkeypatch):
+def test_replaced_documents_are_not_queued_for_a_slow_peer(monkeypatch):
     async def send_never(sender, data):
         await trio.sleep_forever()
 
--- a/walkcart/intent/tests/test_racing_operators.py
+++ b/walkcart/intent/tests/test_racing_operators.py
@@ -1,8 +1,8 @@
-"""Racing operators over a store that fails: a hypothesis state machine.
+"""Hypothesis state machine of concurrent operators and a failing store.
 
-The model is the list of accepted changes. Whatever is lost, late or stale, each
-change that was told as accepted is in the history once, revisions go up by one,
-and instances never go back.
+The model is the set of accepted changes. Despite lost replies, late writes and stale
+reads, each change that was reported as accepted is in the history exactly once,
+revisions go up by one, and the stored revision never goes down.
 """
 
 from datetime import timedelta
@@ -28,7 +28,7 @@
 
 
 class Operators(RuleBasedStateMachine):
-    """Runs rounds of operators' changes, each in a trio run of its own."""
+    """Runs rounds of concurrent changes, each in its own trio run."""
 
     def __init__(self):
         super().__init__()
--- a/walkcart/intent/tests/test_routes.py
+++ b/walkcart/intent/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes."""
+"""Tests of the route lookup."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,22 +15,22 @@
     return RouteTable(RoutingDocument(1, tuple(routes)))
 
 
-def as_prefix(segments):
+def make_prefix(segments):
     return "/" + "".join(f"{segment}/" for segment in segments)
 
 
 @given(
     st.lists(SEGMENTS, max_size=6), SEGMENTS, st.sampled_from(["", "x", "x?q=/a/b/"])
 )
-def test_the_longest_prefix_wins(prefixes, segments, rest):
-    known = {as_prefix(item) for item in prefixes}
-    path = as_prefix(segments) + rest
-    fitting = [item for item in known if path.partition("?")[0].startswith(item)]
+def test_the_longest_matching_prefix_is_found(prefixes, segments, rest):
+    known = {make_prefix(item) for item in prefixes}
+    path = make_prefix(segments) + rest
+    matching = [item for item in known if path.partition("?")[0].startswith(item)]
     found = make_table(known).find("shop.example", path)
-    assert (found.name if found else None) == max(fitting, key=len, default=None)
+    assert (found.name if found else None) == max(matching, key=len, default=None)
 
 
-def test_the_host_is_compared_without_case_and_port():
+def test_case_and_port_of_the_host_are_ignored():
     table = make_table(["/a/"])
     assert table.find("SHOP.example:8080", "/a/x").name == "/a/"
     assert table.find("other.example", "/a/x") is None
