--- a/walkcart/daemon/assembly.py
+++ b/walkcart/daemon/assembly.py
@@ -1,8 +1,8 @@
-"""Puts the services of an instance together.
+"""Assembles the services of an instance.
 
-The order in which they are added is the start order: what is lower down uses
-what is above it. Everything that touches the outside (network, peer transport,
-clock, source of chance) is passed in, so tests and long runs put in their own.
+Services start in the order in which they are added; each uses only those added before.
+Everything that touches the outside (network, peer transport, clock, random numbers) is
+passed in, so that tests and simulations can replace it.
 """
 
 from __future__ import annotations
@@ -49,21 +49,21 @@
 from walkcart.wire.messages import MemberRecord
 from walkcart.wire.peers import PeerListener
 
-#: Calls a second that one instance may make to the store, and its burst. Seven
-#: instances at this rate stay under half of what the service takes.
+#: Calls per second that one instance may make to the store, and the burst on top. Seven
+#: instances at this rate stay below half of what the service can handle.
 STORE_RATE = 100.0
 STORE_BURST = 200.0
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """An instance, put together but not running.
+    """An assembled instance that isn't running yet.
 
     Args:
-        kernel: its services; run it to run the instance.
-        stop: ends it without cutting a request.
-        address: where callers reach it.
-        peer_address: where peers reach it.
+        kernel: the services; running it runs the instance.
+        stop: graceful stop, which lets running requests finish.
+        address: address for callers.
+        peer_address: address for peers.
     """
 
     kernel: Kernel
@@ -73,10 +73,10 @@
 
 
 async def assemble_instance(settings: Settings, environment: Surroundings) -> Instance:
-    """Take the addresses and put the services together.
+    """Listen on the instance's addresses and assemble its services.
 
     Raises:
-        OSError: an address can't be had.
+        OSError: listening on an address failed.
     """
     network = environment.network
     listener = await network.listen(settings.listen)
@@ -183,7 +183,7 @@
 
 
 def make_backoff(random: Random) -> Backoff:
-    """Return the back-off for the store: 0.1 s growing to 2 s."""
+    """Return the back-off for the store, which grows from 0.1 s to 2 s."""
     return Backoff(timedelta(seconds=0.1), timedelta(seconds=2), random)
 
 
--- a/walkcart/daemon/deferred.py
+++ b/walkcart/daemon/deferred.py
@@ -1,22 +1,22 @@
-"""What an instance on the platform doesn't load, though its libraries import it.
+"""Modules that libraries import but an instance on the platform doesn't need.
 
-Modules take most of a small instance's memory. Its connections aren't encrypted and
-its event loop is trio's, so some of them are never used.
+Loaded modules take most of a small instance's memory. An instance never uses some of
+them, as its connections aren't encrypted and its event loop is trio's.
 """
 
 from __future__ import annotations
 
 from walkcart.lazyimport import block_modules, defer_modules
 
-#: Imported for uses that an instance doesn't have, each with a library: OpenSSL, event
-#: loops, names of hosts that aren't ASCII.
+#: Modules that are loaded only when used. They are for encryption with OpenSSL, other
+#: event loops and host names that aren't ASCII, which an instance doesn't need.
 DEFERRED_MODULES = ("asyncio", "hmac", "idna", "ssl")
-#: Loads OpenSSL for hashes that the interpreter has of its own, which `hashlib` gives
-#: when this can't be imported.
+#: Modules whose import fails. This one loads OpenSSL for its hashes; without it,
+#: `hashlib` falls back to the interpreter's own.
 REFUSED = ("_hashlib",)
 
 
 def skip_unused_modules() -> None:
-    """Keep these modules from being loaded; to be called before any library."""
+    """Keep unused modules from being loaded; call before importing any library."""
     defer_modules(DEFERRED_MODULES)
     block_modules(REFUSED)
--- a/walkcart/daemon/instanceleaves.py
+++ b/walkcart/daemon/instanceleaves.py
@@ -1,7 +1,7 @@
-"""The services of an instance that know the leaves and ask them.
+"""Assembles the services of an instance that find and query leaves.
 
 See Also:
-    `walkcart.daemon.assembly.assemble_instance`, which puts all of them together.
+    `walkcart.daemon.assembly.assemble_instance`, which assembles all services.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def add_leaves(kernel: Kernel, environment: Surroundings) -> None:
-    """Add the leaves, the ways to them and what asks them."""
+    """Add the table of leaves, the links to them and the query services."""
     events = kernel.find("events", EventLog)
     metrics = kernel.find("metrics", Metrics)
     view = kernel.find("view", MembershipView)
@@ -89,7 +89,7 @@
 
 
 def _add_quarantines(kernel: Kernel, environment: Surroundings) -> Quarantines:
-    """Add what remembers requests under which leafs ended, and tells of them."""
+    """Add the quarantine of requests that crashed leaves, and its gossip."""
     view = kernel.find("view", MembershipView)
     quarantine = Quarantine()
     quarantines = Quarantines(
--- a/walkcart/daemon/main.py
+++ b/walkcart/daemon/main.py
@@ -34,8 +34,8 @@
     """Run the daemon.
 
     Returns:
-        0 after a planned stop, 1 when it can't run, 2 for settings that can't be
-        taken.
+        0 after a graceful stop, 1 if the daemon can't run or its stop was cut short,
+        2 for invalid settings.
     """
     if any(flag in arguments for flag in HELP_FLAGS):
         _print_help()
@@ -76,13 +76,13 @@
     try:
         instance = await assemble_instance(settings, environment)
     except OSError as error:
-        print(f"walkcartd: an address can't be had: {error}", file=sys.stderr)
+        print(f"walkcartd: can't listen on an address: {error}", file=sys.stderr)
         return EXIT_FAILED
     return await run_until_signal(instance)
 
 
 async def run_until_signal(instance: Instance) -> int:
-    """Run `instance` until a signal; a second signal ends its stop sooner."""
+    """Run `instance` until a signal, then stop it; a second signal aborts the stop."""
     ended = True
     signals = (signal.SIGTERM, signal.SIGINT)
     with trio.open_signal_receiver(*signals) as received:
--- a/walkcart/daemon/platform.py
+++ b/walkcart/daemon/platform.py
@@ -1,6 +1,6 @@
 """The program ``walkcartd`` on the users' platform.
 
-The settings come from the file that the platform lays on the machine.
+The settings come from a file that the platform puts on the machine.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 from walkcart.wire.network import TcpNetwork
 from walkcart.wire.peers import NngTransport
 
-#: The port of the metrics page; the deploy file names the same one.
+#: Variable with the port of the metrics page; the deploy file sets the same port.
 METRICS_VARIABLE = "WALKCART_METRICS_PORT"
 MAX_PORT = 65535
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_USAGE = 2
-#: Seconds between two looks whether the settings file changed: it may without a
-#: signal, and half of the time for a change to be in force is plenty.
+#: Seconds between two checks whether the settings file has changed, which can happen
+#: without a signal. This is half of the time within which a change must be in force.
 FILE_CHECK_INTERVAL = 1.0
 
 
@@ -76,7 +76,7 @@
     try:
         tenant = await assemble_tenant(settings, environment)
     except OSError as error:
-        print(f"walkcartd: an address can't be had: {error}", file=sys.stderr)
+        print(f"walkcartd: can't listen on an address: {error}", file=sys.stderr)
         return EXIT_FAILED
     signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     with trio.open_signal_receiver(*signals) as received:
@@ -97,7 +97,7 @@
 
 
 async def _watch_file(tenant: Tenant, path: Path) -> None:
-    """Read the settings anew whenever the file changed."""
+    """Reload the settings whenever the file has changed."""
     seen = _read_file_state(path)
     while True:
         await trio.sleep(FILE_CHECK_INTERVAL)
@@ -116,7 +116,7 @@
 
 
 def reload_settings(tenant: Tenant, path: Path) -> None:
-    """Take changed settings; those that can't be taken leave all as it was."""
+    """Apply changed settings; if they are invalid, the present ones stay in force."""
     events = tenant.kernel.find("events", EventLog)
     try:
         settings = read_settings(path)
--- a/walkcart/daemon/surroundings.py
+++ b/walkcart/daemon/surroundings.py
@@ -1,4 +1,4 @@
-"""What an instance on the platform runs on, and a service for one address."""
+"""The outside resources that instances use, and a service that serves one address."""
 
 from __future__ import annotations
 
@@ -16,7 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What an instance runs on."""
+    """Outside resources of an instance, which tests can replace.
+
+    Args:
+        network: opens and accepts connections.
+        transport: carries messages between instances.
+        clock: source of time.
+        random: source of random numbers.
+        log: stream for log lines; standard error if None.
+    """
 
     network: Network
     transport: PeerTransport
@@ -27,15 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSurroundings:
-    """What the instance runs on.
+    """Outside resources of an instance on the platform, which tests can replace.
 
     Args:
         network: opens and accepts connections.
         transport: carries messages between instances.
         clock: source of time.
-        random: source of chance.
-        log: where log lines go; standard error when None.
-        metrics_port: where the metrics page is served; 0 for nowhere.
+        random: source of random numbers.
+        log: stream for log lines; standard error if None.
+        metrics_port: port of the metrics page; 0 to serve none.
     """
 
     network: Network
@@ -47,11 +55,11 @@
 
 
 class ListenerService:
-    """Serves one address for as long as the instance runs.
+    """Service that serves HTTP at one address while the instance runs.
 
     Args:
-        listener: takes connections.
-        server: serves them.
+        listener: accepts connections.
+        server: serves the connections.
     """
 
     def __init__(
--- a/walkcart/daemon/tenant.py
+++ b/walkcart/daemon/tenant.py
@@ -1,7 +1,7 @@
-"""The instance as a tenant of the users' platform: its services, put together.
+"""Assembles an instance that runs as a tenant of the users' platform.
 
-The product's own services are the same as in `walkcart.daemon.assembly` where both
-have them; the adapter in `walkcart.platform` takes the place of the ports.
+Services that both kinds of instance have are the same as in `walkcart.daemon.assembly`.
+The adapters in `walkcart.platform` implement the interfaces to the platform.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """An instance on the platform, put together but not running.
+    """An assembled instance on the platform that isn't running yet.
 
     Args:
-        kernel: its services; run it to run the instance.
-        stop: ends it without cutting a request.
+        kernel: the services; running it runs the instance.
+        stop: graceful stop, which lets running requests finish.
     """
 
     kernel: Kernel
@@ -47,10 +47,10 @@
 async def assemble_tenant(
     settings: PlatformSettings, environment: TenantSurroundings
 ) -> Tenant:
-    """Take the addresses and put the services together.
+    """Listen on the instance's addresses and assemble its services.
 
     Raises:
-        OSError: an address can't be had.
+        OSError: listening on an address failed.
     """
     callers = await environment.network.listen(settings.callers)
     readiness = await environment.network.listen(settings.readiness)
--- a/walkcart/daemon/tenantlimits.py
+++ b/walkcart/daemon/tenantlimits.py
@@ -1,7 +1,7 @@
-"""The services of an instance that hold bounds which all instances share.
+"""Assembles the services that enforce limits shared by all instances.
 
 See Also:
-    `walkcart.daemon.tenant.assemble_tenant`, which puts them together.
+    `walkcart.daemon.tenant.assemble_tenant`, which assembles all services.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 
 class LimitsInForce:
-    """The teams' rate limits, as the routing document in force has them.
+    """The teams' rate limits in the routing document in force.
 
     Args:
-        keeper: of that document.
+        keeper: holds the routing document.
     """
 
     def __init__(self, keeper: RouteKeeper) -> None:
@@ -40,7 +40,7 @@
         self.limited = _find_limited_teams(keeper.table)
 
     def update(self, table: RouteTable) -> None:
-        """Take the limits of a new document."""
+        """Use the limits of a new document."""
         self.limited = _find_limited_teams(table)
 
     @property
@@ -49,7 +49,7 @@
         return bool(self.limited)
 
     def find(self, team: str) -> tuple[int, RateLimit | None]:
-        """Return the version in force and the limit of a team."""
+        """Return the document version in force and a team's limit, None without one."""
         table = self._keeper.table
         found = table.teams.named(team)
         return table.document.version, found.limit if found else None
@@ -58,7 +58,7 @@
 def add_cold_shares(
     kernel: Kernel, environment: TenantSurroundings, gatherers: GatheringInstances
 ) -> None:
-    """Add what divides the bounds of cold leafs among the instances."""
+    """Add the service that divides the limits of cold leaves among instances."""
     cold = kernel.find("cold", ColdLimiter)
     shares = ColdShares(
         kernel.find("store", PlatformStore),
@@ -74,7 +74,7 @@
 def add_limits(
     kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
-    """Add what holds teams to their rate limits, over all instances together."""
+    """Add the services that enforce the teams' rate limits over all instances."""
     registration = kernel.find("registration", Registration)
     links = kernel.find("links", PeerLinks)
     events = kernel.find("events", EventLog)
--- a/walkcart/daemon/tenantserving.py
+++ b/walkcart/daemon/tenantserving.py
@@ -1,7 +1,7 @@
-"""The services of an instance that serve: gathering, callers, metrics.
+"""Assembles the services that gather answers and serve callers and metrics.
 
 See Also:
-    `walkcart.daemon.tenant.assemble_tenant`, which puts them together.
+    `walkcart.daemon.tenant.assemble_tenant`, which assembles all services.
 """
 
 from __future__ import annotations
@@ -64,17 +64,17 @@
 async def listen_for_peers(
     settings: PlatformSettings, transport: PeerTransport
 ) -> PeerListener:
-    """Listen at the first free port of the range for other instances.
+    """Listen for other instances on the first free port of the configured range.
 
     Raises:
-        OSError: none of the ports can be had.
+        OSError: no port of the range is free.
     """
     first, last = settings.peer_ports
     for port in range(first, last):
         try:
             return await transport.listen(HostPort(settings.host, port))
         except OSError:
-            # Taken by the other role or the former process; the next one will do.
+            # The other role or the previous process still uses this port.
             continue
     return await transport.listen(HostPort(settings.host, last))
 
@@ -85,15 +85,15 @@
     environment: TenantSurroundings,
     peers: PeerListener,
 ) -> None:
-    """Add the links to other instances and what gathers by them."""
+    """Add the links to other instances and the gathering that uses them."""
     events = kernel.find("events", EventLog)
     metrics = kernel.find("metrics", Metrics)
     registration = kernel.find("registration", Registration)
     links = PeerLinks(peers, environment.transport, registration, events, metrics)
     life = environment.random.getrandbits(32)
     ids = IdSource(settings.instance, life)
-    # Questions to other instances cross regions: a random number names them as well as
-    # the instance's name beside it, and is shorter.
+    # Questions to other instances cross regions, so their ids are short: the random
+    # number identifies them as well as it would with the instance's name beside it.
     question_ids = IdSource("", life)
     keeper = kernel.find("keeper", RouteKeeper)
     directory = kernel.find("directory", LeafDirectory)
@@ -169,7 +169,7 @@
 def add_relay(
     kernel: Kernel, environment: TenantSurroundings, links: PeerLinks
 ) -> None:
-    """Add what passes stored changes on between instances."""
+    """Add the relay that forwards stored changes between instances."""
     registration = kernel.find("registration", Registration)
     relay = Relay(
         [
@@ -193,7 +193,7 @@
     links: PeerLinks,
     gatherers: GatheringInstances,
 ) -> Quarantines:
-    """Add what remembers requests under which leafs ended, and tells of them."""
+    """Add the quarantine of requests that crashed leaves, its gossip and its store."""
     events = kernel.find("events", EventLog)
     registration = kernel.find("registration", Registration)
     quarantine = Quarantine()
@@ -236,7 +236,7 @@
     environment: TenantSurroundings,
     listener: trio.abc.Listener[trio.abc.Stream],
 ) -> None:
-    """Add the callers' service."""
+    """Add the service that serves callers."""
     events = kernel.find("events", EventLog)
     metrics = kernel.find("metrics", Metrics)
     keeper = kernel.find("keeper", RouteKeeper)
@@ -284,13 +284,13 @@
 async def add_metrics_page(
     kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
-    """Add the page of metrics."""
+    """Add the metrics page."""
     metrics = kernel.find("metrics", Metrics)
     address = HostPort(settings.host, environment.metrics_port)
     listener = await environment.network.listen(address)
 
     async def answer(request: HttpRequest) -> HttpReply:
-        # Loaded with the first question: most instances are never asked.
+        # Loaded on the first request, as most instances never get one.
         from walkcart.kernel.exposition import CONTENT_TYPE, render_metrics
 
         headers = ((b"content-type", CONTENT_TYPE.encode()),)
--- a/walkcart/daemon/tenantstore.py
+++ b/walkcart/daemon/tenantstore.py
@@ -1,7 +1,7 @@
-"""The services of an instance that follow the shared store: routes and leafs.
+"""Assembles the services that follow the shared store: routes and leaves.
 
 See Also:
-    `walkcart.daemon.tenant.assemble_tenant`, which puts them together.
+    `walkcart.daemon.tenant.assemble_tenant`, which assembles all services.
 """
 
 from __future__ import annotations
@@ -52,20 +52,21 @@
 from walkcart.wire.peers import PeerListener
 from walkcart.wire.verdicts import NotRun
 
-#: Share of the store's rate that one instance may use at once; with seven instances
-#: that leaves more than half to the others.
+#: Share of the store's maximum rate that one instance may use. Seven instances together
+#: leave more than half to the other clients.
 STORE_SHARE = 0.05
-#: Calls at once after a quiet time: a start reads everything.
+#: Calls that may be made at once after an idle time, as a start reads everything.
 STORE_BURST = 40.0
-#: A call of the store without a reply after this has failed: it answers in
-#: milliseconds, and watches wait on top.
+#: Time without a reply after which a call to the store has failed. The store answers
+#: within milliseconds; the wait of a watch is added.
 STORE_CALL_TIMEOUT = timedelta(seconds=1)
-#: Pause after leafs' entries changed: many leafs change theirs at once when they start,
-#: and a change may take three seconds to be heeded. Meanwhile the copy ages, and those
-#: whom it feeds look for another feeder after 1.3 s.
+#: Pause after a change of leaves' entries. It batches the changes of many leaves that
+#: start together; a change may take three seconds to be in force. The pause must be below
+#: 1.3 s: instances fed by this copy look for another feeder if it is older than that.
 LEAF_UPDATE_PAUSE = timedelta(seconds=0.8)
-#: A configuration that was current longer ago than this is read anew: at six changes a
-#: second of 32 KB each a watch would bring more than a small link carries in 0.15 s.
+#: A copy of the configuration that was current longer ago than this is read again, not
+#: watched: with six changes of 32 KB per second, a watch would return more than a small
+#: link carries in 0.15 s.
 CONFIGURATION_REREAD_AGE = timedelta(seconds=1)
 STORE_MIN_BACKOFF = timedelta(seconds=0.1)
 STORE_MAX_BACKOFF = timedelta(seconds=0.8)
@@ -74,7 +75,7 @@
 def add_base(
     kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
-    """Add log, metrics and spans."""
+    """Add the event log, metrics and spans."""
     kernel.add(
         "events", EventLog(settings.instance, environment.clock, environment.log)
     )
@@ -88,7 +89,7 @@
     environment: TenantSurroundings,
     peers: PeerListener,
 ) -> None:
-    """Add the store and this instance's registration."""
+    """Add the store's client and the registration of this instance."""
     events = kernel.find("events", EventLog)
     rate = settings.store_rate * STORE_SHARE
     calls = StoreCalls(
@@ -125,14 +126,14 @@
 
 
 def make_store_backoff(random: Random) -> Backoff:
-    """Return the back-off for calls of the store."""
+    """Return the back-off for calls to the store."""
     return Backoff(STORE_MIN_BACKOFF, STORE_MAX_BACKOFF, random)
 
 
 def add_intent(
     kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
-    """Add the routing document in force and what follows it."""
+    """Add the routing document in force and the services that keep it current."""
     events = kernel.find("events", EventLog)
     regions = frozenset(settings.regions.values())
     metrics = kernel.find("metrics", Metrics)
@@ -140,7 +141,7 @@
     evacuations = Evacuations(events, metrics, frozenset(settings.regions))
 
     def apply_update(update: Update) -> None:
-        # First: whoever acts on the routes must know where nothing may go.
+        # First, as listeners of the routes must know where nothing may be sent.
         evacuations.update(read_evacuated(update.items), update.origin)
         item = update.items.get(CONFIGURATION_KEY)
         if item is None or CONFIGURATION_KEY not in update.changed:
@@ -169,7 +170,7 @@
 def add_leaves(
     kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
 ) -> None:
-    """Add the leafs, what follows them, and the pool of links."""
+    """Add the directory of leaves, the copy of their entries and the link pool."""
     events = kernel.find("events", EventLog)
     calls = kernel.find("calls", StoreCalls)
     clock = environment.clock
@@ -219,7 +220,7 @@
     directory: LeafDirectory,
     cold: ColdLimiter,
 ) -> LeafPool:
-    """Return the pool of links to leafs."""
+    """Return the pool of links to leaves."""
     pool: LeafPool | None = None
 
     def record_status(leaf: Leaf, status: LeafStatus) -> None:
--- a/walkcart/intent/tests/test_propagation.py
+++ b/walkcart/intent/tests/test_propagation.py
@@ -1,4 +1,4 @@
-"""Tests that an accepted configuration comes into force everywhere and never reverts."""
+"""Tests that an accepted configuration is in force everywhere and never reverts."""
 
 import trio
 
@@ -19,7 +19,7 @@
     )
 
 
-def list_revisions(world):
+def revisions(world):
     return [
         item.find("keeper", ConfigurationKeeper).document.revision
         for item in world.instances.values()
@@ -98,7 +98,7 @@
                     await world.wait_in_force(outcome.revision)
                 for _ in range(20):
                     await trio.sleep(0.05)
-                    lowest_revisions.append(min(list_revisions(world)))
+                    lowest_revisions.append(min(revisions(world)))
             return lowest_revisions
 
     lowest_revisions = run_mocked(run)
@@ -108,10 +108,10 @@
 def test_garbage_in_the_store_changes_nothing():
     async def run():
         async with open_estate() as world:
-            before = list_revisions(world)
+            before = revisions(world)
             world.store._set("walkcart/configuration", b"rubbish")
             await trio.sleep(3)
-            return before, list_revisions(world)
+            return before, revisions(world)
 
     before, after = run_mocked(run)
     assert before == after
--- a/walkcart/lazyimport.py
+++ b/walkcart/lazyimport.py
@@ -1,8 +1,8 @@
-"""Names and modules that are loaded on first use.
+"""Lazy loading of names and modules.
 
-An instance on the platform starts within the time of its imports and uses a part of
-the product, and a part of the libraries: a subpackage that names ten modules must not
-load all of them, nor one library all that it could be asked for.
+An instance on the platform must start fast and uses only a part of walkcart and of its
+libraries. So a subpackage doesn't load all modules that its public names come from, and
+a library doesn't load all of its optional dependencies.
 
 References:
     PEP 562, module ``__getattr__``.
@@ -21,11 +21,11 @@
 
 
 def attach_names(package: str, modules: Mapping[str, str]) -> Callable[[str], Any]:
-    """Return a module's ``__getattr__`` that loads names on first use.
+    """Return a ``__getattr__`` for a subpackage that loads names on first use.
 
     Args:
-        package: the subpackage's ``__name__``.
-        modules: for each public name, the module of the subpackage that defines it.
+        package: ``__name__`` of the subpackage.
+        modules: for each public name, the module in the subpackage that defines it.
 
     Examples:
         >>> find = attach_names("walkcart.kernel", {"read_number": "numbers"})
@@ -42,14 +42,14 @@
 
 
 def defer_modules(names: Iterable[str]) -> None:
-    """Let modules be loaded when something of them is used, not when imported.
+    """Make modules load when one of their names is first used, not when imported.
 
-    A module that is loaded already stays as it is, as does one that isn't installed.
-    Must come before the imports of those that import them. Whoever takes a name of
-    the module (``from module import name``) loads it at once.
+    Modules that are loaded already or not installed are left alone. Call this before
+    importing anything that imports the modules. ``from module import name`` loads the
+    module at once.
 
     Args:
-        names: of top-level modules.
+        names: names of top-level modules.
 
     Examples:
         >>> defer_modules(["this_is_not_installed"])
@@ -60,19 +60,19 @@
 
 
 def _make_deferred(name: str) -> ModuleType:
-    """Return a module whose code runs when the first of its names is missed."""
+    """Return a module whose code runs on the first access to a name it lacks."""
     spec = find_spec(name)
     assert spec is not None
     assert spec.loader is not None
     module = module_from_spec(spec)
     loader = spec.loader
-    # Threads that come while another one loads the module must wait for its names.
+    # Other threads must wait for the names while one thread loads the module.
     lock = RLock()
     is_loading = False
 
     def load(attribute: str) -> Any:
         nonlocal is_loading
-        # The import system asks for some of these of every module.
+        # The import system looks up such names in every module.
         if attribute.startswith("__"):
             raise AttributeError(attribute)
         with lock:
@@ -92,12 +92,12 @@
 
 
 def block_modules(names: Iterable[str]) -> None:
-    """Let imports of modules fail; one that is loaded already stays.
+    """Make imports of modules fail, except of those that are loaded already.
 
-    For modules whose importers go on without them.
+    Meant for modules whose importers have a fallback.
 
     Args:
-        names: of top-level modules.
+        names: names of top-level modules.
     """
     for name in names:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
