--- a/walkcart/cli/__init__.py
+++ b/walkcart/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' tool, ``walkcart``."""
+"""The operators' command-line tool, ``walkcart``."""
--- a/walkcart/cli/changes.py
+++ b/walkcart/cli/changes.py
@@ -1,4 +1,4 @@
-"""Commands that change the configuration, or say what a change would do."""
+"""Commands that change the configuration or preview a change."""
 
 from __future__ import annotations
 
@@ -42,22 +42,30 @@
 from walkcart.intent.validation import validate_configuration
 
 FILES = argument("files", "TOML files.", multiple=True)
-ALLOW_EMPTY = option("allow-empty", None, "Take selectors that match nothing.")
-PRUNE = option("prune", None, "Remove objects that the files lack.")
+ALLOW_EMPTY = option("allow-empty", None, "Accept selectors that match nothing.")
+PRUNE = option("prune", None, "Remove stored objects that the files lack.")
 APPLY_OPTIONS = [
-    option("wait", None, "Return when it is in force at every live instance."),
-    option("wait-seconds", None, "Longest wait.", flag=False, default="10"),
-    option("author", None, "Who changes; the user's name by default.", flag=False),
-    option("dry-run", None, "Say what would change; write nothing."),
+    option("wait", None, "Wait until the change is in force at every live instance."),
+    option(
+        "wait-seconds",
+        None,
+        "Maximum time to wait, in seconds.",
+        flag=False,
+        default="10",
+    ),
+    option(
+        "author", None, "Author of the change; the login name by default.", flag=False
+    ),
+    option("dry-run", None, "Show what would change without writing it."),
     ALLOW_EMPTY,
 ]
 
 
 def load_files(paths: list[str]) -> Configuration:
-    """Return the objects of all files.
+    """Return the merged objects of all files.
 
     Raises:
-        CommandFailed: a file can't be read or holds faults.
+        CommandFailed: files can't be read or have faults; all are listed.
     """
     merged = Configuration()
     faults: list[str] = []
@@ -76,10 +84,10 @@
 
 
 def check_configuration(configuration: Configuration, allow_empty: bool) -> None:
-    """Check a configuration.
+    """Validate a configuration.
 
     Raises:
-        CommandFailed: with all that is wrong.
+        CommandFailed: the configuration isn't valid; all problems are listed.
     """
     report = validate_configuration(configuration)
     problems = [str(fault) for fault in report.faults]
@@ -93,13 +101,13 @@
     """``walkcart validate``."""
 
     name = "validate"
-    description = "Checks files without touching anything."
+    description = "Validates files without changing anything."
     arguments = [FILES]
     options = [*COMMON_OPTIONS, ALLOW_EMPTY]
     help = "Example: walkcart validate examples/swapline.toml"
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Check the files on their own."""
+        """Validate the files without the stored configuration."""
         check_configuration(
             load_files(self.argument("files")), self.option("allow-empty")
         )
@@ -117,7 +125,7 @@
     help = "Example: walkcart diff examples/swapline.toml --output json"
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Compare the files with the store."""
+        """Compare the files with the stored configuration."""
         update = load_files(self.argument("files"))
         document = run(lambda: fetch_document(settings))
         base = document.configuration
@@ -129,7 +137,7 @@
 def show_differences(
     command: ToolCommand, settings: ToolSettings, found: tuple[Difference, ...]
 ) -> None:
-    """Print differences, a row for each object or changed field."""
+    """Print differences with one row for each object or changed field."""
     rows = []
     for difference in found:
         if not difference.fields:
@@ -140,10 +148,10 @@
 
 
 class ChangeCommand(ToolCommand):
-    """Base of the commands that apply an edit."""
+    """Base class of the commands that apply an edit."""
 
     def apply(self, settings: ToolSettings, edit: Edit) -> Exit:
-        """Apply `edit` and tell the outcome."""
+        """Apply `edit`, or preview it with ``--dry-run``, and print the outcome."""
         if self.option("dry-run"):
             return self._dry_run(settings, edit)
         author = self.option("author") or getpass.getuser()
@@ -204,7 +212,7 @@
     """``walkcart apply``."""
 
     name = "apply"
-    description = "Brings the objects of files into force."
+    description = "Applies the objects of files to the stored configuration."
     arguments = [FILES]
     options = [*COMMON_OPTIONS, *APPLY_OPTIONS, PRUNE]
     help = "Example: walkcart apply examples/swapline.toml --wait"
@@ -222,11 +230,15 @@
     """``walkcart label``."""
 
     name = "label"
-    description = "Sets or removes labels of an object, or of leaves by selector."
+    description = (
+        "Sets or removes labels of an object or of the leaves that a selector matches."
+    )
     arguments = [
-        argument("kind", "service, partner, shard_group or leaf."),
-        argument("target", "A name; for leaves a selector."),
-        argument("labels", "key=value sets, key- removes.", multiple=True),
+        argument("kind", "One of service, partner, shard_group, leaf."),
+        argument("target", "Name of the object; for leaves a selector."),
+        argument(
+            "labels", "key=value to set a label, key- to remove one.", multiple=True
+        ),
     ]
     options = [*COMMON_OPTIONS, *APPLY_OPTIONS]
     help = (
@@ -235,7 +247,7 @@
     )
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Change labels."""
+        """Change the labels of one object or of leaves."""
         kind, target = self.argument("kind"), self.argument("target")
         added, removed = read_labels(self.argument("labels"))
         if kind == "leaf":
@@ -251,17 +263,17 @@
     """``walkcart drain``."""
 
     name = "drain"
-    description = "Stops new work to the leaves that a selector matches."
-    arguments = [argument("selector", "Leaves.")]
+    description = "Stops sending new work to the leaves that a selector matches."
+    arguments = [argument("selector", "Selector of the leaves.")]
     options = [
         *COMMON_OPTIONS,
         *APPLY_OPTIONS,
-        option("end", None, "Take the drain back."),
+        option("end", None, "End the drain."),
     ]
     help = "Example: walkcart drain 'data-centre=hobart-a' --wait"
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Drain, or end a drain."""
+        """Start or end a drain."""
         selector = self.argument("selector")
         check_selector(selector)
         edit = end_drain(selector) if self.option("end") else drain_leaves(selector)
@@ -269,10 +281,10 @@
 
 
 def check_selector(text: str) -> None:
-    """Check a selector.
+    """Check that `text` is a valid selector and not empty.
 
     Raises:
-        CommandFailed: it isn't one, or it is empty.
+        CommandFailed: the selector is invalid or empty.
     """
     try:
         parse_selector(text)
--- a/walkcart/cli/clients.py
+++ b/walkcart/cli/clients.py
@@ -1,4 +1,4 @@
-"""How the tool reaches the store and the instances."""
+"""Clients with which the tool reaches the store and the instances."""
 
 from __future__ import annotations
 
@@ -27,17 +27,18 @@
 from walkcart.wire.network import TcpNetwork
 
 T = TypeVar("T")
+#: Timeout of a request to an instance, in seconds.
 CALL_TIMEOUT = 15.0
 MAX_BODY_BYTES = 16 << 20
-#: How long the tool waits out an outage of the store.
+#: Time after which the tool gives up on a store that is unavailable.
 OUTAGE_TIMEOUT = timedelta(seconds=10)
 
 
 def run(action: Callable[[], Awaitable[T]]) -> T:
-    """Run an action in trio.
+    """Run an asynchronous action with trio and return its result.
 
     Raises:
-        CommandFailed: it can't be done.
+        CommandFailed: the store is unavailable or its configuration unreadable.
     """
     try:
         return trio.run(action)
@@ -66,7 +67,7 @@
 
 
 def make_applier(settings: ToolSettings) -> Applier:
-    """Return what brings changes into the store."""
+    """Return an applier of changes to the stored configuration."""
     backoff = Backoff(timedelta(seconds=0.1), timedelta(seconds=1), Random())
     return Applier(make_store(settings), TrioClock(), backoff, OUTAGE_TIMEOUT)
 
@@ -85,10 +86,10 @@
     headers: tuple[tuple[bytes, bytes], ...] = (),
     body: bytes = b"",
 ) -> HttpReply:
-    """Send one request to the instance.
+    """Send one request to the instance that the settings name.
 
     Raises:
-        CommandFailed: there is no reply.
+        CommandFailed: the instance gave no reply.
     """
     own = (
         (b"authorization", f"Bearer {token}".encode()),
@@ -109,10 +110,10 @@
 
 
 async def fetch_json(settings: ToolSettings, target: str) -> Any:
-    """Return what an instance tells operators.
+    """Return the decoded JSON reply of an instance's operator interface.
 
     Raises:
-        CommandFailed: it refuses or doesn't answer.
+        CommandFailed: the instance refuses the request or doesn't answer.
     """
     reply = await call_instance(settings, "GET", target, settings.token)
     content = msgspec.json.decode(reply.body)
--- a/walkcart/cli/command.py
+++ b/walkcart/cli/command.py
@@ -1,4 +1,4 @@
-"""What the tool's commands share."""
+"""Base class and options of the tool's commands."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from walkcart.cli.settings import DEFAULTS, ToolSettings, read_tool_settings
 
 COMMON_OPTIONS = [
-    option("store", None, "Key-value service, IP:port.", flag=False),
-    option("instance", None, "Any walkcart instance, IP:port.", flag=False),
-    option("token", None, "The operators' credential at instances.", flag=False),
-    option("partner-token", None, "A partner's credential, for query.", flag=False),
-    option("output", None, "table or json.", flag=False),
+    option("store", None, "Address of the key-value service, IP:port.", flag=False),
+    option("instance", None, "Address of any walkcart instance, IP:port.", flag=False),
+    option("token", None, "Operator token for instances.", flag=False),
+    option("partner-token", None, "Token of a partner, for query.", flag=False),
+    option("output", None, "Output format: table or json.", flag=False),
 ]
 
 
 class ToolCommand(Command):
-    """A command whose failures become lines and an exit code."""
+    """Base class of commands, which prints failures and sets the exit code."""
 
     def handle(self) -> int:
         """Run the command; return its exit code."""
@@ -34,10 +34,10 @@
             return int(error.code)
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Do the work.
+        """Perform the command and return its exit code.
 
         Raises:
-            CommandFailed: it can't be done.
+            CommandFailed: the command can't be performed.
         """
         raise NotImplementedError
 
@@ -55,5 +55,5 @@
             self.write_plain(render_table(header, rows))
 
     def write_plain(self, text: str) -> None:
-        """Print a text in which nothing is markup."""
+        """Print a text literally, without markup."""
         print(text)
--- a/walkcart/cli/edits.py
+++ b/walkcart/cli/edits.py
@@ -1,4 +1,4 @@
-"""Edits of a configuration that the tool's commands make."""
+"""Edits of the configuration that the tool's commands make."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 from walkcart.intent.selectors import KEY_PATTERN, VALUE_PATTERN
 
 Edit = Callable[[Configuration], Configuration]
+#: Priority of the intents that drain leaves.
 DRAIN_PRIORITY = 1000
+#: Kinds of objects whose labels can be changed.
 LABELLED_KINDS = ("service", "partner", "shard_group")
 
 
 def read_labels(words: list[str]) -> tuple[dict[str, str], list[str]]:
-    """Return labels to set, from ``key=value``, and to remove, from ``key-``.
+    """Return the labels to set, given as ``key=value``, and to remove, as ``key-``.
 
     Raises:
-        CommandFailed: a word is neither.
+        CommandFailed: a word has neither form.
     """
     added: dict[str, str] = {}
     removed: list[str] = []
@@ -37,7 +39,7 @@
 def label_object(
     kind: str, name: str, added: dict[str, str], removed: list[str]
 ) -> Edit:
-    """Return the edit that changes the labels of one object."""
+    """Return an edit that changes the labels of one object."""
 
     def edit(base: Configuration) -> Configuration:
         place = KINDS[kind][1]
@@ -56,7 +58,7 @@
 
 
 def label_leaves(selector: str, added: dict[str, str], removed: list[str]) -> Edit:
-    """Return the edit that labels the leaves that a selector matches."""
+    """Return an edit that changes the labels of the leaves that a selector matches."""
     name = make_object_name("labels", selector)
 
     def edit(base: Configuration) -> Configuration:
@@ -73,7 +75,7 @@
 
 
 def drain_leaves(selector: str) -> Edit:
-    """Return the edit after which matching leaves get no new work."""
+    """Return an edit that stops new work for the leaves that a selector matches."""
     intent = RoutingIntent(
         make_object_name("drain", selector), "", DRAIN_PRIORITY, exclude=selector
     )
@@ -87,7 +89,7 @@
 
 
 def end_drain(selector: str) -> Edit:
-    """Return the edit that undoes `drain_leaves`."""
+    """Return an edit that undoes `drain_leaves`."""
     name = make_object_name("drain", selector)
 
     def edit(base: Configuration) -> Configuration:
@@ -101,7 +103,7 @@
 
 
 def make_object_name(purpose: str, selector: str) -> str:
-    """Return the name of the object that a selector's command makes."""
+    """Return the name of the object that a command creates for a selector."""
     digest = blake2b(selector.encode(), digest_size=5).hexdigest()
     return f"{purpose}-{digest}"
 
--- a/walkcart/cli/exits.py
+++ b/walkcart/cli/exits.py
@@ -6,7 +6,7 @@
 
 
 class Exit(IntEnum):
-    """How a command ended."""
+    """Exit code of a command."""
 
     OK = 0
     FAILED = 1
@@ -18,11 +18,11 @@
 
 
 class CommandFailed(Exception):
-    """A command can't do what it was asked.
+    """A command can't be performed.
 
     Args:
-        code: its exit code.
-        lines: what the operator is told.
+        code: exit code of the tool.
+        lines: lines of the error message for the operator.
     """
 
     def __init__(self, code: Exit, *lines: str) -> None:
--- a/walkcart/cli/lossaccount.py
+++ b/walkcart/cli/lossaccount.py
@@ -1,7 +1,7 @@
-"""Counts of lost requests by second, route, outcome and cause, bounded in memory.
+"""Counts lost requests by time, route, outcome and cause in bounded memory.
 
 See Also:
-    `walkcart.cli.losscauses`, which judges single lines.
+    `walkcart.cli.losscauses`, which classifies single lines.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 
 from walkcart.cli.losscauses import Cause, InstanceHistory, Outcome, RequestEnd
 
-#: Different counts that are kept; past it seconds are joined two by two.
+#: Maximum number of counters; beyond it, each two adjacent time steps are merged.
 MAX_COUNTS = 50_000
-#: Instances whose earlier lines are remembered.
+#: Maximum number of instances whose earlier lines are remembered.
 MAX_INSTANCES = 2_000
-#: Outcomes by what they take from the caller, the worst first.
+#: Outcomes other than good, the worst for the caller first.
 WORST_FIRST = (Outcome.FAILED, Outcome.REFUSED, Outcome.LATE, Outcome.PARTIAL)
 
 
 @dataclass(frozen=True, slots=True)
 class LossRow:
-    """Requests that were lost in the same way.
+    """Number of requests that were lost in the same way.
 
     Args:
-        second: since the first line, where the span of time begins.
-        route: of the requests.
-        outcome: what their callers lost.
-        cause: why.
-        requests: how many.
+        second: start of the time step, in seconds since the first lost request.
+        route: route of the requests.
+        outcome: how the requests ended.
+        cause: why the requests were lost.
+        requests: number of the requests.
     """
 
     second: float
@@ -45,10 +45,11 @@
 
 
 class LossAccount:
-    """Reads lines and counts what was lost.
+    """Reads log lines and counts lost requests.
 
     Args:
-        step: seconds that are counted together, at least.
+        step: initial length of a time step, in seconds; it is doubled when there are
+            too many counters.
     """
 
     def __init__(self, step: float = 1.0) -> None:
@@ -61,7 +62,7 @@
         self._histories: dict[str, InstanceHistory] = {}
 
     def read(self, lines: Iterable[str]) -> None:
-        """Take the lines of one log, whatever a collector put before the JSON."""
+        """Read the lines of one log; anything before the JSON of a line is skipped."""
         for text in lines:
             if text.strip():
                 self._read_line(text)
@@ -107,12 +108,12 @@
 
     @property
     def lost(self) -> int:
-        """Requests that weren't good."""
+        """Number of requests with another outcome than good."""
         return sum(self._counts.values())
 
     @property
     def explained(self) -> float:
-        """Share of the lost requests whose cause is known; 1 when none was lost."""
+        """Share of the lost requests whose cause is known; 1 if none was lost."""
         if not self._counts:
             return 1.0
         unknown = sum(
@@ -121,10 +122,10 @@
         return 1 - unknown / self.lost
 
     def rows(self, by_second: bool) -> list[LossRow]:
-        """Return the counts, by second or the most frequent first.
+        """Return the counts by time step, or in total with the most frequent first.
 
         Args:
-            by_second: whether each span of time has rows of its own.
+            by_second: whether each time step has rows of its own.
         """
         counts: Counter[tuple[int, str, Outcome, Cause]] = Counter()
         for (place, *rest), count in self._counts.items():
--- a/walkcart/cli/losscauses.py
+++ b/walkcart/cli/losscauses.py
@@ -1,12 +1,12 @@
-"""Why a request was late, partial, refused or failed, from its line in the log.
+"""Finds out from the log why a request was late, partial, refused or failed.
 
-Decisions over lines, without files or output. A line names most causes itself; what it
-leaves open is told from earlier lines of the same instance: a peer that was lost with a
-question, a leaf that was unreachable or ejected shortly before.
+This module classifies lines; it reads no files and prints nothing. Most lines name the
+cause themselves. Otherwise earlier lines of the same instance tell it: a peer that was
+lost while it gathered, or a leaf that was unreachable or ejected shortly before.
 
 See Also:
     `walkcart.cli.losses`, the command.
-    ``docs/OPERATIONS.md``, the way from an id to its cause by hand.
+    ``docs/OPERATIONS.md``, how to find a request's cause by hand.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from walkcart.kernel.events import Events
 from walkcart.wire.verdicts import Reason
 
-#: Questions and leafs that are remembered of each instance.
+#: Maximum number of entries of each kind remembered per instance.
 MAX_REMEMBERED = 10_000
-#: Seconds for which a leaf that was unreachable or ejected counts as the cause: such a
-#: leaf is tried again after some seconds.
+#: Seconds for which a leaf counts as the cause after it was unreachable or ejected; it
+#: is tried again after some seconds.
 UNREACHABLE_TIME = 10.0
 
 
 class Outcome(Enum):
-    """What the caller lost."""
+    """How a request ended for its caller."""
 
     GOOD = "good"
     LATE = "late"
@@ -38,7 +38,7 @@
 
 
 class Cause(Enum):
-    """Why, in an operator's words."""
+    """Why a request was lost, worded for operators."""
 
     NONE = "none"
     SLOW_LEAF = "a leaf was slow, paused or its queue long"
@@ -63,7 +63,7 @@
     UNKNOWN = "not told by the log"
 
 
-#: What a reason in the log comes to.
+#: Cause for each reason that the log can give.
 CAUSES = {
     Reason.DEADLINE.value: Cause.SLOW_LEAF,
     Reason.COVERAGE.value: Cause.SLOW_LEAF,
@@ -87,11 +87,11 @@
     Reason.STOPPING.value: Cause.STOPPING,
     Reason.INTERNAL.value: Cause.OWN_FAULT,
 }
-#: Causes that an unreachable leaf of the service explains better.
+#: Causes that are replaced by an unreachable leaf of the service, if there was one.
 _MAY_BE_UNREACHABLE = frozenset(
     {Cause.SLOW_LEAF, Cause.NO_CONNECTION, Cause.LEAF_FAILED}
 )
-#: Causes that a lost instance explains better.
+#: Causes that are replaced by a lost gathering instance, if there was one.
 _MAY_BE_LOST_INSTANCE = frozenset({Cause.NO_CONNECTION, Cause.SLOW_LEAF})
 
 
@@ -100,10 +100,10 @@
     """How one request ended.
 
     Args:
-        time: of the line, in seconds.
-        route: its name; the host where no route was found.
-        outcome: what the caller lost.
-        cause: why.
+        time: time of the log line, in seconds since the epoch.
+        route: name of the route; the host if no route was found.
+        outcome: how the request ended for its caller.
+        cause: why the request was lost.
     """
 
     time: float
@@ -113,16 +113,16 @@
 
 
 class InstanceHistory:
-    """What earlier lines of one instance said, bounded."""
+    """What earlier log lines of one instance tell, in bounded memory."""
 
     def __init__(self) -> None:
         self._lost_requests: OrderedDict[str, None] = OrderedDict()
-        #: Service by id and by address of a leaf.
+        #: Service of each leaf, by the leaf's id and by its address.
         self._services: OrderedDict[str, str] = OrderedDict()
         self._unreachable_at: OrderedDict[str, float] = OrderedDict()
 
     def process_line(self, line: Mapping[str, Any], time: float) -> RequestEnd | None:
-        """Take a line; return how a request ended if that is what it says."""
+        """Process a line; return a request's end if the line reports one."""
         match line.get("number"):
             case Events.DELEGATE_LOST.number:
                 _set_bounded(self._lost_requests, str(line.get("request")), None)
@@ -151,7 +151,7 @@
         if outcome is not Outcome.GOOD:
             cause = self._find_cause(line, time, Reason.DEADLINE.value)
         if cause is Cause.CALLER_GONE:
-            # Its caller has an answer: the attempt was given up when that left.
+            # The caller got an answer; only the attempt was cancelled when it was sent.
             cause = Cause.SLOW_LEAF
         return RequestEnd(time, str(line.get("route")), outcome, cause)
 
@@ -163,7 +163,7 @@
         return RequestEnd(time, route, outcome, cause)
 
     def _find_cause(self, line: Mapping[str, Any], time: float, reason: str) -> Cause:
-        """Return the cause that explains most of what is missing."""
+        """Return the cause of most of the missing parts, else that of the reason."""
         missing: Mapping[str, str] = line.get("missing") or {}
         found = [CAUSES.get(item, Cause.UNKNOWN) for item in missing.values()]
         cause = CAUSES.get(reason, Cause.UNKNOWN)
--- a/walkcart/cli/losses.py
+++ b/walkcart/cli/losses.py
@@ -1,4 +1,4 @@
-"""The command that says where requests were lost, from the logs of instances."""
+"""The command that reports lost requests from the logs of instances."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from walkcart.cli.lossaccount import LossAccount, LossRow
 from walkcart.cli.settings import ToolSettings
 
-#: Stands for standard input among the logs.
+#: Argument that stands for standard input.
 STANDARD_INPUT = "-"
 
 
@@ -22,12 +22,12 @@
     """``walkcart losses``."""
 
     name = "losses"
-    description = "Says by route and cause which requests were late or lost, from logs."
+    description = "Reports late and lost requests by route and cause, from logs."
     arguments = [argument("logs", "Log files, or - for standard input.", multiple=True)]
     options = [
         *COMMON_OPTIONS,
-        option("by-second", None, "A row for each second."),
-        option("step", None, "Seconds that are counted together.", flag=False),
+        option("by-second", None, "Print separate rows for each time step."),
+        option("step", None, "Length of a time step in seconds.", flag=False),
         option(
             "plot",
             None,
@@ -40,7 +40,7 @@
     )
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Read the logs and print what was lost."""
+        """Read the logs and print the lost requests."""
         account = LossAccount(self._read_step())
         for name in self.argument("logs"):
             account.read(_read_lines(name))
@@ -106,7 +106,7 @@
 
 
 def _draw(account: LossAccount, path: Path) -> None:
-    """Draw the lost requests by second and cause."""
+    """Plot the lost requests by time step and cause into a file."""
     try:
         from matplotlib.figure import Figure
     except ImportError:
--- a/walkcart/cli/settings.py
+++ b/walkcart/cli/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the tool: options, then ``WALKCART_TOOL_*`` variables, then defaults."""
+"""Settings of the tool from options, ``WALKCART_TOOL_*`` variables or defaults."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ToolSettings:
-    """Where the tool finds things and how it prints.
+    """Addresses, credentials and output format of the tool.
 
     Args:
-        store: the platform's key-value service.
-        instance: any walkcart instance.
-        token: the operators' credential at instances.
-        partner_token: a partner's credential, for ``query``.
-        output: ``table`` or ``json``.
+        store: address of the platform's key-value service.
+        instance: address of any walkcart instance.
+        token: operator token for instances.
+        partner_token: token of a partner, for ``query``.
+        output: output format, ``table`` or ``json``.
     """
 
     store: HostPort
@@ -42,10 +42,10 @@
 def read_tool_settings(
     options: Mapping[str, str | None], environment: Mapping[str, str]
 ) -> ToolSettings:
-    """Return the settings in force.
+    """Return the tool's settings: options override variables, these the defaults.
 
     Raises:
-        CommandFailed: with all values that can't be taken.
+        CommandFailed: values are invalid; all are listed.
     """
     faults: list[str] = []
     texts = {name: _find_text(name, options, environment) for name in DEFAULTS}
--- a/walkcart/cli/views.py
+++ b/walkcart/cli/views.py
@@ -1,4 +1,4 @@
-"""Commands that show things: objects, instances, services, answers."""
+"""Commands that show objects, instances, services and answers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     description = "Shows stored objects, or the last changes."
     arguments = [
         argument("kind", f"One of {', '.join(KINDS)}.", optional=True),
-        argument("name", "Of the object.", optional=True),
+        argument("name", "Name of the object.", optional=True),
     ]
     options = [
         *COMMON_OPTIONS,
@@ -32,7 +32,7 @@
     help = "Examples: walkcart get service; walkcart get --changes --output json"
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Read the store."""
+        """Read the stored configuration and print objects or changes of it."""
         document = run(lambda: fetch_document(settings))
         if self.option("changes"):
             return self._show_changes(settings, document)
@@ -69,12 +69,12 @@
     """``walkcart status``."""
 
     name = "status"
-    description = "Shows the instances as one of them sees them."
+    description = "Shows all instances as seen by one of them."
     options = COMMON_OPTIONS
     help = "Example: walkcart status --instance 127.0.0.1:7000"
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Ask an instance."""
+        """Ask an instance for its members and print them."""
         status = run(lambda: fetch_json(settings, "/v1/status"))
         header = ["name", "state", "revision", "region", "data_centre", "address"]
         rows = [[member[name] for name in header] for member in status["members"]]
@@ -86,13 +86,13 @@
     """``walkcart explain``."""
 
     name = "explain"
-    description = "Says which intents apply to a service and which leaves it uses."
-    arguments = [argument("service", "Its name.")]
+    description = "Shows which intents apply to a service and which leaves it uses."
+    arguments = [argument("service", "Name of the service.")]
     options = COMMON_OPTIONS
     help = "Example: walkcart explain pack-finder"
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Ask an instance."""
+        """Ask an instance for the service's policy and leaves and print them."""
         target = f"/v1/services/{self.argument('service')}/explain"
         found = run(lambda: fetch_json(settings, target))
         if settings.output == "table":
@@ -125,20 +125,27 @@
     """``walkcart query``."""
 
     name = "query"
-    description = "Asks a service as a partner would."
+    description = "Queries a service as a partner would."
     arguments = [
-        argument("service", "Its name."),
-        argument("query", "JSON that each leaf is asked."),
+        argument("service", "Name of the service."),
+        argument("query", "Query as JSON, which is sent to each leaf."),
     ]
     options = [
         *COMMON_OPTIONS,
-        option("deadline-ms", None, "Time for the reply.", flag=False),
-        option("least-coverage", None, "Share of the shards, 0 to 1.", flag=False),
+        option(
+            "deadline-ms", None, "Timeout of the reply in milliseconds.", flag=False
+        ),
+        option(
+            "least-coverage",
+            None,
+            "Minimum share of the shards that the answer covers, 0 to 1.",
+            flag=False,
+        ),
     ]
     help = """Example: walkcart query pack-finder '{"near": "hobart"}'"""
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Ask through the instance."""
+        """Send the query through an instance and print the answer."""
         headers = []
         for name in ("deadline-ms", "least-coverage"):
             value = self.option(name)
--- a/walkcart/cli/waiting.py
+++ b/walkcart/cli/waiting.py
@@ -1,4 +1,4 @@
-"""What follows an applied change: the conflict told, or the wait for its force."""
+"""Describes conflicts of changes and waits until a change is in force."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from walkcart.intent.applying import Raced
 from walkcart.kernel.settings import parse_host_port
 
+#: Seconds between two checks of the instances.
 WAIT_INTERVAL = 0.1
-#: Instances that are asked at once for their revision.
+#: Maximum number of instances asked concurrently for their revision.
 MAX_CONCURRENT_REQUESTS = 32
 
 
 def describe_conflict(conflict: Raced) -> list[str]:
-    """Return lines that show both sides of a conflict."""
+    """Return lines that describe both sides of a conflict."""
     change = conflict.change
     lines = [
         f"conflict: revision {change.revision} by {change.author} at {change.time} "
@@ -38,9 +39,14 @@
 async def wait_in_force(
     settings: ToolSettings, revision: int, limit: float
 ) -> list[str]:
-    """Wait until every live instance has `revision`; return those that haven't.
+    """Wait until every live instance has `revision`; return those without it.
 
-    Each instance is asked itself: what one hears of another's revision is late.
+    Each instance is asked itself, as one learns of another's revision with a delay.
+
+    Args:
+        settings: settings of the tool.
+        revision: revision to wait for.
+        limit: maximum time to wait, in seconds.
     """
     behind = ["the instance that was asked"]
     with trio.move_on_after(limit):
@@ -57,7 +63,7 @@
 async def find_behind(
     settings: ToolSettings, members: list[dict], revision: int
 ) -> list[str]:
-    """Return the names of the members that don't have `revision` yet."""
+    """Return the names of the instances that don't have `revision` yet."""
     behind: list[str] = []
     limit = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
 
--- a/walkcart/daemon/__init__.py
+++ b/walkcart/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon, ``walkcartd``: one instance."""
+"""The daemon ``walkcartd``, which runs one instance."""
 
 from walkcart.lazyimport import attach_names
 
--- a/walkcart/daemon/main.py
+++ b/walkcart/daemon/main.py
@@ -34,8 +34,8 @@
     """Run the daemon.
 
     Returns:
-        0 after a graceful stop, 1 if the daemon can't run or its stop was cut short,
-        2 for invalid settings.
+        0 after a graceful stop, 1 if the daemon can't run or its stop ended before all
+        work in progress, 2 for invalid settings.
     """
     if any(flag in arguments for flag in HELP_FLAGS):
         _print_help()
--- a/walkcart/daemon/tenantstore.py
+++ b/walkcart/daemon/tenantstore.py
@@ -61,8 +61,8 @@
 #: within milliseconds; the wait of a watch is added.
 STORE_CALL_TIMEOUT = timedelta(seconds=1)
 #: Pause after a change of leaves' entries. It batches the changes of many leaves that
-#: start together; a change may take three seconds to be in force. The pause must be below
-#: 1.3 s: instances fed by this copy look for another feeder if it is older than that.
+#: start together; a change may take three seconds to be in force. The pause is below
+#: 1.3 s, as instances fed by this copy turn to another feeder if it is older than that.
 LEAF_UPDATE_PAUSE = timedelta(seconds=0.8)
 #: A copy of the configuration that was current longer ago than this is read again, not
 #: watched: with six changes of 32 KB per second, a watch would return more than a small
--- a/walkcart/lazyimport.py
+++ b/walkcart/lazyimport.py
@@ -1,8 +1,8 @@
 """Lazy loading of names and modules.
 
 An instance on the platform must start fast and uses only a part of walkcart and of its
-libraries. So a subpackage doesn't load all modules that its public names come from, and
-a library doesn't load all of its optional dependencies.
+libraries. So a subpackage with public names from ten modules mustn't load all of them,
+nor a library all modules for uses that an instance doesn't have.
 
 References:
     PEP 562, module ``__getattr__``.
