--- a/walkcart/cli/changes.py
+++ b/walkcart/cli/changes.py
@@ -54,9 +54,9 @@
         default="10",
     ),
     option(
-        "author", None, "Author of the change; the login name by default.", flag=False
+        "author", None, "Who makes the changes; the login name by default.", flag=False
     ),
-    option("dry-run", None, "Show what would change without writing it."),
+    option("dry-run", None, "Show what would change; write nothing."),
     ALLOW_EMPTY,
 ]
 
@@ -235,7 +235,7 @@
     )
     arguments = [
         argument("kind", "One of service, partner, shard_group, leaf."),
-        argument("target", "Name of the object; for leaves a selector."),
+        argument("target", "A name; for leaves a selector."),
         argument(
             "labels", "key=value to set a label, key- to remove one.", multiple=True
         ),
@@ -264,11 +264,11 @@
 
     name = "drain"
     description = "Stops sending new work to the leaves that a selector matches."
-    arguments = [argument("selector", "Selector of the leaves.")]
+    arguments = [argument("selector", "Leaves.")]
     options = [
         *COMMON_OPTIONS,
         *APPLY_OPTIONS,
-        option("end", None, "End the drain."),
+        option("end", None, "End the drain instead."),
     ]
     help = "Example: walkcart drain 'data-centre=hobart-a' --wait"
 
--- a/walkcart/cli/command.py
+++ b/walkcart/cli/command.py
@@ -15,7 +15,7 @@
 COMMON_OPTIONS = [
     option("store", None, "Address of the key-value service, IP:port.", flag=False),
     option("instance", None, "Address of any walkcart instance, IP:port.", flag=False),
-    option("token", None, "Operator token for instances.", flag=False),
+    option("token", None, "Operators' token at instances.", flag=False),
     option("partner-token", None, "Token of a partner, for query.", flag=False),
     option("output", None, "Output format: table or json.", flag=False),
 ]
--- a/walkcart/cli/views.py
+++ b/walkcart/cli/views.py
@@ -128,7 +128,7 @@
     description = "Queries a service as a partner would."
     arguments = [
         argument("service", "Name of the service."),
-        argument("query", "Query as JSON, which is sent to each leaf."),
+        argument("query", "Query as JSON that each leaf is sent."),
     ]
     options = [
         *COMMON_OPTIONS,
