--- a/walkcart/cli/tests/running.py
+++ b/walkcart/cli/tests/running.py
@@ -1,11 +1,11 @@
-"""Runs the operators' tool as a process of its own."""
+"""Runs the operators' tool in a separate process."""
 
 import subprocess
 import sys
 
 
 def run_alone(*words):
-    """Return how the tool ended, with what it printed."""
+    """Run the tool with arguments; return the completed process with its output."""
     return subprocess.run(
         [sys.executable, "-m", "walkcart.cli.main", *words],
         capture_output=True,
--- a/walkcart/cli/tests/test_losses.py
+++ b/walkcart/cli/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost, from the lines of the log."""
+"""Tests of the report of lost requests from log lines."""
 
 import json
 
@@ -23,8 +23,8 @@
     return {"time": time, "instance": instance, "number": event.number, **fields}
 
 
-def judge(*lines):
-    """Return how the last of the lines says that a request ended."""
+def classify(*lines):
+    """Return outcome and cause of the request that the last of the lines reports."""
     memory = InstanceHistory()
     end = None
     for number, line in enumerate(lines):
@@ -60,8 +60,8 @@
         ({"ms": 9, "missing": {"a": "a new reason"}}, Outcome.PARTIAL, Cause.UNKNOWN),
     ],
 )
-def test_an_answer_says_what_was_lost(fields, outcome, cause):
-    assert judge(make_line(DONE, route="r", **fields)) == (outcome, cause)
+def test_outcome_and_cause_of_an_answered_request(fields, outcome, cause):
+    assert classify(make_line(DONE, route="r", **fields)) == (outcome, cause)
 
 
 @pytest.mark.parametrize(
@@ -89,35 +89,35 @@
         ),
     ],
 )
-def test_a_failure_says_whether_it_may_have_run(fields, outcome, cause):
-    assert judge(make_line(UNSERVED, host="h", **fields)) == (outcome, cause)
+def test_outcome_and_cause_of_an_unserved_request(fields, outcome, cause):
+    assert classify(make_line(UNSERVED, host="h", **fields)) == (outcome, cause)
 
 
-def test_a_question_whose_gatherer_was_lost_is_told_by_its_id():
+def test_lost_gathering_instance_is_found_by_the_id_of_the_request():
     late = make_line(DONE, request="q", ms=9, missing={"a": "unreachable"})
     lost = make_line(Events.DELEGATE_LOST, request="q", peer="two")
-    assert judge(lost, late) == (Outcome.PARTIAL, Cause.LOST_INSTANCE)
-    assert judge(late) == (Outcome.PARTIAL, Cause.NO_CONNECTION)
+    assert classify(lost, late) == (Outcome.PARTIAL, Cause.LOST_INSTANCE)
+    assert classify(late) == (Outcome.PARTIAL, Cause.NO_CONNECTION)
 
 
-def test_a_dark_leaf_explains_what_its_service_lacks_for_a_while():
+def test_unreachable_leaf_is_the_cause_of_missing_parts_for_a_while():
     added = make_line(Events.LEAF_ADDED, leaf="i-1", service="a", address="10.0.0.1:1")
     dark = make_line(Events.LEAF_UNREACHABLE, leaf="10.0.0.1:1", at=1.0)
     failed = {"reason": "deadline", "ran": "MayHaveRun", "missing": {"a": "deadline"}}
     soon = make_line(UNSERVED, at=2.0, **failed)
     later = make_line(UNSERVED, at=2.0 + UNREACHABLE_TIME, **failed)
-    assert judge(added, dark, soon) == (Outcome.FAILED, Cause.DARK_LEAF)
-    assert judge(added, dark, later) == (Outcome.FAILED, Cause.SLOW_LEAF)
+    assert classify(added, dark, soon) == (Outcome.FAILED, Cause.DARK_LEAF)
+    assert classify(added, dark, later) == (Outcome.FAILED, Cause.SLOW_LEAF)
 
 
-def test_what_is_remembered_is_bounded():
+def test_number_of_remembered_requests_is_bounded():
     memory = InstanceHistory()
     for number in range(MAX_REMEMBERED + 100):
         memory.process_line(make_line(Events.DELEGATE_LOST, request=str(number)), 0.0)
     assert len(memory._lost_requests) == MAX_REMEMBERED
 
 
-def test_many_different_losses_are_counted_in_longer_steps(monkeypatch):
+def test_too_many_counters_lead_to_longer_time_steps(monkeypatch):
     monkeypatch.setattr("walkcart.cli.lossaccount.MAX_COUNTS", 100)
     assert MAX_COUNTS > 100
     account = LossAccount()
@@ -129,7 +129,7 @@
     assert len(account.rows(by_second=True)) <= 101
 
 
-def test_lines_that_cannot_be_used_are_counted():
+def test_unusable_and_dropped_lines_are_counted():
     account = LossAccount()
     account.read(
         [
@@ -170,14 +170,14 @@
     assert [(row["second"], row["requests"]) for row in rows] == [(0.0, 2), (2.0, 1)]
 
 
-def test_the_command_draws(tmp_path):
+def test_the_command_writes_a_plot(tmp_path):
     pytest.importorskip("matplotlib")
     path = tmp_path / "losses.png"
     assert run_tool(tmp_path, "--plot", str(path)).returncode == Exit.OK
     assert path.read_bytes().startswith(b"\x89PNG")
 
 
-def test_bad_calls_get_a_clear_error(tmp_path):
+def test_invalid_arguments_give_a_clear_error(tmp_path):
     ended = run_tool(tmp_path, "--step", "never")
     assert ended.returncode == Exit.USAGE
     assert "expected seconds above 0" in ended.stderr
--- a/walkcart/cli/tests/test_tool.py
+++ b/walkcart/cli/tests/test_tool.py
@@ -1,4 +1,4 @@
-"""The operators' tool against real processes."""
+"""Tests of the operators' tool against daemons in separate processes."""
 
 import json
 
@@ -37,7 +37,7 @@
     return str(path)
 
 
-def test_validate_tells_all_faults(fleet):
+def test_validate_reports_all_faults(fleet):
     path = write(fleet, '[[service]]\nname = "x"\n[[robot]]\nname = "y"\n')
     ended = run_alone("validate", path)
     assert ended.returncode == Exit.INVALID
@@ -46,7 +46,7 @@
     assert "Traceback" not in ended.stderr
 
 
-def test_missing_file_is_told():
+def test_missing_file_is_invalid():
     assert run_alone("validate", "/nonexistent.toml").returncode == Exit.INVALID
 
 
@@ -90,7 +90,7 @@
     assert unlabelled.returncode == Exit.OK
 
 
-def test_label_faults(fleet):
+def test_invalid_labels_and_targets_are_refused(fleet):
     assert fleet.run_tool("label", "service", "none", "a=b").returncode == Exit.FAILED
     assert fleet.run_tool("label", "robot", "x", "a=b").returncode == Exit.USAGE
     assert fleet.run_tool("label", "service", "parts", "a b").returncode == Exit.USAGE
@@ -109,14 +109,14 @@
     assert changes[0]["revision"] == 1
 
 
-def test_query_tells_the_verdict_of_a_refusal(fleet):
+def test_query_prints_the_verdict_of_a_refusal(fleet):
     refused = fleet.run_tool("query", "parts", "1", "--partner-token", "wrong")
     assert refused.returncode == Exit.FAILED
     assert "not_run" in refused.stderr
     assert fleet.run_tool("query", "parts", "{").returncode == Exit.USAGE
 
 
-def test_store_and_instance_that_do_not_answer():
+def test_store_or_instance_without_an_answer_is_unavailable():
     ended = run_alone("get", "--store", "127.0.0.1:1")
     assert ended.returncode == Exit.UNAVAILABLE
     ended = run_alone("status", "--instance", "127.0.0.1:1")
--- a/walkcart/daemon/tests/test_deferred_modules.py
+++ b/walkcart/daemon/tests/test_deferred_modules.py
@@ -1,4 +1,4 @@
-"""What an instance on the platform has loaded: memory that each of many pays for."""
+"""Tests which modules an instance on the platform loads, as they cost memory in each."""
 
 import os
 import signal
@@ -11,9 +11,9 @@
 
 from walkcart.platform.tests.test_documents import SETTINGS
 
-#: Seconds between two tries to reach a program that starts.
+#: Seconds between two attempts to reach a program that is starting.
 PAUSE = 0.02
-#: Runs the program as ``python3 -m`` does, and says at its end what it has loaded.
+#: Runs the program as ``python3 -m`` does and prints the loaded modules at its end.
 PROGRAM = """
 import atexit, runpy, sys
 
@@ -25,7 +25,7 @@
 atexit.register(tell)
 runpy.run_module("walkcart.daemon.platform", run_name="__main__", alter_sys=True)
 """
-#: Modules whose code an instance must not run, and why it has no use for them.
+#: Modules that an instance must not load, and why it doesn't need them.
 UNUSED = {
     "_ssl": "connections are plain",
     "_hashlib": "the interpreter has the hashes itself; this one loads OpenSSL",
@@ -55,7 +55,7 @@
 
 
 def reserve_ports(count):
-    """Return ports that are free at this moment."""
+    """Return distinct ports that are free at the moment."""
     held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [one.getsockname()[1] for one in held]
     for one in held:
@@ -64,7 +64,7 @@
 
 
 def start_program(folder):
-    """Start the program without a store; return it and its port for readiness."""
+    """Start the program without a store; return it and its readiness port."""
     callers, readiness, peers, store = reserve_ports(4)
     text = SETTINGS.replace("10.0.0.7", "127.0.0.1")
     text = text.replace(":8000", f":{callers}").replace(":8001", f":{readiness}")
@@ -83,7 +83,7 @@
 
 
 def ask_readiness(process, port):
-    """Ask until the program listens; return the first line of its reply."""
+    """Retry until the program listens; return the first line of its reply."""
     while process.poll() is None:
         try:
             connection = socket.create_connection(("127.0.0.1", port))
@@ -98,7 +98,7 @@
 
 @pytest.fixture(scope="module")
 def loaded(tmp_path_factory):
-    """Names of all modules of a program that ran, served and stopped."""
+    """Names of all modules that a program had loaded when it stopped."""
     process, port = start_program(tmp_path_factory.mktemp("settings"))
     try:
         assert "HTTP/1.1 503" in ask_readiness(process, port)
@@ -111,23 +111,23 @@
 
 
 @pytest.mark.parametrize("name", sorted(UNUSED))
-def test_an_instance_does_not_load(loaded, name):
+def test_unused_module_is_not_loaded(loaded, name):
     assert name not in loaded
 
 
-def test_what_an_instance_needs_is_loaded(loaded):
+def test_needed_modules_are_loaded(loaded):
     assert {"trio", "pynng", "h11", "walkcart.fanout.routed"} <= loaded
 
 
 def run_python(code):
-    """Run code in a fresh interpreter and return what it prints."""
+    """Run code in a new interpreter; return the words that it prints."""
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     )
     return done.stdout.split()
 
 
-def test_a_deferred_module_is_whole_when_it_is_used():
+def test_deferred_module_is_complete_once_used():
     code = """
 import sys
 from walkcart.daemon.deferred import skip_unused_modules
@@ -141,7 +141,7 @@
     assert run_python(code) == ["False", "CERT_REQUIRED", "True", "7"]
 
 
-def test_hashes_are_there_without_openssl():
+def test_hashes_work_without_openssl():
     code = """
 import sys
 from walkcart.daemon.deferred import skip_unused_modules
@@ -153,7 +153,7 @@
     assert run_python(code) == ["ca978112", "333fcb4e", "None"]
 
 
-def test_a_module_that_is_missed_by_many_threads_is_loaded_once():
+def test_module_used_by_many_threads_at_once_is_loaded_once():
     code = """
 from threading import Thread
 from walkcart.lazyimport import defer_modules
--- a/walkcart/daemon/tests/test_platform_program.py
+++ b/walkcart/daemon/tests/test_platform_program.py
@@ -1,4 +1,4 @@
-"""The program on the platform: its settings at the start and when they change."""
+"""Tests of the platform program's settings, at its start and when they change."""
 
 import os
 import subprocess
@@ -15,7 +15,7 @@
 
 
 def run_program(**environment):
-    """Run the program with these variables; return its exit code and what it said."""
+    """Run the program with environment variables; return exit code and error output."""
     kept = {key: value for key, value in os.environ.items() if "WALKCART" not in key}
     done = subprocess.run(
         [sys.executable, "-m", "walkcart.daemon.platform"],
@@ -27,13 +27,13 @@
     return done.returncode, done.stderr
 
 
-def test_without_a_settings_file_it_says_so():
+def test_missing_settings_file_is_a_usage_error():
     code, told = run_program()
     assert code == 2
     assert "WALKCART_NODE_FILE isn't set" in told
 
 
-def test_a_wrong_settings_file_is_told_in_one_line(tmp_path):
+def test_invalid_settings_file_is_reported_in_one_line(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace('"10.0.0.7:8000"', '"nowhere"'), encoding="utf-8")
     code, told = run_program(WALKCART_NODE_FILE=str(path))
@@ -42,7 +42,7 @@
     assert len(told.splitlines()) == 1
 
 
-def test_a_wrong_port_for_the_metrics_is_told(tmp_path):
+def test_invalid_metrics_port_is_reported(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS, encoding="utf-8")
     code, told = run_program(
@@ -52,7 +52,7 @@
     assert "WALKCART_METRICS_PORT" in told
 
 
-def test_changed_settings_move_the_store_and_wrong_ones_change_nothing(tmp_path):
+def test_changed_settings_move_the_store_and_invalid_ones_change_nothing(tmp_path):
     path = tmp_path / "settings.toml"
 
     async def run():
--- a/walkcart/daemon/tests/test_whole_path.py
+++ b/walkcart/daemon/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path in separate processes."""
+"""End-to-end tests with daemons in separate processes."""
 
 import json
 import signal
@@ -51,7 +51,7 @@
     return make_key(datetime.now(UTC), Random(seed))
 
 
-def test_any_daemon_gives_the_whole_answer_and_one_may_be_killed(fleet):
+def test_every_daemon_gives_the_complete_answer_also_after_one_was_killed(fleet):
     entries = list(fleet.entries.values())
     for entry in entries:
         status, content = ask(entry)
@@ -69,7 +69,7 @@
     assert content["coverage"]["complete"]
 
 
-def test_one_request_is_followed_by_its_trace_id(fleet):
+def test_spans_of_one_request_share_its_trace_id(fleet):
     trace = "0af7651916cd43dd8448eb211c80319c"
     traceparent = f"00-{trace}-b7ad6b7169203331-01"
     ask(fleet.entries["daemon-1"], {**HEADERS, "traceparent": traceparent})
@@ -89,8 +89,12 @@
     assert ask(fleet.entries["daemon-2"])[0] == 200
 
 
-def test_paused_owner_of_a_bucket_grants_nothing_twice(fleet):
-    """Each daemon, the buckets' owners among them, is paused in turn for a while."""
+def test_paused_owner_of_a_bucket_grants_no_key_twice(fleet):
+    """Pauses each daemon in turn, and so each owner of a bucket.
+
+    While the owner is paused, another daemon may take over its bucket and run the
+    command; all daemons must then give the same answer for the key.
+    """
     answered = []
     for number, name in enumerate(fleet.entries):
         others = [entry for key, entry in fleet.entries.items() if key != name]
