--- a/walkcart/daemon/tests/test_deferred_modules.py
+++ b/walkcart/daemon/tests/test_deferred_modules.py
@@ -1,4 +1,4 @@
-"""Tests which modules an instance on the platform loads, as they cost memory in each."""
+"""Tests which modules an instance on the platform loads: each costs memory."""
 
 import os
 import signal
