--- a/walkcart/cli/losscauses.py
+++ b/walkcart/cli/losscauses.py
@@ -116,9 +116,11 @@
     """What earlier log lines of one instance tell, in bounded memory."""
 
     def __init__(self) -> None:
+        #: Ids of requests of which a gathering instance was lost.
         self._lost_requests: OrderedDict[str, None] = OrderedDict()
         #: Service of each leaf, by the leaf's id and by its address.
         self._services: OrderedDict[str, str] = OrderedDict()
+        #: When a leaf of each service was last unreachable or ejected, in seconds.
         self._unreachable_at: OrderedDict[str, float] = OrderedDict()
 
     def process_line(self, line: Mapping[str, Any], time: float) -> RequestEnd | None:
@@ -151,7 +153,7 @@
         if outcome is not Outcome.GOOD:
             cause = self._find_cause(line, time, Reason.DEADLINE.value)
         if cause is Cause.CALLER_GONE:
-            # The caller got an answer; only the attempt was cancelled when it was sent.
+            # The caller got an answer; the attempt was cancelled when that was sent.
             cause = Cause.SLOW_LEAF
         return RequestEnd(time, str(line.get("route")), outcome, cause)
 
--- a/walkcart/daemon/tenantserving.py
+++ b/walkcart/daemon/tenantserving.py
@@ -142,8 +142,10 @@
         def merge(answer: RoutedAnswer) -> MergedAnswer:
             return merge_parts(answer, top)
 
-        merging = MergingHandover(handover, merge)
-        result = await RoutedGathering(gathering, question, handover=merging).run()
+        merging_handover = MergingHandover(handover, merge)
+        result = await RoutedGathering(
+            gathering, question, handover=merging_handover
+        ).run()
         return result.map(merge)
 
     def find_high_latency(kind: str) -> float:
--- a/walkcart/intent/distribution.py
+++ b/walkcart/intent/distribution.py
@@ -185,13 +185,13 @@
     def _is_selected_watcher(self) -> bool:
         """Return whether rendezvous hashing selects this instance as a watcher."""
         own = self._view.own
-        near = [
+        names = [
             item.name
             for item in self._view.live()
             if item.data_centre == own.data_centre
         ]
-        near.sort(key=lambda name: rank_rendezvous("watcher", name))
-        return own.name in near[:WATCHERS_PER_DATA_CENTRE] or own.name not in near
+        names.sort(key=lambda name: rank_rendezvous("watcher", name))
+        return own.name in names[:WATCHERS_PER_DATA_CENTRE] or own.name not in names
 
     def _receives_from_peers(self) -> bool:
         silence = self._clock.monotonic() - self._links.last_received
--- a/walkcart/lazyimport.py
+++ b/walkcart/lazyimport.py
@@ -68,16 +68,16 @@
     loader = spec.loader
     # Other threads must wait for the names while one thread loads the module.
     lock = RLock()
-    is_loading = False
+    load_started = False
 
     def load(attribute: str) -> Any:
-        nonlocal is_loading
+        nonlocal load_started
         # The import system looks up such names in every module.
         if attribute.startswith("__"):
             raise AttributeError(attribute)
         with lock:
-            if not is_loading:
-                is_loading = True
+            if not load_started:
+                load_started = True
                 loader.exec_module(module)
                 if vars(module).get("__getattr__") is load:
                     del vars(module)["__getattr__"]
