--- a/walkcart/cli/waiting.py
+++ b/walkcart/cli/waiting.py
@@ -9,7 +9,7 @@
 from walkcart.cli.clients import fetch_json
 from walkcart.cli.exits import CommandFailed
 from walkcart.cli.settings import ToolSettings
-from walkcart.intent.applying import Raced
+from walkcart.intent.applying import ChangeConflict
 from walkcart.kernel.settings import parse_host_port
 
 #: Seconds between two checks of the instances.
@@ -18,7 +18,7 @@
 MAX_CONCURRENT_REQUESTS = 32
 
 
-def describe_conflict(conflict: Raced) -> list[str]:
+def describe_conflict(conflict: ChangeConflict) -> list[str]:
     """Return lines that describe both sides of a conflict."""
     change = conflict.change
     lines = [
--- a/walkcart/daemon/assembly.py
+++ b/walkcart/daemon/assembly.py
@@ -13,8 +13,8 @@
 
 import trio
 
+from walkcart.daemon.environment import Environment
 from walkcart.daemon.instanceleaves import add_leaves
-from walkcart.daemon.surroundings import Surroundings
 from walkcart.entry.admissions import Admissions
 from walkcart.entry.app import EntryService
 from walkcart.entry.credentials import Authenticator
@@ -72,7 +72,7 @@
     peer_address: HostPort
 
 
-async def assemble_instance(settings: Settings, environment: Surroundings) -> Instance:
+async def assemble_instance(settings: Settings, environment: Environment) -> Instance:
     """Listen on the instance's addresses and assemble its services.
 
     Raises:
@@ -97,7 +97,7 @@
     return Instance(kernel, stop, address, peers.address)
 
 
-def _add_base(kernel: Kernel, settings: Settings, environment: Surroundings) -> None:
+def _add_base(kernel: Kernel, settings: Settings, environment: Environment) -> None:
     clock = environment.clock
     events = EventLog(settings.instance, clock, environment.log, settings.log_level)
     metrics = Metrics(settings.statsd, settings.instance)
@@ -118,7 +118,7 @@
 def _add_membership(
     kernel: Kernel,
     settings: Settings,
-    environment: Surroundings,
+    environment: Environment,
     peers: PeerListener,
     address: HostPort,
 ) -> None:
@@ -166,7 +166,7 @@
     kernel.add("listing", listing)
 
 
-def _add_intent(kernel: Kernel, environment: Surroundings) -> None:
+def _add_intent(kernel: Kernel, environment: Environment) -> None:
     detector = kernel.find("detector", Detector)
     keeper = ConfigurationKeeper(
         kernel.find("store", StoreClient),
@@ -187,7 +187,7 @@
     return Backoff(timedelta(seconds=0.1), timedelta(seconds=2), random)
 
 
-def _add_once(kernel: Kernel, environment: Surroundings) -> None:
+def _add_once(kernel: Kernel, environment: Environment) -> None:
     tools = OwnerTools(
         kernel.find("store", StoreClient),
         environment.clock,
@@ -209,7 +209,7 @@
 def _add_entry(
     kernel: Kernel,
     settings: Settings,
-    environment: Surroundings,
+    environment: Environment,
     listener: trio.abc.Listener[trio.abc.Stream],
 ) -> None:
     keeper = kernel.find("keeper", ConfigurationKeeper)
@@ -257,7 +257,7 @@
 
 
 def _make_stop(
-    kernel: Kernel, settings: Settings, environment: Surroundings
+    kernel: Kernel, settings: Settings, environment: Environment
 ) -> PlannedStop:
     return PlannedStop(
         kernel.find("entry", EntryService),
--- a/walkcart/daemon/surroundings.py
+++ b/walkcart/daemon/environment.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class Environment:
     """Outside resources of an instance, which tests can replace.
 
     Args:
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TenantSurroundings:
+class TenantEnvironment:
     """Outside resources of an instance on the platform, which tests can replace.
 
     Args:
--- a/walkcart/daemon/instanceleaves.py
+++ b/walkcart/daemon/instanceleaves.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from walkcart.daemon.surroundings import Surroundings
+from walkcart.daemon.environment import Environment
 from walkcart.fanout.gatherer import Gatherer
 from walkcart.fanout.gathering import GatherTools
 from walkcart.fanout.ids import IdSource
@@ -31,7 +31,7 @@
 from walkcart.routing.replicas import ReplicaChooser
 
 
-def add_leaves(kernel: Kernel, environment: Surroundings) -> None:
+def add_leaves(kernel: Kernel, environment: Environment) -> None:
     """Add the table of leaves, the links to them and the query services."""
     events = kernel.find("events", EventLog)
     metrics = kernel.find("metrics", Metrics)
@@ -88,7 +88,7 @@
     listing.on_change(lambda leaves: update_groups())
 
 
-def _add_quarantines(kernel: Kernel, environment: Surroundings) -> Quarantines:
+def _add_quarantines(kernel: Kernel, environment: Environment) -> Quarantines:
     """Add the quarantine of requests that crashed leaves, and its gossip."""
     view = kernel.find("view", MembershipView)
     quarantine = Quarantine()
--- a/walkcart/daemon/tenantstore.py
+++ b/walkcart/daemon/tenantstore.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from walkcart.daemon.surroundings import TenantSurroundings
+from walkcart.daemon.environment import TenantEnvironment
 from walkcart.fanout.origins import RequestOrigins
 from walkcart.intent.evacuations import Evacuations
 from walkcart.intent.routekeeper import RouteKeeper
@@ -47,7 +47,7 @@
 from walkcart.store.backoff import Backoff
 from walkcart.store.budget import CallBudget
 from walkcart.store.calls import StoreCalls
-from walkcart.store.following import PrefixFollower
+from walkcart.store.follower import PrefixFollower
 from walkcart.store.updates import Update
 from walkcart.wire.peers import PeerListener
 from walkcart.wire.verdicts import NotRun
@@ -73,7 +73,7 @@
 
 
 def add_base(
-    kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, environment: TenantEnvironment
 ) -> None:
     """Add the event log, metrics and spans."""
     kernel.add(
@@ -86,7 +86,7 @@
 def add_store(
     kernel: Kernel,
     settings: PlatformSettings,
-    environment: TenantSurroundings,
+    environment: TenantEnvironment,
     peers: PeerListener,
 ) -> None:
     """Add the store's client and the registration of this instance."""
@@ -131,7 +131,7 @@
 
 
 def add_intent(
-    kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, environment: TenantEnvironment
 ) -> None:
     """Add the routing document in force and the services that keep it current."""
     events = kernel.find("events", EventLog)
@@ -159,7 +159,7 @@
         make_store_backoff(environment.random),
         events,
         apply_update,
-        read_past=CONFIGURATION_REREAD_AGE,
+        reread_after=CONFIGURATION_REREAD_AGE,
     )
     kernel.add("keeper", keeper)
     kernel.add("origins", RequestOrigins(keeper, TEAM))
@@ -168,7 +168,7 @@
 
 
 def add_leaves(
-    kernel: Kernel, settings: PlatformSettings, environment: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, environment: TenantEnvironment
 ) -> None:
     """Add the directory of leaves, the copy of their entries and the link pool."""
     events = kernel.find("events", EventLog)
@@ -204,7 +204,7 @@
         apply_update,
         LEAF_UPDATE_PAUSE,
         leaf_entry_differs,
-        first_fresh=False,
+        fresh_first_read=False,
     )
     pool = make_pool(kernel, settings, environment, directory, cold)
     kernel.add("directory", directory)
@@ -216,7 +216,7 @@
 def make_pool(
     kernel: Kernel,
     settings: PlatformSettings,
-    environment: TenantSurroundings,
+    environment: TenantEnvironment,
     directory: LeafDirectory,
     cold: ColdLimiter,
 ) -> LeafPool:
--- a/walkcart/intent/applying.py
+++ b/walkcart/intent/applying.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Raced:
+class ChangeConflict:
     """Another operator changed the same objects first; nothing was written.
 
     Args:
@@ -89,7 +89,7 @@
     may_be_accepted: bool
 
 
-Outcome = Accepted | Unchanged | Refused | Raced | Unknown
+Outcome = Accepted | Unchanged | Refused | ChangeConflict | Unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,16 +135,20 @@
         store: client of the key-value service.
         clock: source of time.
         backoff: waits between attempts during an outage.
-        patience: time after which attempts to reach the store are given up.
+        outage_timeout: time after which attempts to reach the store are given up.
     """
 
     def __init__(
-        self, store: StoreClient, clock: Clock, backoff: Backoff, patience: timedelta
+        self,
+        store: StoreClient,
+        clock: Clock,
+        backoff: Backoff,
+        outage_timeout: timedelta,
     ) -> None:
         self._store = store
         self._clock = clock
         self._backoff = backoff
-        self._outage_timeout = patience
+        self._outage_timeout = outage_timeout
 
     async def apply(self, proposal: Proposal) -> Outcome:
         """Apply `proposal` and return its outcome.
@@ -173,7 +177,7 @@
                 may_be_accepted = may_be_accepted or error.uncertain
                 if self._clock.monotonic() >= until:
                     return Unknown(proposal.id, may_be_accepted)
-                await self._clock.sleep(self._backoff.advance())
+                await self._clock.sleep(self._backoff.next_delay())
 
     async def _write(
         self, proposal: Proposal, document: Document, revision: int
@@ -218,7 +222,9 @@
     return diff_configurations(first.configuration, document.configuration)
 
 
-def _find_conflict(first: Document, now: Document, proposal: Proposal) -> Raced | None:
+def _find_conflict(
+    first: Document, now: Document, proposal: Proposal
+) -> ChangeConflict | None:
     """Return the conflict if a change after `first` touched the same objects."""
     wanted = proposal.edit(first.configuration)
     mine = diff_configurations(first.configuration, wanted)
@@ -226,7 +232,7 @@
     for change in now.changes:
         if change.revision > first.revision and mine_touched & set(change.touched):
             theirs = diff_configurations(first.configuration, now.configuration)
-            return Raced(change, mine, theirs)
+            return ChangeConflict(change, mine, theirs)
     return None
 
 
@@ -236,7 +242,7 @@
     "DocumentError",
     "Outcome",
     "Proposal",
-    "Raced",
+    "ChangeConflict",
     "Refused",
     "Unchanged",
     "Unknown",
--- a/walkcart/intent/distribution.py
+++ b/walkcart/intent/distribution.py
@@ -114,7 +114,7 @@
         """Call `listener` whenever a new configuration is in force."""
         self._listeners.append(listener)
 
-    def is_cut(self) -> bool:
+    def is_isolated(self) -> bool:
         """Return whether neither store nor peers were heard for `ISOLATION_TIMEOUT`."""
         last = max(self._store.last_success, self._links.last_received)
         return self._clock.monotonic() - last > ISOLATION_TIMEOUT
@@ -128,7 +128,7 @@
         for _ in range(MAX_INITIAL_READS):
             if await self._read_once():
                 break
-            await self._clock.sleep(self._backoff.advance())
+            await self._clock.sleep(self._backoff.next_delay())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_health)
             task_status.started()
@@ -158,7 +158,7 @@
                 CONFIGURATION_KEY, self._entry_revision, WATCH_TIMEOUT
             )
         except StoreUnavailable:
-            await self._clock.sleep(self._backoff.advance())
+            await self._clock.sleep(self._backoff.next_delay())
             return
         self._backoff.reset()
         if entry is None:
@@ -168,7 +168,7 @@
             self.apply_if_newer(read_document(entry.value), "store")
         except DocumentError as error:
             self._events.emit(Events.REVISION_BAD, detail=str(error)[:200])
-            await self._clock.sleep(self._backoff.advance())
+            await self._clock.sleep(self._backoff.next_delay())
 
     def _should_watch(self) -> bool:
         """Return whether this instance is to watch the store.
@@ -266,7 +266,7 @@
         """Report isolation from store and peers, and pull a missed revision."""
         while True:
             await trio.sleep(PULL_TIMEOUT)
-            isolated = self.is_cut()
+            isolated = self.is_isolated()
             if isolated and not self._was_isolated:
                 self._events.emit(Events.CONTROL_CUT)
             self._was_isolated = isolated
--- a/walkcart/intent/evacuations.py
+++ b/walkcart/intent/evacuations.py
@@ -2,7 +2,7 @@
 
 See Also:
     `walkcart.routing.eligibility`, which excludes their leaves.
-    `walkcart.store.following.PrefixFollower`, which reads them from the store.
+    `walkcart.store.follower.PrefixFollower`, which reads them from the store.
 """
 
 from __future__ import annotations
--- a/walkcart/intent/routekeeper.py
+++ b/walkcart/intent/routekeeper.py
@@ -4,7 +4,7 @@
 document never comes into force again.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which delivers stored documents.
+    `walkcart.store.follower.PrefixFollower`, which delivers stored documents.
 """
 
 from __future__ import annotations
--- a/walkcart/intent/routes.py
+++ b/walkcart/intent/routes.py
@@ -7,9 +7,9 @@
 Examples:
     >>> route = Route("r", "h.example", "/a/", ToService("s"))
     >>> table = RouteTable(RoutingDocument(1, (route,)))
-    >>> table.find("h.example", "/a/b?c=d").name
+    >>> table.find_route("h.example", "/a/b?c=d").name
     'r'
-    >>> table.find("h.example", "/other") is None
+    >>> table.find_route("h.example", "/other") is None
     True
 """
 
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from walkcart.intent.teams import Grant, Team, TeamBook
+from walkcart.intent.teams import Grant, Team, TeamIndex
 from walkcart.routing.eligibility import ALL_REGIONS, Regions
 
 #: Maximum number of leaves per shard for a request if its route sets none.
@@ -163,7 +163,7 @@
     def __init__(self, document: RoutingDocument) -> None:
         self.document = document
         self.services = {spec.name: spec for spec in document.services}
-        self.teams = TeamBook(document.teams or ())
+        self.teams = TeamIndex(document.teams or ())
         self._by_name = {route.name: route for route in document.routes}
         self._by_host: dict[str, list[Route]] = {}
         for route in document.routes:
@@ -171,7 +171,7 @@
         for routes in self._by_host.values():
             routes.sort(key=lambda route: -len(route.prefix))
 
-    def regions_of(self, name: str, team: str = "") -> Regions:
+    def find_allowed_regions(self, name: str, team: str = "") -> Regions:
         """Return the regions in which requests of a route and a team may be served.
 
         An unknown route or team doesn't restrict them.
@@ -181,11 +181,11 @@
             team: name of the team; empty for none.
         """
         route = self._by_name.get(name)
-        found = self.teams.named(team) if team else None
+        found = self.teams.find_by_name(team) if team else None
         regions = route.regions if route else ALL_REGIONS
         return regions.intersect(found.regions) if found else regions
 
-    def rank_of(self, name: str, team: str = "") -> int:
+    def find_rank(self, name: str, team: str = "") -> int:
         """Return the rank of a request: its team's if it has one, else its route's.
 
         An unknown route has rank 0.
@@ -194,13 +194,13 @@
             name: name of the route.
             team: name of the team; empty for none.
         """
-        found = self.teams.named(team) if team else None
+        found = self.teams.find_by_name(team) if team else None
         if found is not None and found.rank is not None:
             return found.rank
         route = self._by_name.get(name)
         return route.rank if route else 0
 
-    def upholds(self, name: str, grant: Grant) -> bool:
+    def still_admits(self, name: str, grant: Grant) -> bool:
         """Return whether a request admitted earlier would still be admitted.
 
         Args:
@@ -213,11 +213,11 @@
             route = self._by_name.get(name)
             return route is None or route.public
         if grant.credential is None:
-            return self.teams.named(grant.team) is not None
-        team = self.teams.find(grant.credential)
+            return self.teams.find_by_name(grant.team) is not None
+        team = self.teams.find_by_key(grant.credential)
         return team is not None and team.name == grant.team
 
-    def find(self, host: str, target: str) -> Route | None:
+    def find_route(self, host: str, target: str) -> Route | None:
         """Return the route with the longest prefix that matches, or None.
 
         Args:
--- a/walkcart/intent/teams.py
+++ b/walkcart/intent/teams.py
@@ -5,10 +5,10 @@
 
 Examples:
     >>> team = Team("fitters", keys=frozenset({digest_key(b"secret")}))
-    >>> book = TeamBook((team,))
-    >>> book.find(digest_key(b"secret")).name
+    >>> book = TeamIndex((team,))
+    >>> book.find_by_key(digest_key(b"secret")).name
     'fitters'
-    >>> book.find(digest_key(b"other")) is None
+    >>> book.find_by_key(digest_key(b"other")) is None
     True
 """
 
@@ -78,7 +78,7 @@
     credential: bytes | None = field(default=None, repr=False)
 
 
-class TeamBook:
+class TeamIndex:
     """Index of the teams of a routing document by name and by key digest.
 
     Args:
@@ -93,7 +93,7 @@
             key: team for team in self._by_name.values() for key in team.keys
         }
 
-    def claim_of(self, name: str) -> float:
+    def find_share_weight(self, name: str) -> float:
         """Return a team's weight when scarce capacity is divided among teams.
 
         The weight is the rate of the team's limit. A team without a limit gets the mean
@@ -104,11 +104,11 @@
             return self._mean_rate
         return team.limit.rate or self._mean_rate
 
-    def find(self, digest: bytes) -> Team | None:
+    def find_by_key(self, digest: bytes) -> Team | None:
         """Return the team that owns the key with this digest, or None."""
         return self._by_key.get(digest)
 
-    def named(self, name: str) -> Team | None:
+    def find_by_name(self, name: str) -> Team | None:
         """Return the team with this name, or None."""
         return self._by_name.get(name)
 
--- a/walkcart/intent/tests/test_propagation.py
+++ b/walkcart/intent/tests/test_propagation.py
@@ -3,7 +3,7 @@
 import trio
 
 from walkcart.bench.harness import open_estate, run_mocked
-from walkcart.intent.applying import Accepted, Raced, Unknown
+from walkcart.intent.applying import Accepted, ChangeConflict, Unknown
 from walkcart.intent.distribution import ConfigurationKeeper
 from walkcart.membership.links import PeerLinks
 from walkcart.standins.memorypeers import MemoryPeerSender
@@ -142,7 +142,7 @@
             return outcomes
 
     outcomes = run_mocked(run)
-    conflicts = [item for item in outcomes if isinstance(item, Raced)]
+    conflicts = [item for item in outcomes if isinstance(item, ChangeConflict)]
     assert len(conflicts) == 1
     assert conflicts[0].mine != conflicts[0].theirs
     assert conflicts[0].change.touched == ("routing_intent all",)
--- a/walkcart/intent/tests/test_team_claims.py
+++ b/walkcart/intent/tests/test_team_claims.py
@@ -1,6 +1,6 @@
 """Tests of the teams' weights when scarce capacity is divided."""
 
-from walkcart.intent.teams import RateLimit, Team, TeamBook
+from walkcart.intent.teams import RateLimit, Team, TeamIndex
 
 
 def test_weight_is_the_rate_of_the_limit_or_the_mean_rate():
@@ -9,11 +9,11 @@
         Team("small", limit=RateLimit(10.0, 5.0)),
         Team("free"),
     )
-    book = TeamBook(teams)
-    assert book.claim_of("large") == 3 * book.claim_of("small")
-    assert book.claim_of("free") == book.claim_of("unknown") == 20.0
+    book = TeamIndex(teams)
+    assert book.find_share_weight("large") == 3 * book.find_share_weight("small")
+    assert book.find_share_weight("free") == book.find_share_weight("unknown") == 20.0
 
 
 def test_without_limits_all_teams_have_the_same_weight():
-    book = TeamBook((Team("one"), Team("other")))
-    assert book.claim_of("one") == book.claim_of("other") == 1.0
+    book = TeamIndex((Team("one"), Team("other")))
+    assert book.find_share_weight("one") == book.find_share_weight("other") == 1.0
