--- a/walkcart/daemon/platform.py
+++ b/walkcart/daemon/platform.py
@@ -21,7 +21,7 @@
 
 from walkcart.daemon.tenant import (
     Tenant,
-    TenantSurroundings,
+    TenantEnvironment,
     assemble_tenant,
 )
 from walkcart.kernel.clock import BootClock, TrioClock
--- a/walkcart/intent/applying.py
+++ b/walkcart/intent/applying.py
@@ -239,10 +239,10 @@
 __all__ = [
     "Accepted",
     "Applier",
+    "ChangeConflict",
     "DocumentError",
     "Outcome",
     "Proposal",
-    "ChangeConflict",
     "Refused",
     "Unchanged",
     "Unknown",
--- a/walkcart/intent/teams.py
+++ b/walkcart/intent/teams.py
@@ -5,10 +5,10 @@
 
 Examples:
     >>> team = Team("fitters", keys=frozenset({digest_key(b"secret")}))
-    >>> book = TeamIndex((team,))
-    >>> book.find_by_key(digest_key(b"secret")).name
+    >>> index = TeamIndex((team,))
+    >>> index.find_by_key(digest_key(b"secret")).name
     'fitters'
-    >>> book.find_by_key(digest_key(b"other")) is None
+    >>> index.find_by_key(digest_key(b"other")) is None
     True
 """
 
--- a/walkcart/intent/tests/test_propagation.py
+++ b/walkcart/intent/tests/test_propagation.py
@@ -185,7 +185,7 @@
             connected = world.instances["instance-0"].find(
                 "keeper", ConfigurationKeeper
             )
-            return isolated.is_cut(), connected.is_cut()
+            return isolated.is_isolated(), connected.is_isolated()
 
     assert run_mocked(run) == (True, False)
 
--- a/walkcart/intent/tests/test_team_claims.py
+++ b/walkcart/intent/tests/test_team_claims.py
@@ -9,11 +9,11 @@
         Team("small", limit=RateLimit(10.0, 5.0)),
         Team("free"),
     )
-    book = TeamIndex(teams)
-    assert book.find_share_weight("large") == 3 * book.find_share_weight("small")
-    assert book.find_share_weight("free") == book.find_share_weight("unknown") == 20.0
+    index = TeamIndex(teams)
+    assert index.find_share_weight("large") == 3 * index.find_share_weight("small")
+    assert index.find_share_weight("free") == index.find_share_weight("unknown") == 20.0
 
 
 def test_without_limits_all_teams_have_the_same_weight():
-    book = TeamIndex((Team("one"), Team("other")))
-    assert book.find_share_weight("one") == book.find_share_weight("other") == 1.0
+    index = TeamIndex((Team("one"), Team("other")))
+    assert index.find_share_weight("one") == index.find_share_weight("other") == 1.0
