--- a/walkcart/cli/changes.py
+++ b/walkcart/cli/changes.py
@@ -1,4 +1,4 @@
-"""Commands that change the configuration, or say what a change would do."""
+"""Commands that change the configuration or preview a change."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from cleo.helpers import argument, option
 
 from walkcart.cli.clients import fetch_document, make_applier, run
-from walkcart.cli.command import COMMON, ToolCommand
+from walkcart.cli.command import COMMON_OPTIONS, ToolCommand
 from walkcart.cli.edits import (
-    LABELLED,
+    LABELLED_KINDS,
     Edit,
     drain_leaves,
     end_drain,
@@ -21,7 +21,7 @@
 )
 from walkcart.cli.exits import CommandFailed, Exit
 from walkcart.cli.settings import ToolSettings
-from walkcart.cli.waiting import describe_race, wait_in_force
+from walkcart.cli.waiting import describe_conflict, wait_in_force
 from walkcart.intent.applying import (
     Accepted,
     ChangeConflict,
@@ -42,22 +42,30 @@
 from walkcart.intent.validation import validate_configuration
 
 FILES = argument("files", "TOML files.", multiple=True)
-ALLOW_EMPTY = option("allow-empty", None, "Take selectors that match nothing.")
-PRUNE = option("prune", None, "Remove objects that the files lack.")
-APPLYING = [
-    option("wait", None, "Return when it is in force at every live instance."),
-    option("wait-seconds", None, "Longest wait.", flag=False, default="10"),
-    option("author", None, "Who changes; the user's name by default.", flag=False),
-    option("dry-run", None, "Say what would change; write nothing."),
+ALLOW_EMPTY = option("allow-empty", None, "Accept selectors that match nothing.")
+PRUNE = option("prune", None, "Remove stored objects that the files lack.")
+APPLY_OPTIONS = [
+    option("wait", None, "Wait until the change is in force at every live instance."),
+    option(
+        "wait-seconds",
+        None,
+        "Maximum time to wait, in seconds.",
+        flag=False,
+        default="10",
+    ),
+    option(
+        "author", None, "Who makes the changes; the login name by default.", flag=False
+    ),
+    option("dry-run", None, "Show what would change; write nothing."),
     ALLOW_EMPTY,
 ]
 
 
 def load_files(paths: list[str]) -> Configuration:
-    """Return the objects of all files.
+    """Return the merged objects of all files.
 
     Raises:
-        CommandFailed: a file can't be read or holds faults.
+        CommandFailed: files can't be read or have faults; all are listed.
     """
     merged = Configuration()
     faults: list[str] = []
@@ -76,10 +84,10 @@
 
 
 def check_configuration(configuration: Configuration, allow_empty: bool) -> None:
-    """Check a configuration.
+    """Validate a configuration.
 
     Raises:
-        CommandFailed: with all that is wrong.
+        CommandFailed: the configuration isn't valid; all problems are listed.
     """
     report = validate_configuration(configuration)
     problems = [str(fault) for fault in report.faults]
@@ -93,13 +101,13 @@
     """``walkcart validate``."""
 
     name = "validate"
-    description = "Checks files without touching anything."
+    description = "Validates files without changing anything."
     arguments = [FILES]
-    options = [*COMMON, ALLOW_EMPTY]
+    options = [*COMMON_OPTIONS, ALLOW_EMPTY]
     help = "Example: walkcart validate examples/swapline.toml"
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Check the files on their own."""
+        """Validate the files without the stored configuration."""
         check_configuration(
             load_files(self.argument("files")), self.option("allow-empty")
         )
@@ -113,11 +121,11 @@
     name = "diff"
     description = "Shows what applying files would change."
     arguments = [FILES]
-    options = [*COMMON, PRUNE]
+    options = [*COMMON_OPTIONS, PRUNE]
     help = "Example: walkcart diff examples/swapline.toml --output json"
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Compare the files with the store."""
+        """Compare the files with the stored configuration."""
         update = load_files(self.argument("files"))
         document = run(lambda: fetch_document(settings))
         base = document.configuration
@@ -129,7 +137,7 @@
 def show_differences(
     command: ToolCommand, settings: ToolSettings, found: tuple[Difference, ...]
 ) -> None:
-    """Print differences, a row for each object or changed field."""
+    """Print differences with one row for each object or changed field."""
     rows = []
     for difference in found:
         if not difference.fields:
@@ -140,22 +148,22 @@
 
 
 class ChangeCommand(ToolCommand):
-    """Base of the commands that apply an edit."""
+    """Base class of the commands that apply an edit."""
 
     def apply(self, settings: ToolSettings, edit: Edit) -> Exit:
-        """Apply `edit` and tell the outcome."""
+        """Apply `edit`, or preview it with ``--dry-run``, and print the outcome."""
         if self.option("dry-run"):
-            return self._try(settings, edit)
+            return self._dry_run(settings, edit)
         author = self.option("author") or getpass.getuser()
         allow_empty = self.option("allow-empty")
         proposal = Proposal(str(uuid.uuid4()), author, edit, allow_empty)
 
-        async def act() -> Outcome:
+        async def apply_proposal() -> Outcome:
             return await make_applier(settings).apply(proposal)
 
-        return self._tell(settings, run(act))
+        return self._report_outcome(settings, run(apply_proposal))
 
-    def _try(self, settings: ToolSettings, edit: Edit) -> Exit:
+    def _dry_run(self, settings: ToolSettings, edit: Edit) -> Exit:
         document = run(lambda: fetch_document(settings))
         wanted = edit(document.configuration)
         check_configuration(wanted, self.option("allow-empty"))
@@ -163,19 +171,19 @@
         show_differences(self, settings, found)
         return Exit.OK
 
-    def _tell(self, settings: ToolSettings, outcome: Outcome) -> Exit:
+    def _report_outcome(self, settings: ToolSettings, outcome: Outcome) -> Exit:
         match outcome:
             case Accepted(revision):
                 self.write_plain(f"accepted as revision {revision}")
-                return self._wait(settings, revision)
+                return self._wait_until_in_force(settings, revision)
             case Unchanged(revision):
                 self.write_plain(f"nothing to change at revision {revision}")
-                return self._wait(settings, revision)
+                return self._wait_until_in_force(settings, revision)
             case Refused(faults):
                 lines = [str(fault) for fault in faults]
                 raise CommandFailed(Exit.INVALID, *lines)
             case ChangeConflict():
-                raise CommandFailed(Exit.CONFLICT, *describe_race(outcome))
+                raise CommandFailed(Exit.CONFLICT, *describe_conflict(outcome))
             case Unknown(id, True):
                 detail = f"the store can't say whether change {id} was accepted"
                 hint = "look for it in `walkcart get --changes`"
@@ -184,7 +192,7 @@
                 detail = f"the store can't be used; change {id} was not accepted"
                 raise CommandFailed(Exit.UNAVAILABLE, detail)
 
-    def _wait(self, settings: ToolSettings, revision: int) -> Exit:
+    def _wait_until_in_force(self, settings: ToolSettings, revision: int) -> Exit:
         if not self.option("wait"):
             return Exit.OK
         try:
@@ -204,9 +212,9 @@
     """``walkcart apply``."""
 
     name = "apply"
-    description = "Brings the objects of files into force."
+    description = "Applies the objects of files to the stored configuration."
     arguments = [FILES]
-    options = [*COMMON, *APPLYING, PRUNE]
+    options = [*COMMON_OPTIONS, *APPLY_OPTIONS, PRUNE]
     help = "Example: walkcart apply examples/swapline.toml --wait"
 
     def act(self, settings: ToolSettings) -> Exit:
@@ -222,27 +230,31 @@
     """``walkcart label``."""
 
     name = "label"
-    description = "Sets or removes labels of an object, or of leaves by selector."
+    description = (
+        "Sets or removes labels of an object or of the leaves that a selector matches."
+    )
     arguments = [
-        argument("kind", "service, partner, shard_group or leaf."),
+        argument("kind", "One of service, partner, shard_group, leaf."),
         argument("target", "A name; for leaves a selector."),
-        argument("labels", "key=value sets, key- removes.", multiple=True),
+        argument(
+            "labels", "key=value to set a label, key- to remove one.", multiple=True
+        ),
     ]
-    options = [*COMMON, *APPLYING]
+    options = [*COMMON_OPTIONS, *APPLY_OPTIONS]
     help = (
         "Examples: walkcart label service pack-finder tier=search\n"
         "          walkcart label leaf 'data-centre=hobart-a' busy=yes"
     )
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Change labels."""
+        """Change the labels of one object or of leaves."""
         kind, target = self.argument("kind"), self.argument("target")
         added, removed = read_labels(self.argument("labels"))
         if kind == "leaf":
             check_selector(target)
             return self.apply(settings, label_leaves(target, added, removed))
-        if kind not in LABELLED:
-            expected = f"{kind!r}: expected leaf, {', '.join(LABELLED)}"
+        if kind not in LABELLED_KINDS:
+            expected = f"{kind!r}: expected leaf, {', '.join(LABELLED_KINDS)}"
             raise CommandFailed(Exit.USAGE, expected)
         return self.apply(settings, label_object(kind, target, added, removed))
 
@@ -251,13 +263,17 @@
     """``walkcart drain``."""
 
     name = "drain"
-    description = "Stops new work to the leaves that a selector matches."
+    description = "Stops sending new work to the leaves that a selector matches."
     arguments = [argument("selector", "Leaves.")]
-    options = [*COMMON, *APPLYING, option("end", None, "Take the drain back.")]
+    options = [
+        *COMMON_OPTIONS,
+        *APPLY_OPTIONS,
+        option("end", None, "End the drain instead."),
+    ]
     help = "Example: walkcart drain 'data-centre=hobart-a' --wait"
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Drain, or end a drain."""
+        """Start or end a drain."""
         selector = self.argument("selector")
         check_selector(selector)
         edit = end_drain(selector) if self.option("end") else drain_leaves(selector)
@@ -265,10 +281,10 @@
 
 
 def check_selector(text: str) -> None:
-    """Check a selector.
+    """Check that `text` is a valid selector and not empty.
 
     Raises:
-        CommandFailed: it isn't one, or it is empty.
+        CommandFailed: the selector is invalid or empty.
     """
     try:
         parse_selector(text)
--- a/walkcart/cli/lossaccount.py
+++ b/walkcart/cli/lossaccount.py
@@ -1,7 +1,7 @@
-"""Counts of lost requests by second, route, outcome and cause, bounded in memory.
+"""Counts lost requests by time, route, outcome and cause in bounded memory.
 
 See Also:
-    `walkcart.cli.losscauses`, which judges single lines.
+    `walkcart.cli.losscauses`, which classifies single lines.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 import msgspec
 
-from walkcart.cli.losscauses import Cause, InstanceMemory, Outcome, RequestEnd
+from walkcart.cli.losscauses import Cause, InstanceHistory, Outcome, RequestEnd
 
-#: Different counts that are kept; past it seconds are joined two by two.
-MOST_COUNTS = 50_000
-#: Instances whose earlier lines are remembered.
-MOST_INSTANCES = 2_000
-#: Outcomes by what they take from the caller, the worst first.
+#: Maximum number of counters; beyond it, each two adjacent time steps are merged.
+MAX_COUNTS = 50_000
+#: Maximum number of instances whose earlier lines are remembered.
+MAX_INSTANCES = 2_000
+#: Outcomes other than good, the worst for the caller first.
 WORST_FIRST = (Outcome.FAILED, Outcome.REFUSED, Outcome.LATE, Outcome.PARTIAL)
 
 
 @dataclass(frozen=True, slots=True)
 class LossRow:
-    """Requests that were lost in the same way.
+    """Number of requests that were lost in the same way.
 
     Args:
-        second: since the first line, where the span of time begins.
-        route: of the requests.
-        outcome: what their callers lost.
-        cause: why.
-        requests: how many.
+        second: start of the time step, in seconds since the first lost request.
+        route: route of the requests.
+        outcome: how the requests ended.
+        cause: why the requests were lost.
+        requests: number of the requests.
     """
 
     second: float
@@ -45,10 +45,11 @@
 
 
 class LossAccount:
-    """Reads lines and counts what was lost.
+    """Reads log lines and counts lost requests.
 
     Args:
-        step: seconds that are counted together, at least.
+        step: initial length of a time step, in seconds; it is doubled when there are
+            too many counters.
     """
 
     def __init__(self, step: float = 1.0) -> None:
@@ -58,10 +59,10 @@
         self.dropped = 0
         self._start: float | None = None
         self._counts: Counter[tuple[int, str, Outcome, Cause]] = Counter()
-        self._memories: dict[str, InstanceMemory] = {}
+        self._histories: dict[str, InstanceHistory] = {}
 
     def read(self, lines: Iterable[str]) -> None:
-        """Take the lines of one log, whatever a collector put before the JSON."""
+        """Read the lines of one log; anything before the JSON of a line is skipped."""
         for text in lines:
             if text.strip():
                 self._read_line(text)
@@ -73,19 +74,19 @@
                 self.dropped += line["count"]
                 return
             time = datetime.fromisoformat(line["time"]).timestamp()
-            memory = self._memory_of(line["instance"])
+            memory = self._find_history(line["instance"])
         except (msgspec.MsgspecError, ValueError, KeyError, TypeError, AttributeError):
             self.unusable += 1
             return
         self.dropped += line.get("dropped_lines", 0)
-        end = memory.take(line, time)
+        end = memory.process_line(line, time)
         if end is not None:
             self._count(end)
 
-    def _memory_of(self, instance: str) -> InstanceMemory:
-        while instance not in self._memories and len(self._memories) >= MOST_INSTANCES:
-            del self._memories[next(iter(self._memories))]
-        return self._memories.setdefault(instance, InstanceMemory())
+    def _find_history(self, instance: str) -> InstanceHistory:
+        while instance not in self._histories and len(self._histories) >= MAX_INSTANCES:
+            del self._histories[next(iter(self._histories))]
+        return self._histories.setdefault(instance, InstanceHistory())
 
     def _count(self, end: RequestEnd) -> None:
         self.ended += 1
@@ -95,10 +96,10 @@
             self._start = math.floor(end.time)
         place = math.floor((end.time - self._start) / self.step)
         self._counts[(place, end.route, end.outcome, end.cause)] += 1
-        if len(self._counts) > MOST_COUNTS:
-            self._join_steps()
+        if len(self._counts) > MAX_COUNTS:
+            self._double_step()
 
-    def _join_steps(self) -> None:
+    def _double_step(self) -> None:
         self.step *= 2
         joined: Counter[tuple[int, str, Outcome, Cause]] = Counter()
         for (place, *rest), count in self._counts.items():
@@ -107,12 +108,12 @@
 
     @property
     def lost(self) -> int:
-        """Requests that weren't good."""
+        """Number of requests with another outcome than good."""
         return sum(self._counts.values())
 
     @property
     def explained(self) -> float:
-        """Share of the lost requests whose cause is known; 1 when none was lost."""
+        """Share of the lost requests whose cause is known; 1 if none was lost."""
         if not self._counts:
             return 1.0
         unknown = sum(
@@ -121,10 +122,10 @@
         return 1 - unknown / self.lost
 
     def rows(self, by_second: bool) -> list[LossRow]:
-        """Return the counts, by second or the most frequent first.
+        """Return the counts by time step, or in total with the most frequent first.
 
         Args:
-            by_second: whether each span of time has rows of its own.
+            by_second: whether each time step has rows of its own.
         """
         counts: Counter[tuple[int, str, Outcome, Cause]] = Counter()
         for (place, *rest), count in self._counts.items():
--- a/walkcart/cli/losscauses.py
+++ b/walkcart/cli/losscauses.py
@@ -1,12 +1,12 @@
-"""Why a request was late, partial, refused or failed, from its line in the log.
+"""Finds out from the log why a request was late, partial, refused or failed.
 
-Decisions over lines, without files or output. A line names most causes itself; what it
-leaves open is told from earlier lines of the same instance: a peer that was lost with a
-question, a leaf that was unreachable or ejected shortly before.
+This module classifies lines; it reads no files and prints nothing. Most lines name the
+cause themselves. Otherwise earlier lines of the same instance tell it: a peer that was
+lost while it gathered, or a leaf that was unreachable or ejected shortly before.
 
 See Also:
     `walkcart.cli.losses`, the command.
-    ``docs/OPERATIONS.md``, the way from an id to its cause by hand.
+    ``docs/OPERATIONS.md``, how to find a request's cause by hand.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from walkcart.kernel.events import Events
 from walkcart.wire.verdicts import Reason
 
-#: Questions and leafs that are remembered of each instance.
-MOST_REMEMBERED = 10_000
-#: Seconds for which a leaf that was unreachable or ejected counts as the cause: such a
-#: leaf is tried again after some seconds.
-DARK_TIME = 10.0
+#: Maximum number of entries of each kind remembered per instance.
+MAX_REMEMBERED = 10_000
+#: Seconds for which a leaf counts as the cause after it was unreachable or ejected; it
+#: is tried again after some seconds.
+UNREACHABLE_TIME = 10.0
 
 
 class Outcome(Enum):
-    """What the caller lost."""
+    """How a request ended for its caller."""
 
     GOOD = "good"
     LATE = "late"
@@ -38,7 +38,7 @@
 
 
 class Cause(Enum):
-    """Why, in an operator's words."""
+    """Why a request was lost, worded for operators."""
 
     NONE = "none"
     SLOW_LEAF = "a leaf was slow, paused or its queue long"
@@ -63,7 +63,7 @@
     UNKNOWN = "not told by the log"
 
 
-#: What a reason in the log comes to.
+#: Cause for each reason that the log can give.
 CAUSES = {
     Reason.DEADLINE.value: Cause.SLOW_LEAF,
     Reason.COVERAGE.value: Cause.SLOW_LEAF,
@@ -87,10 +87,12 @@
     Reason.STOPPING.value: Cause.STOPPING,
     Reason.INTERNAL.value: Cause.OWN_FAULT,
 }
-#: Causes that an unreachable leaf of the service explains better.
-_MAY_BE_DARK = frozenset({Cause.SLOW_LEAF, Cause.NO_CONNECTION, Cause.LEAF_FAILED})
-#: Causes that a lost instance explains better.
-_MAY_BE_LOST = frozenset({Cause.NO_CONNECTION, Cause.SLOW_LEAF})
+#: Causes that are replaced by an unreachable leaf of the service, if there was one.
+_MAY_BE_UNREACHABLE = frozenset(
+    {Cause.SLOW_LEAF, Cause.NO_CONNECTION, Cause.LEAF_FAILED}
+)
+#: Causes that are replaced by a lost gathering instance, if there was one.
+_MAY_BE_LOST_INSTANCE = frozenset({Cause.NO_CONNECTION, Cause.SLOW_LEAF})
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,10 +100,10 @@
     """How one request ended.
 
     Args:
-        time: of the line, in seconds.
-        route: its name; the host where no route was found.
-        outcome: what the caller lost.
-        cause: why.
+        time: time of the log line, in seconds since the epoch.
+        route: name of the route; the host if no route was found.
+        outcome: how the request ended for its caller.
+        cause: why the request was lost.
     """
 
     time: float
@@ -110,35 +112,37 @@
     cause: Cause
 
 
-class InstanceMemory:
-    """What earlier lines of one instance said, bounded."""
+class InstanceHistory:
+    """What earlier log lines of one instance tell, in bounded memory."""
 
     def __init__(self) -> None:
-        self._lost: OrderedDict[str, None] = OrderedDict()
-        #: Service by id and by address of a leaf.
+        #: Ids of requests of which a gathering instance was lost.
+        self._lost_requests: OrderedDict[str, None] = OrderedDict()
+        #: Service of each leaf, by the leaf's id and by its address.
         self._services: OrderedDict[str, str] = OrderedDict()
-        self._dark: OrderedDict[str, float] = OrderedDict()
+        #: When a leaf of each service was last unreachable or ejected, in seconds.
+        self._unreachable_at: OrderedDict[str, float] = OrderedDict()
 
-    def take(self, line: Mapping[str, Any], time: float) -> RequestEnd | None:
-        """Take a line; return how a request ended if that is what it says."""
+    def process_line(self, line: Mapping[str, Any], time: float) -> RequestEnd | None:
+        """Process a line; return a request's end if the line reports one."""
         match line.get("number"):
             case Events.DELEGATE_LOST.number:
-                _remember(self._lost, str(line.get("request")), None)
+                _set_bounded(self._lost_requests, str(line.get("request")), None)
             case Events.LEAF_ADDED.number:
                 service = str(line.get("service"))
-                _remember(self._services, str(line.get("leaf")), service)
-                _remember(self._services, str(line.get("address")), service)
+                _set_bounded(self._services, str(line.get("leaf")), service)
+                _set_bounded(self._services, str(line.get("address")), service)
             case Events.LEAF_UNREACHABLE.number | Events.LEAF_EJECTED.number:
                 service = self._services.get(str(line.get("leaf")))
                 if service is not None:
-                    _remember(self._dark, service, time)
+                    _set_bounded(self._unreachable_at, service, time)
             case Events.REQUEST_DONE.number:
-                return self._judge_answer(line, time)
+                return self._classify_answer(line, time)
             case Events.REQUEST_UNSERVED.number:
-                return self._judge_failure(line, time)
+                return self._classify_failure(line, time)
         return None
 
-    def _judge_answer(self, line: Mapping[str, Any], time: float) -> RequestEnd:
+    def _classify_answer(self, line: Mapping[str, Any], time: float) -> RequestEnd:
         outcome = Outcome.GOOD
         objective = line.get("objective_ms")
         if objective is not None and line.get("ms", 0) > objective:
@@ -149,11 +153,11 @@
         if outcome is not Outcome.GOOD:
             cause = self._find_cause(line, time, Reason.DEADLINE.value)
         if cause is Cause.CALLER_GONE:
-            # Its caller has an answer: the attempt was given up when that left.
+            # The caller got an answer; the attempt was cancelled when that was sent.
             cause = Cause.SLOW_LEAF
         return RequestEnd(time, str(line.get("route")), outcome, cause)
 
-    def _judge_failure(self, line: Mapping[str, Any], time: float) -> RequestEnd:
+    def _classify_failure(self, line: Mapping[str, Any], time: float) -> RequestEnd:
         refused = line.get("ran", "NotRun") == "NotRun"
         cause = self._find_cause(line, time, str(line.get("reason")))
         route = str(line.get("route", line.get("host")))
@@ -161,24 +165,31 @@
         return RequestEnd(time, route, outcome, cause)
 
     def _find_cause(self, line: Mapping[str, Any], time: float, reason: str) -> Cause:
-        """Return the cause that explains most of what is missing."""
+        """Return the cause of most of the missing parts, else that of the reason."""
         missing: Mapping[str, str] = line.get("missing") or {}
         found = [CAUSES.get(item, Cause.UNKNOWN) for item in missing.values()]
         cause = CAUSES.get(reason, Cause.UNKNOWN)
         if found:
             cause = max(found, key=found.count)
-        if cause in _MAY_BE_LOST and str(line.get("request")) in self._lost:
+        if (
+            cause in _MAY_BE_LOST_INSTANCE
+            and str(line.get("request")) in self._lost_requests
+        ):
             return Cause.LOST_INSTANCE
-        if cause in _MAY_BE_DARK and any(self._is_dark(key, time) for key in missing):
+        if cause in _MAY_BE_UNREACHABLE and any(
+            self._was_unreachable(key, time) for key in missing
+        ):
             return Cause.DARK_LEAF
         return cause
 
-    def _is_dark(self, service: str, time: float) -> bool:
-        return time - self._dark.get(service, float("-inf")) <= DARK_TIME
+    def _was_unreachable(self, service: str, time: float) -> bool:
+        return (
+            time - self._unreachable_at.get(service, float("-inf")) <= UNREACHABLE_TIME
+        )
 
 
-def _remember(memory: OrderedDict[str, Any], key: str, value: Any) -> None:
+def _set_bounded(memory: OrderedDict[str, Any], key: str, value: Any) -> None:
     memory[key] = value
     memory.move_to_end(key)
-    while len(memory) > MOST_REMEMBERED:
+    while len(memory) > MAX_REMEMBERED:
         memory.popitem(last=False)
--- a/walkcart/cli/losses.py
+++ b/walkcart/cli/losses.py
@@ -1,4 +1,4 @@
-"""The command that says where requests were lost, from the logs of instances."""
+"""The command that reports lost requests from the logs of instances."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from cleo.helpers import argument, option
 
-from walkcart.cli.command import COMMON, ToolCommand
+from walkcart.cli.command import COMMON_OPTIONS, ToolCommand
 from walkcart.cli.exits import CommandFailed, Exit
 from walkcart.cli.lossaccount import LossAccount, LossRow
 from walkcart.cli.settings import ToolSettings
 
-#: Stands for standard input among the logs.
+#: Argument that stands for standard input.
 STANDARD_INPUT = "-"
 
 
@@ -22,12 +22,12 @@
     """``walkcart losses``."""
 
     name = "losses"
-    description = "Says by route and cause which requests were late or lost, from logs."
+    description = "Reports late and lost requests by route and cause, from logs."
     arguments = [argument("logs", "Log files, or - for standard input.", multiple=True)]
     options = [
-        *COMMON,
-        option("by-second", None, "A row for each second."),
-        option("step", None, "Seconds that are counted together.", flag=False),
+        *COMMON_OPTIONS,
+        option("by-second", None, "Print separate rows for each time step."),
+        option("step", None, "Length of a time step in seconds.", flag=False),
         option(
             "plot",
             None,
@@ -40,7 +40,7 @@
     )
 
     def act(self, settings: ToolSettings) -> Exit:
-        """Read the logs and print what was lost."""
+        """Read the logs and print the lost requests."""
         account = LossAccount(self._read_step())
         for name in self.argument("logs"):
             account.read(_read_lines(name))
@@ -106,7 +106,7 @@
 
 
 def _draw(account: LossAccount, path: Path) -> None:
-    """Draw the lost requests by second and cause."""
+    """Plot the lost requests by time step and cause into a file."""
     try:
         from matplotlib.figure import Figure
     except ImportError:
@@ -114,13 +114,13 @@
         raise CommandFailed(Exit.FAILED, detail) from None
     axes = (figure := Figure(figsize=(10, 5))).add_subplot()
     rows = account.rows(by_second=True)
-    floor: dict[float, int] = {}
+    stacked: dict[float, int] = {}
     for cause in sorted({row.cause for row in rows}, key=lambda item: item.value):
         heights: dict[float, int] = {}
         for row in rows:
             if row.cause is cause:
                 heights[row.second] = heights.get(row.second, 0) + row.requests
-        bottoms = [floor.get(second, 0) for second in heights]
+        bottoms = [stacked.get(second, 0) for second in heights]
         axes.bar(
             list(heights),
             list(heights.values()),
@@ -130,7 +130,7 @@
             label=cause.value,
         )
         for second, height in heights.items():
-            floor[second] = floor.get(second, 0) + height
+            stacked[second] = stacked.get(second, 0) + height
     axes.set_xlabel("seconds since the first loss")
     axes.set_ylabel(f"requests in {account.step:g} s")
     if rows:
--- a/walkcart/daemon/instanceleaves.py
+++ b/walkcart/daemon/instanceleaves.py
@@ -1,7 +1,7 @@
-"""The services of an instance that know the leaves and ask them.
+"""Assembles the services of an instance that find and query leaves.
 
 See Also:
-    `walkcart.daemon.assembly.assemble_instance`, which puts all of them together.
+    `walkcart.daemon.assembly.assemble_instance`, which assembles all services.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 from walkcart.routing.replicas import ReplicaChooser
 
 
-def add_leaves(kernel: Kernel, around: Environment) -> None:
-    """Add the leaves, the ways to them and what asks them."""
+def add_leaves(kernel: Kernel, environment: Environment) -> None:
+    """Add the table of leaves, the links to them and the query services."""
     events = kernel.find("events", EventLog)
     metrics = kernel.find("metrics", Metrics)
     view = kernel.find("view", MembershipView)
@@ -42,19 +42,19 @@
     listing.on_change(table.set_listed)
     gateway: LeafGateway | None = None
 
-    def note_status(leaf, status) -> None:
+    def record_status(leaf, status) -> None:
         assert gateway is not None
         gateway.record_status(leaf, status)
 
     tracer = kernel.find("tracer", Tracer)
-    forwarder = Forwarder(links, view, around.clock, note_status, tracer)
+    forwarder = Forwarder(links, view, environment.clock, record_status, tracer)
     gateway = LeafGateway(
         table,
         kernel.find("marks", LeafMarks),
         view,
         forwarder,
-        around.network,
-        around.clock,
+        environment.network,
+        environment.clock,
         events,
         metrics,
         tracer,
@@ -63,13 +63,13 @@
     kernel.add("forwarder", forwarder)
     kernel.add("gateway", gateway)
     own = view.own
-    quarantines = _add_quarantines(kernel, around)
+    quarantines = _add_quarantines(kernel, environment)
     tools = GatherTools(
         table,
         gateway,
-        LeafSelector(gateway, ReplicaChooser(around.random)),
+        LeafSelector(gateway, ReplicaChooser(environment.random)),
         IdSource(own.name, own.incarnation),
-        around.clock,
+        environment.clock,
         kernel.find("invariants", Invariants),
         metrics,
         quarantines,
@@ -79,31 +79,31 @@
     kernel.add("sender", SingleSender(tools, gatherer))
     keeper = kernel.find("keeper", ConfigurationKeeper)
 
-    def use_groups() -> None:
+    def update_groups() -> None:
         document = keeper.document
         names = [group.name for group in document.configuration.shard_groups]
         gateway.set_groups([table.find_group(document, name) for name in names])
 
-    keeper.on_change(lambda document: use_groups())
-    listing.on_change(lambda leaves: use_groups())
+    keeper.on_change(lambda document: update_groups())
+    listing.on_change(lambda leaves: update_groups())
 
 
-def _add_quarantines(kernel: Kernel, around: Environment) -> Quarantines:
-    """Add what remembers requests under which leafs ended, and tells of them."""
+def _add_quarantines(kernel: Kernel, environment: Environment) -> Quarantines:
+    """Add the quarantine of requests that crashed leaves, and its gossip."""
     view = kernel.find("view", MembershipView)
     quarantine = Quarantine()
     quarantines = Quarantines(
         quarantine,
-        around.clock,
+        environment.clock,
         view.own.name,
-        around.random,
+        environment.random,
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
     )
     spread = QuarantineGossip(
         quarantine,
         kernel.find("links", PeerLinks),
-        around.clock,
+        environment.clock,
         lambda: [record.name for record in view.usable_peers()],
         lambda: False,
         quarantines.log_news,
--- a/walkcart/daemon/main.py
+++ b/walkcart/daemon/main.py
@@ -31,22 +31,24 @@
 
 def main(arguments: Sequence[str] | None = None) -> None:
     """Run the daemon and exit the process."""
-    words = list(sys.argv[1:] if arguments is None else arguments)
-    sys.exit(run_daemon(words, os.environ))
+    given = list(sys.argv[1:] if arguments is None else arguments)
+    sys.exit(run_daemon(given, os.environ))
 
 
-def run_daemon(words: list[str], environment) -> int:
+def run_daemon(arguments: list[str], environment) -> int:
     """Run the daemon.
 
     Returns:
-        0 after a planned stop, 1 when it can't run, 2 for settings that can't be
-        taken.
+        0 after a graceful stop, 1 if the daemon can't run or its stop ended before all
+        work in progress, 2 for invalid settings.
     """
-    if any(flag in words for flag in HELP_FLAGS):
+    if any(flag in arguments for flag in HELP_FLAGS):
         _print_help()
         return EXIT_OK
-    check = CHECK_FLAG in words
-    loaded = load_settings([word for word in words if word != CHECK_FLAG], environment)
+    check = CHECK_FLAG in arguments
+    loaded = load_settings(
+        [word for word in arguments if word != CHECK_FLAG], environment
+    )
     for fault in loaded.faults:
         print(f"walkcartd: {fault}", file=sys.stderr)
     if loaded.faults:
@@ -75,17 +77,17 @@
 
 
 async def _run_instance(settings: Settings) -> int:
-    around = Environment(TcpNetwork(), NngTransport(), TrioClock(), Random())
+    environment = Environment(TcpNetwork(), NngTransport(), TrioClock(), Random())
     try:
-        instance = await assemble_instance(settings, around)
+        instance = await assemble_instance(settings, environment)
     except OSError as error:
-        print(f"walkcartd: an address can't be had: {error}", file=sys.stderr)
+        print(f"walkcartd: can't listen on an address: {error}", file=sys.stderr)
         return EXIT_FAILED
     return await run_until_signal(instance)
 
 
 async def run_until_signal(instance: Instance) -> int:
-    """Run `instance` until a signal; a second signal ends its stop sooner."""
+    """Run `instance` until a signal, then stop it; a second signal aborts the stop."""
     ended = True
     signals = (signal.SIGTERM, signal.SIGINT)
     with trio.open_signal_receiver(*signals) as received:
--- a/walkcart/daemon/tenant.py
+++ b/walkcart/daemon/tenant.py
@@ -1,7 +1,7 @@
-"""The instance as a tenant of the users' platform: its services, put together.
+"""Assembles an instance that runs as a tenant of the users' platform.
 
-The product's own services are the same as in `walkcart.daemon.assembly` where both
-have them; the adapter in `walkcart.platform` takes the place of the ports.
+Services that both kinds of instance have are the same as in `walkcart.daemon.assembly`.
+The adapters in `walkcart.platform` implement the interfaces to the platform.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """An instance on the platform, put together but not running.
+    """An assembled instance on the platform that isn't running yet.
 
     Args:
-        kernel: its services; run it to run the instance.
-        stop: ends it without cutting a request.
+        kernel: the services; running it runs the instance.
+        stop: graceful stop, which lets running requests finish.
     """
 
     kernel: Kernel
@@ -45,24 +45,24 @@
 
 
 async def assemble_tenant(
-    settings: PlatformSettings, around: TenantEnvironment
+    settings: PlatformSettings, environment: TenantEnvironment
 ) -> Tenant:
-    """Take the addresses and put the services together.
+    """Listen on the instance's addresses and assemble its services.
 
     Raises:
-        OSError: an address can't be had.
+        OSError: listening on an address failed.
     """
-    callers = await around.network.listen(settings.callers)
-    readiness = await around.network.listen(settings.readiness)
-    peers = await listen_for_peers(settings, around.transport)
+    callers = await environment.network.listen(settings.callers)
+    readiness = await environment.network.listen(settings.readiness)
+    peers = await listen_for_peers(settings, environment.transport)
     kernel = Kernel()
-    add_base(kernel, settings, around)
-    add_store(kernel, settings, around, peers)
-    add_intent(kernel, settings, around)
-    add_leaves(kernel, settings, around)
-    add_delegates(kernel, settings, around, peers)
-    add_limits(kernel, settings, around)
-    add_entry(kernel, settings, around, callers)
+    add_base(kernel, settings, environment)
+    add_store(kernel, settings, environment, peers)
+    add_intent(kernel, settings, environment)
+    add_leaves(kernel, settings, environment)
+    add_delegates(kernel, settings, environment, peers)
+    add_limits(kernel, settings, environment)
+    add_entry(kernel, settings, environment, callers)
     service = kernel.find("entry", RoutedService)
     events = kernel.find("events", EventLog)
     server = HttpServer(
@@ -72,8 +72,8 @@
         on_error=partial(log_task_error, events, "question of the balancer"),
     )
     kernel.add("readiness", ListenerService(readiness, server))
-    if around.metrics_port:
-        await add_metrics_page(kernel, settings, around)
+    if environment.metrics_port:
+        await add_metrics_page(kernel, settings, environment)
     stop = RoutedStop(
         service,
         kernel.find("carrier", DelegationServer),
--- a/walkcart/daemon/tenantlimits.py
+++ b/walkcart/daemon/tenantlimits.py
@@ -1,7 +1,7 @@
-"""The services of an instance that hold bounds which all instances share.
+"""Assembles the services that enforce limits shared by all instances.
 
 See Also:
-    `walkcart.daemon.tenant.assemble_tenant`, which puts them together.
+    `walkcart.daemon.tenant.assemble_tenant`, which assembles all services.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 
 
 class LimitsInForce:
-    """The teams' rate limits, as the routing document in force has them.
+    """The teams' rate limits in the routing document in force.
 
     Args:
-        keeper: of that document.
+        keeper: holds the routing document.
     """
 
     def __init__(self, keeper: RouteKeeper) -> None:
         self._keeper = keeper
-        self.limited = _find_limited(keeper.table)
+        self.limited = _find_limited_teams(keeper.table)
 
-    def take(self, table: RouteTable) -> None:
-        """Take the limits of a new document."""
-        self.limited = _find_limited(table)
+    def update(self, table: RouteTable) -> None:
+        """Use the limits of a new document."""
+        self.limited = _find_limited_teams(table)
 
     @property
     def any(self) -> bool:
@@ -49,22 +49,22 @@
         return bool(self.limited)
 
     def find(self, team: str) -> tuple[int, RateLimit | None]:
-        """Return the version in force and the limit of a team."""
+        """Return the document version in force and a team's limit, None without one."""
         table = self._keeper.table
         found = table.teams.find_by_name(team)
         return table.document.version, found.limit if found else None
 
 
 def add_cold_shares(
-    kernel: Kernel, around: TenantEnvironment, gatherers: GatheringInstances
+    kernel: Kernel, environment: TenantEnvironment, gatherers: GatheringInstances
 ) -> None:
-    """Add what divides the bounds of cold leafs among the instances."""
+    """Add the service that divides the limits of cold leaves among instances."""
     cold = kernel.find("cold", ColdLimiter)
     shares = ColdShares(
         kernel.find("store", PlatformStore),
         kernel.find("registration", Registration),
         ColdShareDemand(cold.find_bounded, cold.find_cold, gatherers.rank_for),
-        around.clock,
+        environment.clock,
         kernel.find("events", EventLog),
     )
     cold.set_share_source(shares.find_share)
@@ -72,9 +72,9 @@
 
 
 def add_limits(
-    kernel: Kernel, settings: PlatformSettings, around: TenantEnvironment
+    kernel: Kernel, settings: PlatformSettings, environment: TenantEnvironment
 ) -> None:
-    """Add what holds teams to their rate limits, over all instances together."""
+    """Add the services that enforce the teams' rate limits over all instances."""
     registration = kernel.find("registration", Registration)
     links = kernel.find("links", PeerLinks)
     events = kernel.find("events", EventLog)
@@ -85,52 +85,54 @@
     keys = QuotaKeys(
         kernel.find("store", PlatformStore),
         registration.own,
-        around.clock,
+        environment.clock,
         bounds.window,
     )
-    holders = QuotaHolders(registration, around.clock, events)
+    holders = QuotaHolders(registration, environment.clock, events)
     shares = QuotaShares(
         keys,
         holders,
         links,
         bounds,
         lambda: in_force.any,
-        around.clock,
+        environment.clock,
         events,
         metrics,
     )
     registration.add_prefix_reader(QUOTA_PREFIX, shares.handle_item)
-    answers = QuotaServer(links, shares, holders, bounds, in_force.find, around.clock)
+    answers = QuotaServer(
+        links, shares, holders, bounds, in_force.find, environment.clock
+    )
     asks = QuotaClient(
         links,
         registration,
         shares,
         holders,
         bounds,
-        around.clock,
-        around.random,
+        environment.clock,
+        environment.random,
         metrics,
     )
     limits = DistributedRateLimiter(
         asks,
         bounds,
         in_force.find,
-        around.clock,
-        around.random,
+        environment.clock,
+        environment.random,
         metrics,
     )
 
-    def take(table: RouteTable) -> None:
-        in_force.take(table)
+    def update_limits(table: RouteTable) -> None:
+        in_force.update(table)
         limits.retain_teams(in_force.limited)
         shares.wake()
 
-    keeper.on_change(take)
+    keeper.on_change(update_limits)
     kernel.add("quota_shares", shares)
     kernel.add("quota_answers", answers)
     kernel.add("limits", limits)
 
 
-def _find_limited(table: RouteTable) -> frozenset[str]:
+def _find_limited_teams(table: RouteTable) -> frozenset[str]:
     teams = table.teams.all()
     return frozenset(team.name for team in teams if team.limit is not None)
--- a/walkcart/daemon/tenantstore.py
+++ b/walkcart/daemon/tenantstore.py
@@ -1,7 +1,7 @@
-"""The services of an instance that follow the shared store: routes and leafs.
+"""Assembles the services that follow the shared store: routes and leaves.
 
 See Also:
-    `walkcart.daemon.tenant.assemble_tenant`, which puts them together.
+    `walkcart.daemon.tenant.assemble_tenant`, which assembles all services.
 """
 
 from __future__ import annotations
@@ -52,30 +52,33 @@
 from walkcart.wire.peers import PeerListener
 from walkcart.wire.verdicts import NotRun
 
-#: Share of the store's rate that one instance may use at once; with seven instances
-#: that leaves more than half to the others.
+#: Share of the store's maximum rate that one instance may use. Seven instances together
+#: leave more than half to the other clients.
 STORE_SHARE = 0.05
-#: Calls at once after a quiet time: a start reads everything.
+#: Calls that may be made at once after an idle time, as a start reads everything.
 STORE_BURST = 40.0
-#: A call of the store without a reply after this has failed: it answers in
-#: milliseconds, and watches wait on top.
-STORE_CALL_TIME = timedelta(seconds=1)
-#: Pause after leafs' entries changed: many leafs change theirs at once when they start,
-#: and a change may take three seconds to be heeded. Meanwhile the copy ages, and those
-#: whom it feeds look for another feeder after 1.3 s.
-LEAF_PAUSE = timedelta(seconds=0.8)
-#: A configuration that was current longer ago than this is read anew: at six changes a
-#: second of 32 KB each a watch would bring more than a small link carries in 0.15 s.
-CONFIGURATION_READ_PAST = timedelta(seconds=1)
-STORE_FIRST_BACKOFF = timedelta(seconds=0.1)
-STORE_LONGEST_BACKOFF = timedelta(seconds=0.8)
+#: Time without a reply after which a call to the store has failed. The store answers
+#: within milliseconds; the wait of a watch is added.
+STORE_CALL_TIMEOUT = timedelta(seconds=1)
+#: Pause after a change of leaves' entries. It batches the changes of many leaves that
+#: start together; a change may take three seconds to be in force. The pause is below
+#: 1.3 s, as instances fed by this copy turn to another feeder if it is older than that.
+LEAF_UPDATE_PAUSE = timedelta(seconds=0.8)
+#: A copy of the configuration that was current longer ago than this is read again, not
+#: watched: with six changes of 32 KB per second, a watch would return more than a small
+#: link carries in 0.15 s.
+CONFIGURATION_REREAD_AGE = timedelta(seconds=1)
+STORE_MIN_BACKOFF = timedelta(seconds=0.1)
+STORE_MAX_BACKOFF = timedelta(seconds=0.8)
 
 
 def add_base(
-    kernel: Kernel, settings: PlatformSettings, around: TenantEnvironment
+    kernel: Kernel, settings: PlatformSettings, environment: TenantEnvironment
 ) -> None:
-    """Add log, metrics and spans."""
-    kernel.add("events", EventLog(settings.instance, around.clock, around.log))
+    """Add the event log, metrics and spans."""
+    kernel.add(
+        "events", EventLog(settings.instance, environment.clock, environment.log)
+    )
     kernel.add("metrics", Metrics(None, settings.instance))
     kernel.add("tracer", Tracer(settings.instance, OUTPUT_NONE, 0.0))
 
@@ -83,24 +86,24 @@
 def add_store(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantEnvironment,
+    environment: TenantEnvironment,
     peers: PeerListener,
 ) -> None:
-    """Add the store and this instance's registration."""
+    """Add the store's client and the registration of this instance."""
     events = kernel.find("events", EventLog)
     rate = settings.store_rate * STORE_SHARE
     calls = StoreCalls(
         settings.store,
-        around.network,
-        around.clock,
-        CallBudget(rate, STORE_BURST, around.clock),
+        environment.network,
+        environment.clock,
+        CallBudget(rate, STORE_BURST, environment.clock),
         events,
         kernel.find("metrics", Metrics),
         kernel.find("tracer", Tracer),
-        STORE_CALL_TIME,
+        STORE_CALL_TIMEOUT,
     )
     store = PlatformStore(calls)
-    started = around.clock.now().isoformat()
+    started = environment.clock.now().isoformat()
     own = InstanceRecord(
         settings.instance,
         started,
@@ -110,7 +113,12 @@
         settings.cores,
     )
     registration = Registration(
-        store, calls, own, around.clock, make_store_backoff(around.random), events
+        store,
+        calls,
+        own,
+        environment.clock,
+        make_store_backoff(environment.random),
+        events,
     )
     kernel.add("calls", calls)
     kernel.add("store", store)
@@ -118,23 +126,23 @@
 
 
 def make_store_backoff(random: Random) -> Backoff:
-    """Return the back-off for calls of the store."""
-    return Backoff(STORE_FIRST_BACKOFF, STORE_LONGEST_BACKOFF, random)
+    """Return the back-off for calls to the store."""
+    return Backoff(STORE_MIN_BACKOFF, STORE_MAX_BACKOFF, random)
 
 
 def add_intent(
-    kernel: Kernel, settings: PlatformSettings, around: TenantEnvironment
+    kernel: Kernel, settings: PlatformSettings, environment: TenantEnvironment
 ) -> None:
-    """Add the routing document in force and what follows it."""
+    """Add the routing document in force and the services that keep it current."""
     events = kernel.find("events", EventLog)
     regions = frozenset(settings.regions.values())
     metrics = kernel.find("metrics", Metrics)
-    keeper = RouteKeeper(around.clock, events, metrics, regions)
+    keeper = RouteKeeper(environment.clock, events, metrics, regions)
     evacuations = Evacuations(events, metrics, frozenset(settings.regions))
 
-    def take(update: Update) -> None:
-        # First: whoever acts on the routes must know where nothing may go.
-        evacuations.take(read_evacuated(update.items), update.origin)
+    def apply_update(update: Update) -> None:
+        # First, as listeners of the routes must know where nothing may be sent.
+        evacuations.update(read_evacuated(update.items), update.origin)
         item = update.items.get(CONFIGURATION_KEY)
         if item is None or CONFIGURATION_KEY not in update.changed:
             return
@@ -147,11 +155,11 @@
         kernel.find("store", PlatformStore),
         kernel.find("calls", StoreCalls),
         OPERATOR_PREFIX,
-        around.clock,
-        make_store_backoff(around.random),
+        environment.clock,
+        make_store_backoff(environment.random),
         events,
-        take,
-        reread_after=CONFIGURATION_READ_PAST,
+        apply_update,
+        reread_after=CONFIGURATION_REREAD_AGE,
     )
     kernel.add("keeper", keeper)
     kernel.add("origins", RequestOrigins(keeper, TEAM))
@@ -160,12 +168,12 @@
 
 
 def add_leaves(
-    kernel: Kernel, settings: PlatformSettings, around: TenantEnvironment
+    kernel: Kernel, settings: PlatformSettings, environment: TenantEnvironment
 ) -> None:
-    """Add the leafs, what follows them, and the pool of links."""
+    """Add the directory of leaves, the copy of their entries and the link pool."""
     events = kernel.find("events", EventLog)
     calls = kernel.find("calls", StoreCalls)
-    clock = around.clock
+    clock = environment.clock
 
     def find_return() -> float:
         return calls.reachable_since if calls.reachable else clock.monotonic()
@@ -183,7 +191,7 @@
     evacuations.on_change(evacuate)
     entries = LeafEntries(settings.regions, events)
 
-    def take(update: Update) -> None:
+    def apply_update(update: Update) -> None:
         directory.set_entries(entries.read(update.items, update.changed))
 
     follower = PrefixFollower(
@@ -191,14 +199,14 @@
         calls,
         LEAF_PREFIX,
         clock,
-        make_store_backoff(around.random),
+        make_store_backoff(environment.random),
         events,
-        take,
-        LEAF_PAUSE,
+        apply_update,
+        LEAF_UPDATE_PAUSE,
         leaf_entry_differs,
         fresh_first_read=False,
     )
-    pool = make_pool(kernel, settings, around, directory, cold)
+    pool = make_pool(kernel, settings, environment, directory, cold)
     kernel.add("directory", directory)
     kernel.add("cold", cold)
     kernel.add("leaf_entries", follower)
@@ -208,14 +216,14 @@
 def make_pool(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantEnvironment,
+    environment: TenantEnvironment,
     directory: LeafDirectory,
     cold: ColdLimiter,
 ) -> LeafPool:
-    """Return the pool of links to leafs."""
+    """Return the pool of links to leaves."""
     pool: LeafPool | None = None
 
-    def note_status(leaf: Leaf, status: LeafStatus) -> None:
+    def record_status(leaf: Leaf, status: LeafStatus) -> None:
         assert pool is not None
         pool.record_status(leaf, status)
 
@@ -224,12 +232,12 @@
         return pool.access.admit(leaf, attempt)
 
     link = LinkTools(
-        around.network,
-        around.clock,
+        environment.network,
+        environment.clock,
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
         kernel.find("tracer", Tracer),
-        note_status,
+        record_status,
         PlatformLeafProtocol(),
         admit,
     )
@@ -240,7 +248,7 @@
             link,
             kernel.find("registration", Registration).count,
             Location(settings.region, settings.data_centre),
-            around.random,
+            environment.random,
             cold,
         )
     )
--- a/walkcart/intent/routekeeper.py
+++ b/walkcart/intent/routekeeper.py
@@ -1,10 +1,10 @@
 """The routing document in force at this instance.
 
-It is replaced only by one of a higher version, whoever brings it, so that what was
-in force never comes back.
+Only a document with a higher version replaces it, whatever its source, so that an old
+document never comes into force again.
 
 See Also:
-    `walkcart.store.follower.PrefixFollower`, which brings stored documents.
+    `walkcart.store.follower.PrefixFollower`, which delivers stored documents.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from walkcart.routing.eligibility import Regions
 from walkcart.store.updates import Origin
 
-#: Told the new table; must not wait.
+#: Receives the new table; must not block.
 RouteListener = Callable[[RouteTable], None]
 
 
@@ -29,9 +29,9 @@
 
     Args:
         clock: source of time.
-        events: where changes are logged.
-        metrics: where the version in force and its delay are shown.
-        regions: that there are; None where that isn't known.
+        events: log of changes.
+        metrics: receives the version in force and the delay until it was applied.
+        regions: all existing regions; None if they aren't known.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         regions: frozenset[str] | None = None,
     ) -> None:
         self._regions = regions
-        self._unknown: set[str] = set()
+        self._logged_regions: set[str] = set()
         self._clock = clock
         self._events = events
         self._metrics = metrics
@@ -56,15 +56,15 @@
         return self.table.document.version > 0
 
     def on_change(self, listener: RouteListener) -> None:
-        """Call `listener` with each new table."""
+        """Call `listener` with the table of each new document."""
         self._listeners.append(listener)
 
     def apply(self, document: RoutingDocument, origin: Origin) -> bool:
-        """Put `document` in force if it is newer; return whether it was.
+        """Put `document` in force if its version is higher; return whether it was.
 
         Args:
             document: a routing document.
-            origin: who brought it, and how long after it was read from the store.
+            origin: its source and the time since it was read from the store.
         """
         held = self.table.document.version
         if document.version <= held:
@@ -91,29 +91,29 @@
         self._metrics.gauge("intent.revision", document.version)
         if known:
             self._metrics.time("intent.delay", origin.delay * 1000)
-        self._note_unknown_regions(document)
+        self._log_unknown_regions(document)
         for listener in self._listeners:
             listener(self.table)
         return True
 
-    def _note_unknown_regions(self, document: RoutingDocument) -> None:
-        """Log regions that no data centre is in, once each: they serve nothing."""
+    def _log_unknown_regions(self, document: RoutingDocument) -> None:
+        """Log each region without a data centre once: nothing is served there."""
         if self._regions is None:
             return
         for route in document.routes:
-            for region in self._find_unknown(route.regions):
+            for region in self._find_new_unknown(route.regions):
                 self._events.emit(
                     Events.ROUTE_REGION_UNKNOWN, region=region, route=route.name
                 )
         for team in document.teams or ():
-            for region in self._find_unknown(team.regions):
+            for region in self._find_new_unknown(team.regions):
                 self._events.emit(
                     Events.TEAM_REGION_UNKNOWN, region=region, team=team.name
                 )
 
-    def _find_unknown(self, regions: Regions) -> list[str]:
-        """Return the regions that no data centre is in and that weren't logged yet."""
+    def _find_new_unknown(self, regions: Regions) -> list[str]:
+        """Return the regions without a data centre that haven't been logged yet."""
         named = regions.names or frozenset()
-        unknown = sorted(named - (self._regions or frozenset()) - self._unknown)
-        self._unknown.update(unknown)
+        unknown = sorted(named - (self._regions or frozenset()) - self._logged_regions)
+        self._logged_regions.update(unknown)
         return unknown
--- a/walkcart/intent/selectors.py
+++ b/walkcart/intent/selectors.py
@@ -1,8 +1,8 @@
-"""Selectors over labels.
+"""Label selectors.
 
-A selector is a list of requirements, joined by commas, that must all hold:
+A selector is a comma-separated list of requirements that must all hold:
 ``key=value``, ``key!=value``, ``key in (a, b)``, ``key notin (a, b)``, ``key``
-(the label exists) and ``!key`` (it doesn't). An empty selector matches all.
+(the label exists) and ``!key`` (it doesn't). An empty selector matches everything.
 
 Examples:
     >>> selector = parse_selector("region=hobart, tier in (search, ledger), !old")
@@ -34,12 +34,12 @@
 
 
 class SelectorError(ValueError):
-    """A text that is no selector."""
+    """The text isn't a valid selector."""
 
 
 @dataclass(frozen=True, slots=True)
 class In:
-    """The label exists and has one of `values`."""
+    """Requires that the label exists and has one of `values`."""
 
     key: str
     values: frozenset[str]
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotIn:
-    """The label is missing or has none of `values`."""
+    """Requires that the label is missing or has none of `values`."""
 
     key: str
     values: frozenset[str]
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Exists:
-    """The label exists."""
+    """Requires that the label exists."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """The label is missing."""
+    """Requires that the label is missing."""
 
     key: str
 
@@ -78,10 +78,10 @@
 
     def matches(self, labels: Labels) -> bool:
         """Return whether `labels` meet all requirements."""
-        return all(_holds(item, labels) for item in self.requirements)
+        return all(_is_met(item, labels) for item in self.requirements)
 
 
-def _holds(requirement: Requirement, labels: Labels) -> bool:
+def _is_met(requirement: Requirement, labels: Labels) -> bool:
     match requirement:
         case In(key, values):
             return labels.get(key) in values
@@ -95,10 +95,10 @@
 
 @lru_cache(maxsize=4096)
 def parse_selector(text: str) -> Selector:
-    """Read a selector.
+    """Parse a selector.
 
     Raises:
-        SelectorError: with the part that can't be read.
+        SelectorError: a requirement or value is invalid; the message quotes it.
     """
     if not text.strip():
         return Selector()
@@ -106,22 +106,26 @@
 
 
 def _parse_requirement(part: str) -> Requirement:
-    text = part.strip()
-    if found := _COMPARISON.fullmatch(text):
+    stripped = part.strip()
+    if found := _COMPARISON.fullmatch(stripped):
         values = frozenset({found["value"]})
-        return _choose(found["sign"] == "=", found["key"], values)
-    if found := _MEMBERSHIP.fullmatch(text):
-        return _choose(found["sign"] == "in", found["key"], _split(found["values"]))
-    if found := _EXISTENCE.fullmatch(text):
+        return _make_set_requirement(found["sign"] == "=", found["key"], values)
+    if found := _MEMBERSHIP.fullmatch(stripped):
+        return _make_set_requirement(
+            found["sign"] == "in", found["key"], _parse_values(found["values"])
+        )
+    if found := _EXISTENCE.fullmatch(stripped):
         return Missing(found["key"]) if found["sign"] else Exists(found["key"])
-    raise SelectorError(f"can't read {text!r} as a requirement")
+    raise SelectorError(f"can't read {stripped!r} as a requirement")
 
 
-def _choose(positive: bool, key: str, values: frozenset[str]) -> Requirement:
+def _make_set_requirement(
+    positive: bool, key: str, values: frozenset[str]
+) -> Requirement:
     return In(key, values) if positive else NotIn(key, values)
 
 
-def _split(text: str) -> frozenset[str]:
+def _parse_values(text: str) -> frozenset[str]:
     values = frozenset(value.strip() for value in text.split(","))
     for value in values:
         if not VALUE_PATTERN.fullmatch(value):
