--- a/walkcart/fanout/tests/test_crashing_questions.py
+++ b/walkcart/fanout/tests/test_crashing_questions.py
@@ -35,7 +35,7 @@
             self._nursery.start_soon(self._end, name)
             return True
 
-        self._world.leaves[name].leaf.ends_under = end
+        self._world.leaves[name].leaf.crashes_on = end
 
     async def _end(self, name):
         await trio.sleep(0.01)
