--- a/walkcart/kernel/clock.py
+++ b/walkcart/kernel/clock.py
@@ -17,7 +17,7 @@
 #: begun before the machine was suspended goes on after it for what it then had left;
 #: what became due meanwhile is seen after this at the latest. The loops of an instance
 #: that does nothing wake it more often anyway.
-LONGEST_WAIT = 0.5
+MAX_WAIT = 0.5
 
 
 class Clock(Protocol):
@@ -67,7 +67,7 @@
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
         """Return for how long to wait at once for `deadline`, in seconds."""
-        return min(LONGEST_WAIT, deadline - self._read())
+        return min(MAX_WAIT, deadline - self._read())
 
 
 class TrioClock:
--- a/walkcart/kernel/eventlog.py
+++ b/walkcart/kernel/eventlog.py
@@ -18,7 +18,7 @@
 #: Lines of one event that are written in one second; the rest are only counted,
 #: so that a storm of failures doesn't cost the callers their processor time. The next
 #: line of that event says how many weren't written, in `dropped_lines`.
-LINES_PER_SECOND = 20
+MAX_LINES_PER_SECOND = 20
 
 
 class _Window:
@@ -27,22 +27,22 @@
     def __init__(self) -> None:
         self._second = 0
         self._lines = 0
-        self._untold = 0
+        self._unreported = 0
 
     def admit(self, second: int) -> bool:
         """Count a line; return whether it may be written."""
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
-        if self._lines <= LINES_PER_SECOND:
+        if self._lines <= MAX_LINES_PER_SECOND:
             return True
-        self._untold += 1
+        self._unreported += 1
         return False
 
-    def take_untold(self) -> int:
+    def reset_unreported(self) -> int:
         """Return how many lines weren't written since a line said so."""
-        untold, self._untold = self._untold, 0
-        return untold
+        unreported, self._unreported = self._unreported, 0
+        return unreported
 
 
 class EventLog:
@@ -87,6 +87,6 @@
             "level": logging.getLevelName(event.level),
             **fields,
         }
-        if untold := window.take_untold():
-            record["dropped_lines"] = untold
+        if unreported := window.reset_unreported():
+            record["dropped_lines"] = unreported
         self._logger.log(event.level, event.help, extra=record)
--- a/walkcart/kernel/exposition.py
+++ b/walkcart/kernel/exposition.py
@@ -36,28 +36,30 @@
     def collect(self) -> Iterator[MetricFamily]:
         """Yield every metric of the catalogue."""
         for name, metric in CATALOGUE.items():
-            full = PREFIX + name.replace(".", "_")
+            exported_name = PREFIX + name.replace(".", "_")
             match metric.kind:
                 case "counter":
                     value = self._metrics.read(name)
-                    yield CounterMetricFamily(full, metric.help, value)
+                    yield CounterMetricFamily(exported_name, metric.help, value)
                 case "gauge":
                     value = self._metrics.read(name)
-                    yield GaugeMetricFamily(full, metric.help, value)
+                    yield GaugeMetricFamily(exported_name, metric.help, value)
                 case _:
-                    yield self._collect_histogram(name, full, metric.help)
+                    yield self._collect_histogram(name, exported_name, metric.help)
 
     def _collect_histogram(
-        self, name: str, full: str, text: str
+        self, name: str, exported_name: str, help_text: str
     ) -> HistogramMetricFamily:
-        found = self._metrics.read_histogram(name)
+        histogram = self._metrics.read_histogram(name)
         buckets = []
-        sum_so_far = 0
-        for bound, count in zip((*BUCKET_BOUNDS, "+Inf"), found.counts, strict=True):
-            sum_so_far += count
-            buckets.append((str(bound), sum_so_far))
+        cumulative = 0
+        for bound, count in zip(
+            (*BUCKET_BOUNDS, "+Inf"), histogram.counts, strict=True
+        ):
+            cumulative += count
+            buckets.append((str(bound), cumulative))
         return HistogramMetricFamily(
-            f"{full}_ms", text, buckets=buckets, sum_value=found.total
+            f"{exported_name}_ms", help_text, buckets=buckets, sum_value=histogram.total
         )
 
 
--- a/walkcart/kernel/logsink.py
+++ b/walkcart/kernel/logsink.py
@@ -28,27 +28,27 @@
     def __init__(self, descriptor: int, limit: int = BUFFER_LIMIT) -> None:
         self._descriptor = descriptor
         self._limit = limit
-        self._waiting: deque[bytes] = deque()
-        self._size = 0
-        self._untold = 0
+        self._pending: deque[bytes] = deque()
+        self._pending_bytes = 0
+        self._unreported = 0
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
         """Take one or more whole lines."""
         data = text.encode("utf-8", "replace")
-        if self._size + len(data) > self._limit:
+        if self._pending_bytes + len(data) > self._limit:
             self.dropped += 1
-            self._untold += 1
+            self._unreported += 1
         else:
-            self._put(data)
+            self._enqueue(data)
         self.flush()
         return len(text)
 
     def flush(self) -> None:
         """Write what the descriptor takes now."""
-        while self._waiting:
-            data = self._waiting[0]
+        while self._pending:
+            data = self._pending[0]
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
@@ -57,20 +57,20 @@
                 # The reader is gone: nobody will ever read these lines.
                 self._drop_all()
                 return
-            self._size -= written
+            self._pending_bytes -= written
             if written < len(data):
-                self._waiting[0] = data[written:]
+                self._pending[0] = data[written:]
                 return
-            self._waiting.popleft()
-        if self._untold:
-            untold, self._untold = self._untold, 0
-            self._put(b'{"event": "log_lines_dropped", "count": %d}\n' % untold)
+            self._pending.popleft()
+        if self._unreported:
+            unreported, self._unreported = self._unreported, 0
+            self._enqueue(b'{"event": "log_lines_dropped", "count": %d}\n' % unreported)
 
-    def _put(self, data: bytes) -> None:
-        self._waiting.append(data)
-        self._size += len(data)
+    def _enqueue(self, data: bytes) -> None:
+        self._pending.append(data)
+        self._pending_bytes += len(data)
 
     def _drop_all(self) -> None:
-        self.dropped += len(self._waiting)
-        self._waiting.clear()
-        self._size = 0
+        self.dropped += len(self._pending)
+        self._pending.clear()
+        self._pending_bytes = 0
--- a/walkcart/kernel/numbers.py
+++ b/walkcart/kernel/numbers.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 #: Digits that are read at the most; longer numbers are nobody's.
-MOST_DIGITS = 18
+MAX_DIGITS = 18
 
 
 def read_number(text: str | bytes | None) -> int | None:
@@ -19,6 +19,6 @@
         >>> read_number("\u00b2"), read_number("9" * 5000), read_number(None)
         (None, None, None)
     """
-    if not text or len(text) > MOST_DIGITS or not text.isascii() or not text.isdigit():
+    if not text or len(text) > MAX_DIGITS or not text.isascii() or not text.isdigit():
         return None
     return int(text)
--- a/walkcart/kernel/registry.py
+++ b/walkcart/kernel/registry.py
@@ -32,7 +32,7 @@
         ...
 
 
-class ServiceMissing(LookupError):
+class ServiceNotFound(LookupError):
     """No service of that name, or one of another type, was added."""
 
 
@@ -56,13 +56,13 @@
         """Return the service called `name`.
 
         Raises:
-            ServiceMissing: there is none, or it isn't a `kind`.
+            ServiceNotFound: there is none, or it isn't a `kind`.
         """
         service = self._services.get(name)
         if service is None:
-            raise ServiceMissing(f"no service is named {name!r}")
+            raise ServiceNotFound(f"no service is named {name!r}")
         if not isinstance(service, kind):
-            raise ServiceMissing(f"service {name!r} is not a {kind.__name__}")
+            raise ServiceNotFound(f"service {name!r} is not a {kind.__name__}")
         return service
 
     def names(self) -> tuple[str, ...]:
--- a/walkcart/kernel/settings.py
+++ b/walkcart/kernel/settings.py
@@ -177,7 +177,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class InvalidSetting:
     """A value that can't be taken."""
 
     name: str
@@ -203,7 +203,7 @@
 
     settings: Settings
     sources: dict[str, str]
-    faults: tuple[Fault, ...]
+    faults: tuple[InvalidSetting, ...]
 
 
 def flag_of(name: str) -> str:
@@ -222,18 +222,20 @@
     values: dict[str, Any] = {}
     sources: dict[str, str] = {}
     for item in fields(Settings):
-        text, source = _pick(item.name, item.metadata["default"], given, environment)
+        text, source = _choose_source(
+            item.name, item.metadata["default"], given, environment
+        )
         sources[item.name] = source
         try:
             values[item.name] = item.metadata["parse"](text)
         except BadValue as error:
             shown = MASK if item.metadata["secret"] else text
-            faults.append(Fault(item.name, shown, source, str(error)))
+            faults.append(InvalidSetting(item.name, shown, source, str(error)))
     faults.extend(_unknown_variables(environment))
     return Loaded(Settings(**values), sources, tuple(faults))
 
 
-def _pick(
+def _choose_source(
     name: str, default: str, given: Mapping[str, str], environment: Mapping[str, str]
 ) -> tuple[str, str]:
     if name in given:
@@ -244,9 +246,9 @@
     return default, "default"
 
 
-def _unknown_variables(environment: Mapping[str, str]) -> list[Fault]:
+def _unknown_variables(environment: Mapping[str, str]) -> list[InvalidSetting]:
     known = {ENVIRONMENT_PREFIX + item.name.upper() for item in fields(Settings)}
-    strange = [
+    unknown = [
         name
         for name in environment
         if name.startswith(ENVIRONMENT_PREFIX)
@@ -254,22 +256,27 @@
         and name not in known
     ]
     expected = "a setting's name"
-    return [Fault(name, "", "the environment", expected) for name in sorted(strange)]
+    return [
+        InvalidSetting(name, "", "the environment", expected)
+        for name in sorted(unknown)
+    ]
 
 
-def _read_flags(arguments: Sequence[str]) -> tuple[dict[str, str], list[Fault]]:
+def _read_flags(
+    arguments: Sequence[str],
+) -> tuple[dict[str, str], list[InvalidSetting]]:
     names = {flag_of(item.name): item.name for item in fields(Settings)}
     given: dict[str, str] = {}
-    faults: list[Fault] = []
+    faults: list[InvalidSetting] = []
     words = list(arguments)
     while words:
         flag, separator, value = words.pop(0).partition("=")
         if flag not in names:
-            faults.append(Fault(flag, value, "the flags", "a known flag"))
+            faults.append(InvalidSetting(flag, value, "the flags", "a known flag"))
             continue
         if not separator:
             if not words:
-                faults.append(Fault(names[flag], "", "the flags", "a value"))
+                faults.append(InvalidSetting(names[flag], "", "the flags", "a value"))
                 continue
             value = words.pop(0)
         given[names[flag]] = value
@@ -283,11 +290,11 @@
         value = getattr(loaded.settings, item.name)
         if item.metadata["secret"] and value:
             value = MASK
-        rows.append((item.name, _show(value), loaded.sources[item.name]))
+        rows.append((item.name, _format_value(value), loaded.sources[item.name]))
     return rows
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     match value:
         case timedelta():
             return f"{value.total_seconds():g} s"
--- a/walkcart/kernel/spans.py
+++ b/walkcart/kernel/spans.py
@@ -53,10 +53,10 @@
 
     def hold(self, span: Span | None) -> AbstractContextManager[object]:
         """Return a context manager that ends `span` when left."""
-        return nullcontext() if span is None else _Ending(span)
+        return nullcontext() if span is None else _SpanEnder(span)
 
 
-class _Ending:
+class _SpanEnder:
     """Ends a span on leaving."""
 
     def __init__(self, span: Span) -> None:
--- a/walkcart/kernel/tests/test_clock.py
+++ b/walkcart/kernel/tests/test_clock.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from walkcart.kernel.clock import LONGEST_WAIT, BootClock, TrioClock, read_boot_time
+from walkcart.kernel.clock import MAX_WAIT, BootClock, TrioClock, read_boot_time
 from walkcart.membership.messageages import ClockReadings, Stamp
 
 
@@ -37,7 +37,7 @@
             await done.wait()
             return time.monotonic() - before
 
-    assert trio.run(run, clock=BootClock(machine.read)) < 100 * LONGEST_WAIT
+    assert trio.run(run, clock=BootClock(machine.read)) < 100 * MAX_WAIT
 
 
 def test_the_time_of_day_counts_what_was_suspended():
--- a/walkcart/kernel/tests/test_seeing.py
+++ b/walkcart/kernel/tests/test_seeing.py
@@ -9,7 +9,7 @@
 from walkcart.bench.harness import make_caller, open_estate, run_mocked
 from walkcart.bench.world import make_service
 from walkcart.kernel.clock import TrioClock
-from walkcart.kernel.eventlog import LINES_PER_SECOND, EventLog
+from walkcart.kernel.eventlog import MAX_LINES_PER_SECOND, EventLog
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
 from walkcart.kernel.settings import HostPort
@@ -24,7 +24,7 @@
     async def run():
         stream = io.StringIO()
         log = EventLog("one", TrioClock(), stream)
-        for _ in range(LINES_PER_SECOND + 10):
+        for _ in range(MAX_LINES_PER_SECOND + 10):
             log.emit(Events.LEAF_EJECTED, leaf="127.0.0.1:1")
         return stream.getvalue().splitlines(), log.counts
 
@@ -35,22 +35,22 @@
     assert first["instance"] == "one"
     assert first["leaf"] == "127.0.0.1:1"
     # A storm is counted in full, and written only so far.
-    assert len(lines) == LINES_PER_SECOND
-    assert counts == {"leaf_ejected": LINES_PER_SECOND + 10}
+    assert len(lines) == MAX_LINES_PER_SECOND
+    assert counts == {"leaf_ejected": MAX_LINES_PER_SECOND + 10}
 
 
 def test_the_next_line_says_how_many_were_not_written():
     async def run():
         stream = io.StringIO()
         log = EventLog("one", TrioClock(), stream)
-        for _ in range(LINES_PER_SECOND + 10):
+        for _ in range(MAX_LINES_PER_SECOND + 10):
             log.emit(Events.LEAF_EJECTED)
         log.emit(Events.LEAF_RETURNED)
         await trio.sleep(1.5)
         for _ in range(2):
             log.emit(Events.LEAF_EJECTED)
         lines = [json.loads(line) for line in stream.getvalue().splitlines()]
-        return [line.get("dropped_lines") for line in lines[LINES_PER_SECOND:]]
+        return [line.get("dropped_lines") for line in lines[MAX_LINES_PER_SECOND:]]
 
     assert run_mocked(run) == [None, 10, None]
 
--- a/walkcart/standins/balancer.py
+++ b/walkcart/standins/balancer.py
@@ -12,7 +12,7 @@
 from walkcart.wire.http import ExchangeFailed, HttpConnection, HttpRequest
 from walkcart.wire.network import Network
 
-CHECK_TIME = 1.0
+CHECK_TIMEOUT = 1.0
 BODY_LIMIT = 65536
 
 
@@ -45,13 +45,13 @@
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
         """Look at the instances until cancelled."""
-        await self._look()
+        await self._check_all()
         task_status.started()
         while True:
             await trio.sleep(self._interval)
-            await self._look()
+            await self._check_all()
 
-    async def _look(self) -> None:
+    async def _check_all(self) -> None:
         found: dict[HostPort, bool] = {}
         async with trio.open_nursery() as nursery:
             for address in list(self.instances):
@@ -59,7 +59,7 @@
         self._ready = [address for address in self.instances if found.get(address)]
 
     async def _check(self, address: HostPort, found: dict[HostPort, bool]) -> None:
-        with trio.move_on_after(CHECK_TIME):
+        with trio.move_on_after(CHECK_TIMEOUT):
             try:
                 stream = await self._network.connect(address)
                 connection = HttpConnection(stream, str(address), BODY_LIMIT)
@@ -83,13 +83,13 @@
             await trio.aclose_forcefully(client)
             return
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_pump, client, server, nursery.cancel_scope)
-            nursery.start_soon(_pump, server, client, nursery.cancel_scope)
+            nursery.start_soon(_copy_bytes, client, server, nursery.cancel_scope)
+            nursery.start_soon(_copy_bytes, server, client, nursery.cancel_scope)
         await trio.aclose_forcefully(client)
         await trio.aclose_forcefully(server)
 
 
-async def _pump(
+async def _copy_bytes(
     source: trio.abc.Stream, target: trio.abc.Stream, scope: trio.CancelScope
 ) -> None:
     try:
--- a/walkcart/standins/leaf.py
+++ b/walkcart/standins/leaf.py
@@ -23,8 +23,8 @@
 from walkcart.standins.store import apply_control
 from walkcart.wire.http import HttpReply, HttpRequest
 
-QUEUE_LIMIT = 64
-KEPT_VERSIONS = 2
+MAX_LOAD = 64
+MAX_VERSIONS = 2
 HANG_TIME = 10.0
 
 
@@ -127,14 +127,14 @@
     def load_version(self, version: int) -> None:
         """Take a new index version; the oldest one goes."""
         if version not in self.versions:
-            self.versions = tuple(sorted((*self.versions, version)))[-KEPT_VERSIONS:]
+            self.versions = tuple(sorted((*self.versions, version)))[-MAX_VERSIONS:]
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Serve one request."""
         if request.target == "/control":
             return apply_control(self.faults, request)
         if request.target == "/record":
-            return self._tell_record()
+            return self._report_record()
         if request.target == protocol.STATUS_TARGET:
             return HttpReply(200, self._status_headers())
         if request.target.startswith(protocol.CANCEL_TARGET):
@@ -143,7 +143,7 @@
             return HttpReply(404)
         return await self._query(request)
 
-    def _tell_record(self) -> HttpReply:
+    def _report_record(self) -> HttpReply:
         """Tell what ran, for checks from another process."""
         bodies = sorted({run.body.decode("utf-8", "replace") for run in self.runs})
         return reply_json({"once": dict(self.once), "bodies": bodies})
@@ -180,7 +180,7 @@
     def _find_refusal(self, headers: dict[bytes, bytes]) -> int | None:
         """Return the status with which the request is refused, if it is."""
         faults = self.faults
-        if faults.shed or faults.leaving or self._load >= QUEUE_LIMIT:
+        if faults.shed or faults.leaving or self._load >= MAX_LOAD:
             return protocol.STATUS_SHED
         try:
             pin = parse_snapshot(headers.get(protocol.PIN, b"0:0").decode())
@@ -238,7 +238,7 @@
             "query": msgspec.Raw(request.body or b"null"),
         }
         body = msgspec.json.encode({"rows": [row]})
-        if self._happens(self.faults.bad_rows):
+        if self._draw(self.faults.bad_rows):
             body = body[:-2]
         snapshot = (protocol.SNAPSHOT, b"%d:%d" % (self.spec.layout, version))
         partial = (protocol.PARTIAL, b"yes" if self.faults.partial else b"no")
@@ -256,24 +256,24 @@
     def _echo(self, headers: dict[bytes, bytes]) -> tuple[tuple[bytes, bytes], ...]:
         attempt = headers.get(protocol.ATTEMPT, b"")
         scope = headers.get(protocol.SCOPE, b"")
-        if self._happens(self.faults.wrong_attempt):
+        if self._draw(self.faults.wrong_attempt):
             attempt = b"another.1"
-        if self._happens(self.faults.wrong_scope):
+        if self._draw(self.faults.wrong_scope):
             scope = b"another"
         return ((protocol.ATTEMPT, attempt), (protocol.SCOPE, scope))
 
     def _status_headers(self) -> tuple[tuple[bytes, bytes], ...]:
         load = self._load if self.faults.lie_load is None else self.faults.lie_load
-        told = self.faults.leaving and not self.faults.mute_leaving
+        states_leaving = self.faults.leaving and not self.faults.mute_leaving
         held = ",".join(str(version) for version in self.versions)
         return (
             (protocol.HELD, held.encode()),
             (protocol.LOAD, b"%d" % load),
             (protocol.INCARNATION, b"%d" % self.incarnation),
-            (protocol.STATE, b"leaving" if told else b"live"),
+            (protocol.STATE, b"leaving" if states_leaving else b"live"),
         )
 
-    def _happens(self, share: float) -> bool:
+    def _draw(self, share: float) -> bool:
         return share > 0 and self._random.random() < share
 
     def corrupt(self, data: bytes) -> tuple[bytes, bool]:
@@ -281,15 +281,15 @@
         faults = self.faults
         if b"walkcart-snapshot" not in data[:600]:
             return data, False
-        if self._happens(faults.drop_reply):
+        if self._draw(faults.drop_reply):
             return b"", True
-        if self._happens(faults.garbage):
+        if self._draw(faults.garbage):
             return b"\x16\x03\x01 this is no HTTP\r\n\r\n" * 4, True
-        if self._happens(faults.cut_body):
+        if self._draw(faults.cut_body):
             return data[:-7], True
-        if self._happens(faults.repeat_reply):
+        if self._draw(faults.repeat_reply):
             return data + data, False
-        if self._happens(faults.endless):
+        if self._draw(faults.endless):
             return data.replace(b"content-length: ", b"content-length: 99", 1), True
         return data, False
 
--- a/walkcart/standins/machinelinks.py
+++ b/walkcart/standins/machinelinks.py
@@ -9,9 +9,9 @@
 import trio
 
 #: Bytes of one sender that are put on the link at once, so that senders share it.
-CHUNK = 16_384
+CHUNK_SIZE = 16_384
 #: Bytes that wait in the machine before senders are held up: a kernel's buffers.
-WINDOW = 65_536
+BUFFER_SIZE = 65_536
 
 
 class LinkDirection:
@@ -25,28 +25,28 @@
     def __init__(self, rate: float, lag: float = 0.0) -> None:
         self.rate = rate
         self.lag = lag
-        self.carried = 0
+        self.total_bytes = 0
         self._free_at = float("-inf")
 
-    def queue(self, size: int, at: float) -> float:
+    def schedule(self, size: int, at: float) -> float:
         """Take bytes that come at a time; return when the last of them is through."""
         self._free_at = max(at, self._free_at) + size / self.rate
-        self.carried += size
+        self.total_bytes += size
         return self._free_at + self.lag
 
-    async def carry(self, size: int) -> float:
+    async def transmit(self, size: int) -> float:
         """Wait until `size` bytes were taken; return when the last one is through.
 
         A sender that is cancelled meanwhile has put a part of them on the link.
         """
         left = size
-        through = trio.current_time()
+        sent_at = trio.current_time()
         while left > 0:
-            await trio.sleep_until(self._free_at - WINDOW / self.rate)
-            chunk = min(left, CHUNK)
-            through = self.queue(chunk, trio.current_time())
+            await trio.sleep_until(self._free_at - BUFFER_SIZE / self.rate)
+            chunk = min(left, CHUNK_SIZE)
+            sent_at = self.schedule(chunk, trio.current_time())
             left -= chunk
-        return through
+        return sent_at
 
 
 class MachineLink:
--- a/walkcart/standins/memory.py
+++ b/walkcart/standins/memory.py
@@ -103,7 +103,7 @@
         """Return the listening side of the streams that were opened to an address."""
         return list(self._listeners[address].streams)
 
-    def take_address(self, address: HostPort) -> HostPort:
+    def assign_port(self, address: HostPort) -> HostPort:
         """Return `address` with a free port in place of 0."""
         if address.port:
             return address
@@ -121,7 +121,7 @@
         Raises:
             OSError: the address is in use.
         """
-        taken = self.take_address(address)
+        taken = self.assign_port(address)
         if taken in self._listeners:
             raise OSError(f"{taken} is in use")
         listener = MemoryListener(self, taken, site, link)
@@ -149,14 +149,14 @@
         await trio.sleep(2 * self.latency(site, target))
         if listener is None or self._listeners.get(address) is not listener:
             raise ConnectionRefusedError(f"nobody listens at {address}")
-        there = Pipe(self, site, target, link, listener.link)
-        back = Pipe(self, target, site, listener.link, link)
-        server = MemoryStream(there, back)
+        outbound = Pipe(self, site, target, link, listener.link)
+        inbound = Pipe(self, target, site, listener.link, link)
+        server = MemoryStream(outbound, inbound)
         listener.streams.append(server)
         listener.incoming.send_nowait(server)
         if probe_interval is not None:
-            back.probe_time = (MAX_PROBES + 1) * probe_interval.total_seconds()
-        return MemoryStream(back, there)
+            inbound.probe_timeout = (MAX_PROBES + 1) * probe_interval.total_seconds()
+        return MemoryStream(inbound, outbound)
 
     def add_peer_listener(
         self, address: HostPort, site: str, link: MachineLink | None = None
@@ -166,7 +166,7 @@
         Raises:
             OSError: the address is in use.
         """
-        taken = self.take_address(address)
+        taken = self.assign_port(address)
         if taken in self._peers:
             raise OSError(f"{taken} is in use")
         self._peers[taken] = MemoryPeerListener(self, taken, site, link)
@@ -205,7 +205,7 @@
         if listener is None or self.is_cut(site, listener.site) or self.lose():
             return
         left_at = max(left_at, trio.current_time())
-        listener.pipe.put_at(left_at + self.latency(site, listener.site), data)
+        listener.pipe.add_arrival(left_at + self.latency(site, listener.site), data)
 
 
 @dataclass(frozen=True, slots=True)
--- a/walkcart/standins/memorypeers.py
+++ b/walkcart/standins/memorypeers.py
@@ -21,9 +21,9 @@
 
 
 #: One-way times until a connection is up: TCP's handshake, and the two ends' greeting.
-CONNECT_WAYS = 3
+CONNECT_TRIPS = 3
 #: Seconds between two tries to connect to an address where nobody listens.
-RECONNECT_TIME = 0.05
+RECONNECT_INTERVAL = 0.05
 
 
 class MemoryPeerListener:
@@ -43,7 +43,7 @@
 
     async def receive(self) -> bytes:
         """Wait for one envelope."""
-        return await self.pipe.take(1 << 30)
+        return await self.pipe.read(1 << 30)
 
     async def close(self) -> None:
         """Stop."""
@@ -63,7 +63,7 @@
     @property
     def is_connected(self) -> bool:
         """Whether the connection is up, and its other end still listens."""
-        return trio.current_time() >= self._up_at and self.network.has_peer(
+        return trio.current_time() >= self._connected_at and self.network.has_peer(
             self.address
         )
 
@@ -71,14 +71,14 @@
         """Wait until the connection is up: a round trip, and half of one to agree."""
         await trio.lowlevel.checkpoint()
         while not self.is_connected:
-            soon = trio.current_time() + RECONNECT_TIME
-            await trio.sleep_until(max(self._up_at, soon))
+            retry_at = trio.current_time() + RECONNECT_INTERVAL
+            await trio.sleep_until(max(self._connected_at, retry_at))
 
     @property
-    def _up_at(self) -> float:
+    def _connected_at(self) -> float:
         """Return when the connection is up at the earliest."""
-        way = self.network.latency_to(self.site, self.address)
-        return self.dialled_at + CONNECT_WAYS * way
+        trip = self.network.latency_to(self.site, self.address)
+        return self.dialled_at + CONNECT_TRIPS * trip
 
     async def send(self, data: bytes) -> None:
         """Send one envelope; wait while the machine's link can't take more."""
@@ -88,7 +88,7 @@
         if self.link is None:
             self.network.deliver(self.site, self.address, data)
             return
-        left_at = await self.link.outgoing.carry(len(data))
+        left_at = await self.link.outgoing.transmit(len(data))
         self.network.deliver(self.site, self.address, data, left_at)
 
     async def close(self) -> None:
--- a/walkcart/standins/pipes.py
+++ b/walkcart/standins/pipes.py
@@ -43,35 +43,35 @@
         self._reader_link = reader_link
         self._chunks: deque[tuple[float, bytes]] = deque()
         self._wakeup = trio.Event()
-        self._end: float | None = None
+        self._end_at: float | None = None
         self._opened_at = trio.current_time()
         self._silent = False
         self._dead_at = float("inf")
         #: Seconds after which the reader's probes show that the pipe went silent.
-        self.probe_time = float("inf")
+        self.probe_timeout = float("inf")
         #: When bytes were sent last.
-        self.used_at = self._opened_at
+        self.last_sent_at = self._opened_at
         self.broken = False
-        self.reader_gone = False
+        self.reader_closed = False
 
-    async def put(self, data: bytes) -> None:
+    async def write(self, data: bytes) -> None:
         """Send bytes on their way, or lose them without a word."""
-        self.used_at = trio.current_time()
+        self.last_sent_at = trio.current_time()
         if self._is_silent():
             return
         left_at = trio.current_time()
         if self._writer_link is not None:
-            left_at = await self._writer_link.outgoing.carry(len(data))
-        self.put_at(left_at + self._latency(), data)
+            left_at = await self._writer_link.outgoing.transmit(len(data))
+        self.add_arrival(left_at + self._latency(), data)
 
-    def put_at(self, arrival: float, data: bytes) -> None:
+    def add_arrival(self, arrival: float, data: bytes) -> None:
         """Let bytes arrive at a time; those of several writers in its order."""
         if self._reader_link is not None:
-            arrival = self._reader_link.incoming.queue(len(data), arrival)
-        place = len(self._chunks)
-        while place and self._chunks[place - 1][0] > arrival:
-            place -= 1
-        self._chunks.insert(place, (arrival, data))
+            arrival = self._reader_link.incoming.schedule(len(data), arrival)
+        index = len(self._chunks)
+        while index and self._chunks[index - 1][0] > arrival:
+            index -= 1
+        self._chunks.insert(index, (arrival, data))
         self._wakeup.set()
 
     def _is_silent(self) -> bool:
@@ -80,18 +80,18 @@
     def go_silent(self) -> None:
         """Lose all that is sent from now on without a word."""
         self._silent = True
-        self._dead_at = trio.current_time() + self.probe_time
+        self._dead_at = trio.current_time() + self.probe_timeout
         self._wakeup.set()
 
     def close(self) -> None:
         """The writer sends no more; what is on its way arrives before the end."""
-        if self._end is None:
-            self._end = trio.current_time() + self._latency()
+        if self._end_at is None:
+            self._end_at = trio.current_time() + self._latency()
             if self._chunks:
-                self._end = max(self._end, self._chunks[-1][0])
+                self._end_at = max(self._end_at, self._chunks[-1][0])
         self._wakeup.set()
 
-    def break_off(self) -> None:
+    def break_connection(self) -> None:
         """Lose the connection."""
         self.broken = True
         self._wakeup.set()
@@ -99,19 +99,19 @@
     def _latency(self) -> float:
         return self._network.latency(self._source, self._target)
 
-    async def take(self, limit: int) -> bytes:
+    async def read(self, limit: int) -> bytes:
         """Wait for bytes; none at the end."""
         await trio.lowlevel.checkpoint()
         while True:
             if self.broken or trio.current_time() >= self._dead_at:
                 raise trio.BrokenResourceError("the connection was lost")
-            with trio.move_on_after(self.probe_time) as probing:
+            with trio.move_on_after(self.probe_timeout) as probe_scope:
                 if await self._network.wait_while_cut(self._source, self._target):
                     continue
-            if probing.cancelled_caught:
-                self.break_off()
+            if probe_scope.cancelled_caught:
+                self.break_connection()
                 continue
-            due = self._chunks[0][0] if self._chunks else self._end
+            due = self._chunks[0][0] if self._chunks else self._end_at
             if due is not None and due <= trio.current_time():
                 return self._pop(limit) if self._chunks else b""
             self._wakeup = trio.Event()
@@ -139,9 +139,9 @@
         await trio.lowlevel.checkpoint()
         if self._closed:
             raise trio.ClosedResourceError
-        if self._outgoing.broken or self._outgoing.reader_gone:
+        if self._outgoing.broken or self._outgoing.reader_closed:
             raise trio.BrokenResourceError("the other end is gone")
-        await self._outgoing.put(bytes(data))
+        await self._outgoing.write(bytes(data))
 
     async def wait_send_all_might_not_block(self) -> None:
         """Return at once: there is always room."""
@@ -151,19 +151,19 @@
         """Receive bytes; none at the end."""
         if self._closed:
             raise trio.ClosedResourceError
-        return await self._incoming.take(max_bytes or 65536)
+        return await self._incoming.read(max_bytes or 65536)
 
     async def aclose(self) -> None:
         """Close both directions."""
         self._closed = True
         self._outgoing.close()
-        self._incoming.reader_gone = True
+        self._incoming.reader_closed = True
         await trio.lowlevel.checkpoint()
 
     @property
     def used_at(self) -> float:
         """When bytes were sent last, in either direction."""
-        return max(self._incoming.used_at, self._outgoing.used_at)
+        return max(self._incoming.last_sent_at, self._outgoing.last_sent_at)
 
     def go_silent(self) -> None:
         """Lose whatever is sent from now on, in both directions, without a word."""
@@ -172,9 +172,9 @@
 
     def forget(self) -> None:
         """Lose the connection at this end; the other one learns it when it sends."""
-        self._incoming.reader_gone = True
+        self._incoming.reader_closed = True
 
     def reset(self) -> None:
         """Lose the connection at both ends."""
-        self._incoming.break_off()
-        self._outgoing.break_off()
+        self._incoming.break_connection()
+        self._outgoing.break_connection()
--- a/walkcart/standins/store.py
+++ b/walkcart/standins/store.py
@@ -72,7 +72,7 @@
     _slots: dict[str, _Slot] = field(default_factory=dict)
     _revision: int = 0
     _changed: trio.Event = field(default_factory=trio.Event)
-    _late: list[tuple[float, str, bytes, int]] = field(default_factory=list)
+    _late_writes: list[tuple[float, str, bytes, int]] = field(default_factory=list)
 
     def make_server(self) -> StandinServer:
         """Return the server of this store."""
@@ -148,17 +148,17 @@
         expected = int(request.header(b"if-revision") or "0")
         if len(request.body) > VALUE_LIMIT:
             return HttpReply(413)
-        chance = self.random.random()
-        if chance < self.faults.late_write:
+        draw = self.random.random()
+        if draw < self.faults.late_write:
             due = trio.current_time() + self.faults.late_by
-            self._late.append((due, key, request.body, expected))
+            self._late_writes.append((due, key, request.body, expected))
             raise trio.BrokenResourceError("the write is under way")
         slot = self._slots.get(key)
         if (slot.revision if slot else 0) != expected:
             self.calls["conflict"] += 1
             return _reply(409, slot.value, slot.revision) if slot else HttpReply(409)
         self._set(key, request.body)
-        if chance < self.faults.late_write + self.faults.lose_reply:
+        if draw < self.faults.late_write + self.faults.lose_reply:
             raise trio.BrokenResourceError("the reply is lost")
         return _reply(200, b"", self._revision)
 
@@ -185,8 +185,8 @@
     def _apply_late(self) -> None:
         """Let delayed writes take effect, if their revision still stands."""
         now = trio.current_time()
-        due = [item for item in self._late if item[0] <= now]
-        self._late = [item for item in self._late if item[0] > now]
+        due = [item for item in self._late_writes if item[0] <= now]
+        self._late_writes = [item for item in self._late_writes if item[0] > now]
         for _, key, value, expected in due:
             slot = self._slots.get(key)
             if (slot.revision if slot else 0) == expected:
--- a/walkcart/store/backoff.py
+++ b/walkcart/store/backoff.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from random import Random
 
-GROWTH = 2.0
+GROWTH_FACTOR = 2.0
 
 
 class Backoff:
@@ -26,7 +26,7 @@
     def advance(self) -> timedelta:
         """Return the next wait: half to all of a bound that grows."""
         bound = self._next
-        self._next = min(self._next * GROWTH, self._limit)
+        self._next = min(self._next * GROWTH_FACTOR, self._limit)
         return timedelta(seconds=bound * self._random.uniform(0.5, 1.0))
 
     def reset(self) -> None:
--- a/walkcart/store/budget.py
+++ b/walkcart/store/budget.py
@@ -21,7 +21,7 @@
         self._burst = burst
         self._clock = clock
         self._tokens = burst
-        self._then = clock.monotonic()
+        self._refilled_at = clock.monotonic()
 
     async def take(self) -> None:
         """Take one call, waiting until there is one."""
@@ -32,6 +32,6 @@
 
     def _refill(self) -> None:
         now = self._clock.monotonic()
-        earned = (now - self._then) * self._rate
+        earned = (now - self._refilled_at) * self._rate
         self._tokens = min(self._burst, self._tokens + earned)
-        self._then = now
+        self._refilled_at = now
--- a/walkcart/store/calls.py
+++ b/walkcart/store/calls.py
@@ -28,11 +28,11 @@
 
 #: Longest reply that is read, in bytes: a page of many values.
 REPLY_LIMIT = 4 << 20
-CALL_TIME = timedelta(seconds=2)
-IDLE_CONNECTIONS = 2
+CALL_TIMEOUT = timedelta(seconds=2)
+MAX_IDLE_CONNECTIONS = 2
 #: A waiting watch is quiet for long, and its connection may go silent for good while
 #: others work: found after three times this, 3 s.
-PROBE = timedelta(seconds=1)
+PROBE_INTERVAL = timedelta(seconds=1)
 
 
 class StoreUnavailable(Exception):
@@ -72,7 +72,7 @@
         events: EventLog,
         metrics: Metrics,
         tracer: Tracer,
-        call_time: timedelta = CALL_TIME,
+        call_time: timedelta = CALL_TIMEOUT,
     ) -> None:
         self._address = address
         self._network = network
@@ -88,11 +88,11 @@
         #: When calls began to succeed again after a failure, or since the start.
         self.reachable_since = self.last_success
         self._unreachable_since = self.last_success
-        self._on_back: list[Callable[[], None]] = []
-        self._on_success: list[Callable[[], None]] = []
-        self._on_away: list[Callable[[], None]] = []
-        self._back = trio.Event()
-        self._back.set()
+        self._recovery_listeners: list[Callable[[], None]] = []
+        self._success_listeners: list[Callable[[], None]] = []
+        self._outage_listeners: list[Callable[[], None]] = []
+        self._recovered = trio.Event()
+        self._recovered.set()
 
     @property
     def address(self) -> HostPort:
@@ -101,15 +101,15 @@
 
     def on_back(self, listener: Callable[[], None]) -> None:
         """Call `listener` when calls succeed again after a failure."""
-        self._on_back.append(listener)
+        self._recovery_listeners.append(listener)
 
     def on_away(self, listener: Callable[[], None]) -> None:
         """Call `listener` when a call failed after others had succeeded."""
-        self._on_away.append(listener)
+        self._outage_listeners.append(listener)
 
     def on_success(self, listener: Callable[[], None]) -> None:
         """Call `listener` after each call that the service served."""
-        self._on_success.append(listener)
+        self._success_listeners.append(listener)
 
     def unserved_time(self) -> float:
         """Return the seconds since calls began to fail; 0 while they succeed."""
@@ -119,7 +119,7 @@
 
     async def wait_reachable(self) -> None:
         """Wait until the service serves this instance, as far as it is known."""
-        await self._back.wait()
+        await self._recovered.wait()
 
     def move(self, address: HostPort) -> None:
         """Call the service at another address from now on."""
@@ -141,10 +141,10 @@
         """
         await self._budget.take()
         self._metrics.count("store.calls")
-        limit = wait + self._call_time
+        timeout = wait + self._call_time
         span = self._tracer.start("store.call", None, method=request.method)
         with self._tracer.hold(span):
-            with trio.move_on_after(limit.total_seconds()):
+            with trio.move_on_after(timeout.total_seconds()):
                 return await self._exchange(request)
         raise self.fail("no reply in time", True)
 
@@ -161,7 +161,7 @@
         except BaseException:
             await connection.close()
             raise
-        if connection.prepare_next() and len(self._idle) < IDLE_CONNECTIONS:
+        if connection.prepare_next() and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(connection)
         else:
             await connection.close()
@@ -177,7 +177,7 @@
 
     async def _connect(self) -> HttpConnection:
         try:
-            stream = await self._network.connect(self._address, PROBE)
+            stream = await self._network.connect(self._address, PROBE_INTERVAL)
         except OSError as error:
             raise self.fail(str(error), False) from None
         return HttpConnection(stream, str(self._address), REPLY_LIMIT)
@@ -194,8 +194,8 @@
             self._events.emit(Events.STORE_FAILED, detail=detail)
             self.reachable = False
             self._unreachable_since = self._clock.monotonic()
-            self._back = trio.Event()
-            for listener in self._on_away:
+            self._recovered = trio.Event()
+            for listener in self._outage_listeners:
                 listener()
         return StoreUnavailable(uncertain, detail)
 
@@ -206,8 +206,8 @@
             self._events.emit(Events.STORE_BACK)
             self.reachable = True
             self.reachable_since = self.last_success
-            self._back.set()
-            for listener in self._on_back:
+            self._recovered.set()
+            for listener in self._recovery_listeners:
                 listener()
-        for listener in self._on_success:
+        for listener in self._success_listeners:
             listener()
--- a/walkcart/store/currency.py
+++ b/walkcart/store/currency.py
@@ -38,8 +38,8 @@
     def __init__(self, calls: StoreCalls, clock: Clock) -> None:
         self._calls = calls
         self._clock = clock
-        self._noted_at = float("-inf")
-        self._watch_began = float("-inf")
+        self._complete_at = float("-inf")
+        self._watch_started_at = float("-inf")
         self._cut_off = False
         self._interrupted = False
         #: Whether a watch waits.
@@ -48,31 +48,31 @@
     def find(self) -> float:
         """Return the latest time at which the copy was surely complete."""
         if not self.waiting:
-            return self._noted_at
+            return self._complete_at
         # Nothing came by the watch, and the store answered some call.
-        if self._calls.last_success <= self._find_least():
-            return self._noted_at
-        return max(self._noted_at, self._calls.last_success)
+        if self._calls.last_success <= self._find_min_call_time():
+            return self._complete_at
+        return max(self._complete_at, self._calls.last_success)
 
-    def _find_least(self) -> float:
+    def _find_min_call_time(self) -> float:
         """Return the time after which a call must have been served to say anything.
 
         A watch that began anew may bring all that changed since the one before, which
         it hasn't yet when a call was served just before it.
         """
         if self._cut_off:
-            return self._watch_began + CUT_OFF_TIME
-        return self._watch_began if self._interrupted else float("-inf")
+            return self._watch_started_at + CUT_OFF_TIME
+        return self._watch_started_at if self._interrupted else float("-inf")
 
     def note(self, at: float) -> None:
         """Note that the copy was complete at a time."""
-        self._noted_at = max(self._noted_at, at)
+        self._complete_at = max(self._complete_at, at)
 
     @contextmanager
     def watch(self) -> Iterator[None]:
         """Note that a watch waits within the block."""
         self.waiting = True
-        self._watch_began = self._clock.monotonic()
+        self._watch_started_at = self._clock.monotonic()
         try:
             yield
         except BaseException:
--- a/walkcart/store/following.py
+++ b/walkcart/store/following.py
@@ -35,13 +35,13 @@
 from walkcart.store.updates import STORE, Origin, Update, UpdateListener
 
 #: How long one watch waits; a call each, so long is cheap. That its connection went
-#: silent is found by probes (`walkcart.store.calls.PROBE`), not by this.
+#: silent is found by probes (`walkcart.store.calls.PROBE_INTERVAL`), not by this.
 WATCH_WAIT = timedelta(seconds=20)
 #: Pause after a watch returned with changes: a burst of changes is taken at once.
 BURST_PAUSE = timedelta(milliseconds=250)
 #: Times as long a pause after a watch that brought only changes that matter to nobody:
 #: leafs that start together change their entries each second or so.
-IDLE_PAUSES = 1.25
+IDLE_PAUSE_FACTOR = 1.25
 
 #: Longest pause between the first reading and the first watch, unless this instance is
 #: known to be one that watches: one that another one feeds is fed by then, also where
@@ -50,10 +50,10 @@
 
 #: Longest wait, after a failure, until some other call is served: the renewals of the
 #: lease try the service again at a tenth of a call. Past it the copy tries for itself.
-RETURN_PATIENCE = timedelta(seconds=15)
+RECOVERY_WAIT = timedelta(seconds=15)
 #: Pause after the service came back, for whoever doesn't watch for others: those that
 #: do read at once and pass on what they read, so that not all read everything.
-FEED_PATIENCE = timedelta(seconds=1)
+FEED_WAIT = timedelta(seconds=1)
 
 #: Told the old and the new value of an item; whether the difference matters to anyone.
 DifferenceTest = Callable[[bytes, bytes], bool]
@@ -105,17 +105,17 @@
         self._events = events
         self._listener = listener
         self._pause = pause
-        self._matters = matters
-        self._read_past = read_past
-        self._first_fresh = first_fresh
+        self._is_significant = matters
+        self._reread_after = read_past
+        self._fresh_first_read = first_fresh
         self._items: dict[str, Item] = {}
         self._history = ChangeHistory()
-        self._must_read = True
-        self._working: trio.CancelScope | None = None
+        self._needs_read = True
+        self._work_scope: trio.CancelScope | None = None
         self._currency = Currency(calls, clock)
         self._fed = False
         self._feed_lost = trio.Event()
-        self._wanted = trio.Event()
+        self._watch_requested = trio.Event()
         self.prefix = prefix
         self.revision = 0
         self.known = False
@@ -124,7 +124,7 @@
         self.on_current: Callable[[], None] = lambda: None
         #: Called when the next watch begins after a pause.
         self.on_resumed: Callable[[], None] = lambda: None
-        calls.on_back(self.watch_anew)
+        calls.on_back(self.restart_watch)
 
     def items(self) -> Iterable[Item]:
         """Return the items of the copy."""
@@ -153,17 +153,17 @@
         """Return the latest change of each key after a revision; None if unknown."""
         return self._history.changes_after(revision) if self.known else None
 
-    def watch_anew(self) -> None:
+    def restart_watch(self) -> None:
         """Give up the present watch: its connection may have gone silent.
 
         A reading goes on: each of its calls has a time limit.
         """
-        if self._working is not None and self._currency.waiting:
-            self._working.cancel()
+        if self._work_scope is not None and self._currency.waiting:
+            self._work_scope.cancel()
 
     def begin_watching(self) -> None:
         """Watch from now on, also soon after the first reading."""
-        self._wanted.set()
+        self._watch_requested.set()
 
     def set_fed(self, fed: bool) -> None:
         """Note whether another instance feeds the copy."""
@@ -171,8 +171,8 @@
             return
         self._fed = fed
         if fed:
-            if self._working is not None:
-                self._working.cancel()
+            if self._work_scope is not None:
+                self._work_scope.cancel()
         else:
             self._feed_lost.set()
             self._feed_lost = trio.Event()
@@ -184,23 +184,23 @@
             if self._fed:
                 await self._feed_lost.wait()
                 continue
-            with trio.CancelScope() as self._working:
+            with trio.CancelScope() as self._work_scope:
                 await self._work()
-            self._working = None
+            self._work_scope = None
 
     async def _work(self) -> None:
         """Read everything if that is needed, then watch once."""
         await self._wait_for_service()
         try:
             if not self.known:
-                await self._read_all(fresh=self._first_fresh)
+                await self._read_all(fresh=self._fresh_first_read)
                 with trio.move_on_after(FIRST_WATCH_PAUSE.total_seconds()):
-                    await self._wanted.wait()
-            elif self._must_read or self._is_behind():
+                    await self._watch_requested.wait()
+            elif self._needs_read or self._is_behind():
                 await self._read_all(fresh=True)
             result = await self._watch()
             self._backoff.reset()
-            await self._take(result)
+            await self._process_result(result)
         except StoreUnavailable:
             # Logged by the calls, which know whether it is the first failure.
             await trio.sleep(self._backoff.advance().total_seconds())
@@ -209,17 +209,17 @@
         """Wait until it is worth to call again."""
         if not self.known or self._calls.reachable:
             return
-        with trio.move_on_after(RETURN_PATIENCE.total_seconds()):
+        with trio.move_on_after(RECOVERY_WAIT.total_seconds()):
             await self._calls.wait_reachable()
-            with trio.move_on_after(FEED_PATIENCE.total_seconds()):
-                await self._wanted.wait()
+            with trio.move_on_after(FEED_WAIT.total_seconds()):
+                await self._watch_requested.wait()
 
     def _is_behind(self) -> bool:
         """Return whether so much may have changed that a reading is shorter."""
-        if self._read_past is None:
+        if self._reread_after is None:
             return False
         age = self._clock.monotonic() - self.current_at
-        return age > self._read_past.total_seconds()
+        return age > self._reread_after.total_seconds()
 
     async def _watch(self) -> Changes | HistoryLost:
         with self._currency.watch():
@@ -227,11 +227,11 @@
 
     async def _read_all(self, fresh: bool) -> None:
         """Read everything and take it as the copy."""
-        began_at = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         reading = await read_prefix(self._store, self.prefix, fresh)
         if fresh:
             # Before listeners hear of it: they pass on what is current.
-            self._currency.note(began_at)
+            self._currency.note(started_at)
         self.replace(reading.items, reading.revision)
 
     def replace(
@@ -242,30 +242,30 @@
         What differs from the copy so far is kept as changes, to be passed on.
         """
         changes: list[Change] = [
-            item for item in found.values() if self._is_later(item)
+            item for item in found.values() if self._is_newer(item)
         ]
         for key, item in self._items.items():
             if key not in found and item.revision <= revision:
                 # When exactly it was removed isn't known: by then at the latest.
                 changes.append(Removal(key, revision))
-        self._note_gap(revision)
-        self._must_read = False
+        self._record_full_copy(revision)
+        self._needs_read = False
         newly_known = not self.known
         self.known = True
-        self._take_changes(changes, revision, origin, tell=newly_known)
+        self._apply_changes(changes, revision, origin, always_notify=newly_known)
 
-    def _note_gap(self, revision: int) -> None:
+    def _record_full_copy(self, revision: int) -> None:
         """Note that a full copy was taken at a revision."""
         if not self.known:
-            self._history.begin(revision)
+            self._history.start_at(revision)
         elif revision > self.revision:
-            self._history.note_gap(self.revision, revision)
+            self._history.add_gap(self.revision, revision)
 
-    def _is_later(self, item: Item) -> bool:
-        held = self._items.get(item.key)
-        return held is None or held.revision < item.revision
+    def _is_newer(self, item: Item) -> bool:
+        previous = self._items.get(item.key)
+        return previous is None or previous.revision < item.revision
 
-    async def _take(self, result: Changes | HistoryLost) -> None:
+    async def _process_result(self, result: Changes | HistoryLost) -> None:
         match result:
             case HistoryLost():
                 self._events.emit(
@@ -273,15 +273,15 @@
                     prefix=self.prefix,
                     revision=self.revision,
                 )
-                self._must_read = True
+                self._needs_read = True
             case Changes(changes, revision):
-                whole = self._currency.take(changes)
+                is_complete = self._currency.take(changes)
                 pause = self._pause.total_seconds()
                 if not self.apply(changes, revision):
-                    pause *= IDLE_PAUSES
-                if whole:
+                    pause *= IDLE_PAUSE_FACTOR
+                if is_complete:
                     self.on_current()
-                if changes and whole:
+                if changes and is_complete:
                     await trio.sleep(pause)
                     self.on_resumed()
 
@@ -299,42 +299,46 @@
             # All up to the copy's revision is in it: what is older may be removed
             # since, and a feeder that is behind must not bring it back.
             changes = [item for item in changes if item.revision > self.revision]
-        return self._take_changes(changes, revision, origin, tell=False)
+        return self._apply_changes(changes, revision, origin, always_notify=False)
 
-    def _take_changes(
-        self, changes: Iterable[Change], revision: int, origin: Origin, tell: bool
+    def _apply_changes(
+        self,
+        changes: Iterable[Change],
+        revision: int,
+        origin: Origin,
+        always_notify: bool,
     ) -> bool:
         """Take changes in order, and tell of them or anyway; return whether any was."""
         changed = set()
         for change in changes:
-            news = self._apply_one(change, passed_on=origin.source != STORE)
-            if news:
+            is_news = self._apply_change(change, from_feeder=origin.source != STORE)
+            if is_news:
                 changed.add(change.key)
-            if news or isinstance(change, Removal):
+            if is_news or isinstance(change, Removal):
                 # A removal is passed on even if a full copy had shown it already:
                 # whom this copy is passed on to may not have seen that one. If the
                 # key was stored anew since, that is what is passed on.
                 self._history.add(self._items.get(change.key, change))
         self.revision = max(self.revision, revision)
-        if changed or tell:
+        if changed or always_notify:
             self._listener(Update(self._items, frozenset(changed), origin))
             self.on_change(self)
         return bool(changed)
 
-    def _apply_one(self, change: Change, passed_on: bool) -> bool:
+    def _apply_change(self, change: Change, from_feeder: bool) -> bool:
         """Take one change; return whether it is news.
 
         What a feeder passes on was news to it, compared with values that this copy may
         never have had: a leaf that became cold for 1.8 s after 3 s and none.
         """
-        held = self._items.get(change.key)
-        if held is not None and held.revision >= change.revision:
+        previous = self._items.get(change.key)
+        if previous is not None and previous.revision >= change.revision:
             return False
         match change:
             case Item():
                 self._items[change.key] = change
-                if held is None or passed_on:
-                    return held is None or held.value != change.value
-                return self._matters(held.value, change.value)
+                if previous is None or from_feeder:
+                    return previous is None or previous.value != change.value
+                return self._is_significant(previous.value, change.value)
             case Removal():
                 return self._items.pop(change.key, None) is not None
--- a/walkcart/store/history.py
+++ b/walkcart/store/history.py
@@ -16,9 +16,9 @@
 
 #: Keys whose changes are kept: an index that is cut anew at twice the largest
 #: deployment that was measured (405 leafs).
-KEPT_CHANGES = 1000
+MAX_CHANGES = 1000
 #: Full readings that are remembered; before the first of them nothing is known.
-KEPT_GAPS = 20
+MAX_GAPS = 20
 
 
 class ChangeHistory:
@@ -27,7 +27,7 @@
     Examples:
         >>> from walkcart.store.items import Item
         >>> history = ChangeHistory()
-        >>> history.begin(1)
+        >>> history.start_at(1)
         >>> for revision in (2, 3):
         ...     history.add(Item("routes", b"", revision))
         >>> [change.revision for change in history.changes_after(1)]
@@ -36,33 +36,33 @@
 
     def __init__(self) -> None:
         self._changes: dict[str, Change] = {}
-        self._from = 0
+        self._known_since = 0
         #: Pairs of revisions between which only the difference is known.
-        self._gaps: deque[tuple[int, int]] = deque(maxlen=KEPT_GAPS)
+        self._gaps: deque[tuple[int, int]] = deque(maxlen=MAX_GAPS)
         #: Revision of the latest change.
         self.latest = 0
 
-    def begin(self, revision: int) -> None:
+    def start_at(self, revision: int) -> None:
         """Note that nothing is known of what changed before a revision."""
-        self._from = revision
+        self._known_since = revision
 
-    def note_gap(self, before: int, after: int) -> None:
+    def add_gap(self, before: int, after: int) -> None:
         """Note that between two revisions only the difference is known."""
-        if len(self._gaps) == KEPT_GAPS:
-            self._from = max(self._from, self._gaps[0][1])
+        if len(self._gaps) == MAX_GAPS:
+            self._known_since = max(self._known_since, self._gaps[0][1])
         self._gaps.append((before, after))
 
     def add(self, change: Change) -> None:
         """Take a change in place of an earlier one of its key."""
-        held = self._changes.get(change.key)
-        if held is not None and held.revision > change.revision:
+        previous = self._changes.get(change.key)
+        if previous is not None and previous.revision > change.revision:
             return
         self._changes.pop(change.key, None)
         self._changes[change.key] = change
         self.latest = max(self.latest, change.revision)
-        while len(self._changes) > KEPT_CHANGES:
+        while len(self._changes) > MAX_CHANGES:
             dropped = self._changes.pop(next(iter(self._changes)))
-            self._from = max(self._from, dropped.revision)
+            self._known_since = max(self._known_since, dropped.revision)
 
     def changes_after(self, revision: int) -> tuple[Change, ...] | None:
         """Return what changed after a revision; None when that isn't known.
@@ -70,7 +70,7 @@
         Of what a full reading brought it is known only how it differs from the copy
         before it, not what came and went in between.
         """
-        if revision < self._from:
+        if revision < self._known_since:
             return None
         if any(first < revision < last for first, last in self._gaps):
             return None
--- a/walkcart/store/reading.py
+++ b/walkcart/store/reading.py
@@ -34,11 +34,11 @@
         StoreUnavailable: a page couldn't be read.
     """
     found: dict[str, Item] = {}
-    first = 0
+    watch_from = 0
     after = ""
     while True:
         page = await store.list_items(prefix, after, fresh)
-        first = first or page.revision
+        watch_from = watch_from or page.revision
         found.update((item.key, item) for item in page.items)
         if page.last or not page.items:
             break
@@ -46,5 +46,5 @@
     if not fresh:
         # The store's revision may be newer than what it gave: all that came after the
         # latest of these items is to be brought by the watch.
-        first = max((item.revision for item in found.values()), default=0)
-    return Reading(found, first)
+        watch_from = max((item.revision for item in found.values()), default=0)
+    return Reading(found, watch_from)
