--- a/walkcart/kernel/exposition.py
+++ b/walkcart/kernel/exposition.py
@@ -36,19 +36,19 @@
     def collect(self) -> Iterator[MetricFamily]:
         """Yield every metric of the catalogue."""
         for name, metric in CATALOGUE.items():
-            exported_name = PREFIX + name.replace(".", "_")
+            full = PREFIX + name.replace(".", "_")
             match metric.kind:
                 case "counter":
                     value = self._metrics.read(name)
-                    yield CounterMetricFamily(exported_name, metric.help, value)
+                    yield CounterMetricFamily(full, metric.help, value)
                 case "gauge":
                     value = self._metrics.read(name)
-                    yield GaugeMetricFamily(exported_name, metric.help, value)
+                    yield GaugeMetricFamily(full, metric.help, value)
                 case _:
-                    yield self._collect_histogram(name, exported_name, metric.help)
+                    yield self._collect_histogram(name, full, metric.help)
 
     def _collect_histogram(
-        self, name: str, exported_name: str, help_text: str
+        self, name: str, full: str, help_text: str
     ) -> HistogramMetricFamily:
         histogram = self._metrics.read_histogram(name)
         buckets = []
@@ -59,7 +59,7 @@
             cumulative += count
             buckets.append((str(bound), cumulative))
         return HistogramMetricFamily(
-            f"{exported_name}_ms", help_text, buckets=buckets, sum_value=histogram.total
+            f"{full}_ms", help_text, buckets=buckets, sum_value=histogram.total
         )
 
 
--- a/walkcart/store/calls.py
+++ b/walkcart/store/calls.py
@@ -141,10 +141,10 @@
         """
         await self._budget.take()
         self._metrics.count("store.calls")
-        timeout = wait + self._call_time
+        limit = wait + self._call_time
         span = self._tracer.start("store.call", None, method=request.method)
         with self._tracer.hold(span):
-            with trio.move_on_after(timeout.total_seconds()):
+            with trio.move_on_after(limit.total_seconds()):
                 return await self._exchange(request)
         raise self.fail("no reply in time", True)
 
--- a/walkcart/store/following.py
+++ b/walkcart/store/following.py
@@ -262,8 +262,8 @@
             self._history.add_gap(self.revision, revision)
 
     def _is_newer(self, item: Item) -> bool:
-        previous = self._items.get(item.key)
-        return previous is None or previous.revision < item.revision
+        held = self._items.get(item.key)
+        return held is None or held.revision < item.revision
 
     async def _process_result(self, result: Changes | HistoryLost) -> None:
         match result:
@@ -331,14 +331,14 @@
         What a feeder passes on was news to it, compared with values that this copy may
         never have had: a leaf that became cold for 1.8 s after 3 s and none.
         """
-        previous = self._items.get(change.key)
-        if previous is not None and previous.revision >= change.revision:
+        held = self._items.get(change.key)
+        if held is not None and held.revision >= change.revision:
             return False
         match change:
             case Item():
                 self._items[change.key] = change
-                if previous is None or from_feeder:
-                    return previous is None or previous.value != change.value
-                return self._is_significant(previous.value, change.value)
+                if held is None or from_feeder:
+                    return held is None or held.value != change.value
+                return self._is_significant(held.value, change.value)
             case Removal():
                 return self._items.pop(change.key, None) is not None
--- a/walkcart/store/history.py
+++ b/walkcart/store/history.py
@@ -54,8 +54,8 @@
 
     def add(self, change: Change) -> None:
         """Take a change in place of an earlier one of its key."""
-        previous = self._changes.get(change.key)
-        if previous is not None and previous.revision > change.revision:
+        held = self._changes.get(change.key)
+        if held is not None and held.revision > change.revision:
             return
         self._changes.pop(change.key, None)
         self._changes[change.key] = change
