--- a/walkcart/standins/__init__.py
+++ b/walkcart/standins/__init__.py
@@ -1,8 +1,7 @@
-"""Stand-ins for the outside systems, for tests, trials and the bench.
+"""Stand-ins (test doubles) for the systems that walkcart depends on.
 
-Small programs at the interfaces: the key-value service, the leaves, the lagging
-instance list, the balancer, and a network in memory. Nothing of them runs in
-production.
+Tests, trials and the bench use them in place of the key-value service, the leaves, the
+instance list, the load balancer and the network. None of them is used in production.
 """
 
 from walkcart.standins.leaf import LeafSpec, LeafStandin
--- a/walkcart/standins/balancer.py
+++ b/walkcart/standins/balancer.py
@@ -1,7 +1,7 @@
-"""The balancer's stand-in: passes connections on to instances that are ready.
+"""Stand-in of the load balancer: forwards connections to instances that are ready.
 
-It looks at ``/readyz`` of each instance at intervals, so it learns of a stop
-late, as the platform's does.
+It polls ``/readyz`` of each instance, so it notices a stop late, as the platform's load
+balancer does.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class BalancerStandin:
-    """Knows which instances are ready and gives connections by turns.
+    """Distributes connections to the ready instances, round-robin.
 
     Args:
         network: opens connections.
         instances: addresses of the instances.
-        interval: seconds between two looks.
+        interval: seconds between two rounds of readiness checks.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._turn = 0
 
     def choose(self) -> HostPort | None:
-        """Return the next ready instance, or None."""
+        """Return the address of the next ready instance, or None without one."""
         if not self._ready:
             return None
         self._turn += 1
@@ -44,7 +44,7 @@
     async def watch(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Look at the instances until cancelled."""
+        """Check the readiness of the instances until cancelled."""
         await self._check_all()
         task_status.started()
         while True:
@@ -72,7 +72,7 @@
             found[address] = reply.status == 200
 
     async def pass_on(self, client: trio.abc.Stream) -> None:
-        """Pass one connection on."""
+        """Forward one connection to a ready instance, or close it without one."""
         address = self.choose()
         if address is None:
             await trio.aclose_forcefully(client)
--- a/walkcart/standins/faulty.py
+++ b/walkcart/standins/faulty.py
@@ -1,4 +1,4 @@
-"""A stream whose sends can be corrupted."""
+"""A stream that corrupts what is sent on it."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 import trio
 
-#: Given the bytes of one send, returns what is sent instead and whether the
-#: connection closes after it.
+#: Given the bytes of one send, returns the bytes to send instead, and whether the
+#: connection is closed after them.
 Corrupt = Callable[[bytes], tuple[bytes, bool]]
 
 
 class FaultyStream(trio.abc.Stream):
-    """Passes bytes on, corrupted.
+    """A stream whose sends are corrupted.
 
     Args:
-        stream: the true stream.
-        corrupt: what happens to each send.
+        stream: the underlying stream.
+        corrupt: applied to the bytes of each send.
     """
 
     def __init__(self, stream: trio.abc.Stream, corrupt: Corrupt) -> None:
@@ -24,7 +24,7 @@
         self._corrupt = corrupt
 
     async def send_all(self, data: bytes) -> None:
-        """Send what is left of `data`."""
+        """Send `data` after its corruption."""
         sent, close = self._corrupt(bytes(data))
         if sent:
             await self._stream.send_all(sent)
@@ -32,7 +32,7 @@
             await trio.aclose_forcefully(self._stream)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Wait until the stream takes more."""
+        """Wait until the stream accepts more."""
         await self._stream.wait_send_all_might_not_block()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
--- a/walkcart/standins/leaf.py
+++ b/walkcart/standins/leaf.py
@@ -1,7 +1,7 @@
-"""A leaf's stand-in: slots, a queue, index versions, marked rows and faults.
+"""Stand-in of a leaf, with slots, a queue, index versions and injected faults.
 
-Each row of a reply carries the shard, the layout, the version and the scope, so
-a check sees from the rows alone whose they are. What ran is recorded.
+Each row of a reply holds its shard, layout, version and scope, so that a check can tell
+from the rows alone where they come from. The leaf records every request that it ran.
 """
 
 from __future__ import annotations
@@ -30,19 +30,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LeafSpec:
-    """What a leaf is.
+    """The properties of a leaf.
 
     Args:
-        name: unique.
-        group: its shard group, for the label.
+        name: its name, which is unique.
+        group: its shard group, shown as a label.
         shard: number of its shard.
         layout: epoch of its layout.
-        slots: requests that it runs at once.
-        connections: that it takes; more are refused.
-        connect_time: seconds that a new connection costs.
-        median: of the service time, in seconds.
-        spread: of the service time's logarithm.
-        labels: besides group, shard and layout.
+        slots: number of requests that it runs at once.
+        connections: maximum number of connections; further ones are refused.
+        connect_time: seconds that a new connection takes.
+        median: median of the service time, in seconds.
+        spread: standard deviation of the service time's logarithm.
+        labels: its other labels, besides group, shard and layout.
     """
 
     name: str
@@ -57,7 +57,7 @@
     labels: dict[str, str] = field(default_factory=dict)
 
     def all_labels(self) -> dict[str, str]:
-        """Return the labels under which the instance list shows it."""
+        """Return the labels of the leaf in the instance list."""
         own = {
             "group": self.group,
             "shard": str(self.shard),
@@ -68,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One request that the leaf began.
+    """One request that the leaf began to run.
 
     Args:
-        attempt: its id.
-        once_key: of a non-repeatable request, else empty.
-        at: seconds of trio's clock.
-        scope: that it was asked under.
-        body: of the request.
+        attempt: id of the attempt.
+        once_key: once-key of a non-repeatable request; empty for others.
+        at: when the request began, in seconds of trio's clock.
+        scope: scope of the request.
+        body: body of the request.
     """
 
     attempt: str
@@ -86,13 +86,13 @@
 
 
 class LeafStandin:
-    """Serves one shard.
+    """A leaf that serves one shard.
 
     Args:
-        spec: what it is.
-        random: decides service times and faults.
-        versions: index versions that it holds.
-        incarnation: number of its process life.
+        spec: its properties.
+        random: source of service times and faults.
+        versions: the index versions that it holds.
+        incarnation: number of its process incarnation.
     """
 
     def __init__(
@@ -104,7 +104,8 @@
     ) -> None:
         self.spec = spec
         self.faults = LeafFaults()
-        #: Ends the leaf, and returns whether it does, when it begins some requests.
+        #: Called with the body of each request as it begins. Returns whether the
+        #: request ends the leaf, and ends the leaf if so.
         self.ends_under: Callable[[bytes], bool] | None = None
         self.versions = versions
         self.incarnation = incarnation
@@ -125,7 +126,7 @@
         return _LeafServer(self)
 
     def load_version(self, version: int) -> None:
-        """Take a new index version; the oldest one goes."""
+        """Load a new index version, and drop the oldest if there are too many."""
         if version not in self.versions:
             self.versions = tuple(sorted((*self.versions, version)))[-MAX_VERSIONS:]
 
@@ -144,7 +145,7 @@
         return await self._query(request)
 
     def _report_record(self) -> HttpReply:
-        """Tell what ran, for checks from another process."""
+        """Return the requests that ran, for checks from another process."""
         bodies = sorted({run.body.decode("utf-8", "replace") for run in self.runs})
         return reply_json({"once": dict(self.once), "bodies": bodies})
 
@@ -178,7 +179,7 @@
         return self._answer(request, headers)
 
     def _find_refusal(self, headers: dict[bytes, bytes]) -> int | None:
-        """Return the status with which the request is refused, if it is."""
+        """Return the status with which the request is refused, or None."""
         faults = self.faults
         if faults.shed or faults.leaving or self._load >= MAX_LOAD:
             return protocol.STATUS_SHED
@@ -200,7 +201,7 @@
     async def _run(
         self, headers: dict[bytes, bytes], body: bytes, deadline: float
     ) -> int:
-        """Wait for a slot and do the work; return the status."""
+        """Wait for a slot and run the request; return the status of the reply."""
         async with self._slots:
             if trio.current_time() >= deadline:
                 return protocol.STATUS_DEADLINE_PASSED
@@ -215,7 +216,7 @@
                 await trio.sleep_forever()
             await trio.sleep(self._service_time())
             if self.faults.hang:
-                # Past every deadline; then the slot is free again.
+                # Longer than every deadline; then the slot is free again.
                 await trio.sleep(HANG_TIME)
         return 200
 
@@ -277,7 +278,10 @@
         return share > 0 and self._random.random() < share
 
     def corrupt(self, data: bytes) -> tuple[bytes, bool]:
-        """Return the bytes that leave in place of a reply, and whether to close."""
+        """Return the bytes to send in place of `data`, and whether to close after them.
+
+        Only answers to queries, which have a snapshot header, are corrupted.
+        """
         faults = self.faults
         if b"walkcart-snapshot" not in data[:600]:
             return data, False
@@ -295,14 +299,14 @@
 
 
 class _LeafServer(StandinServer):
-    """Counts connections, makes new ones cost time, spoils replies."""
+    """Limits and counts the connections of a leaf, and corrupts its replies."""
 
     def __init__(self, leaf: LeafStandin) -> None:
         super().__init__(leaf.handle)
         self._leaf = leaf
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """Serve one connection, unless the leaf has enough."""
+        """Serve one connection, or refuse it if the leaf has too many."""
         leaf = self._leaf
         if leaf.connections >= leaf.spec.connections:
             leaf.connections_refused += 1
--- a/walkcart/standins/leaf_faults.py
+++ b/walkcart/standins/leaf_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong at a leaf's stand-in."""
+"""Faults that the stand-in of a leaf can be told to have."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 @dataclass(slots=True)
 class LeafFaults:
-    """What goes wrong; all off at first.
+    """Faults of a leaf, all off by default.
 
     Args:
-        slow: factor on the service time.
+        slow: factor of the service time.
         stall_share: share of requests that stall.
         stall_time: seconds that a stall adds.
-        hang: requests are taken and answered only long past their deadlines.
-        shed: every request is refused for load.
-        leaving: states that it leaves, and refuses new work.
-        mute_leaving: when leaving, it refuses but doesn't say why.
-        no_pin: ignores the pin and answers from its newest version.
-        late_version: answers from the version before its newest.
-        partial: states that it sees only a part of its shard.
-        lie_load: the load it states, instead of the true one.
-        drop_reply: share of requests that run without a reply.
-        garbage: share of replies that are no HTTP.
+        hang: whether requests are accepted, but answered long after their deadlines.
+        shed: whether every request is refused because of load.
+        leaving: whether the leaf states that it is leaving, and refuses new requests.
+        mute_leaving: whether a leaving leaf refuses requests without stating why.
+        no_pin: whether the leaf ignores the pin and answers from its newest version.
+        late_version: whether the leaf answers from the version before its newest.
+        partial: whether the leaf states that it sees only a part of its shard.
+        lie_load: the load that the leaf states; None for the true one.
+        drop_reply: share of requests that run, but get no reply.
+        garbage: share of replies that aren't HTTP.
         cut_body: share of replies that end in the middle.
         repeat_reply: share of replies that are sent twice.
         wrong_attempt: share of replies that echo another attempt.
         wrong_scope: share of replies that echo another scope.
-        endless: share of replies whose body doesn't end.
-        bad_rows: share of replies whose body is no JSON.
+        endless: share of replies that end before the stated length of their body.
+        bad_rows: share of replies whose body isn't JSON.
     """
 
     slow: float = 1.0
--- a/walkcart/standins/listing.py
+++ b/walkcart/standins/listing.py
@@ -1,4 +1,4 @@
-"""The instance list's stand-in: rows with a revision, shown late."""
+"""Stand-in of the instance list: rows with a revision, whose changes show up late."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 @dataclass(slots=True, eq=False)
 class ListStandin:
-    """Holds the rows.
+    """An instance list in memory.
 
     Args:
-        lag: seconds until a change is shown.
+        lag: seconds until a change is visible.
         down: whether every read fails.
+        reads: number of reads so far.
     """
 
     lag: float = 0.0
@@ -47,7 +48,7 @@
         self.set_state(name, STATE_GONE)
 
     async def handle(self, request: HttpRequest) -> HttpReply:
-        """Serve the list, or take a row at ``PUT /instances``."""
+        """Serve the list at ``GET /instances``, or store a row at ``PUT``."""
         parts = urlsplit(request.target)
         if parts.path != "/instances":
             return HttpReply(404)
--- a/walkcart/standins/machinelinks.py
+++ b/walkcart/standins/machinelinks.py
@@ -1,4 +1,4 @@
-"""The link of one machine in memory: bytes pass one after the other.
+"""The network link of one machine, which carries bytes one after the other at a rate.
 
 See Also:
     `walkcart.standins.memory.MemoryNetwork`, whose sites may stand for a machine.
@@ -8,9 +8,11 @@
 
 import trio
 
-#: Bytes of one sender that are put on the link at once, so that senders share it.
+#: Maximum number of bytes that one sender puts on the link at once, so that senders
+#: share it.
 CHUNK_SIZE = 16_384
-#: Bytes that wait in the machine before senders are held up: a kernel's buffers.
+#: Number of bytes that wait in the machine before senders are blocked, as in the
+#: buffers of the operating system's kernel.
 BUFFER_SIZE = 65_536
 
 
@@ -18,8 +20,8 @@
     """One direction of a machine's link.
 
     Args:
-        rate: bytes a second that it carries.
-        lag: seconds that the machine takes besides, as one whose processor is busy.
+        rate: its rate, in bytes a second.
+        lag: additional delay by the machine, in seconds, as with a busy processor.
     """
 
     def __init__(self, rate: float, lag: float = 0.0) -> None:
@@ -29,15 +31,15 @@
         self._free_at = float("-inf")
 
     def schedule(self, size: int, at: float) -> float:
-        """Take bytes that come at a time; return when the last of them is through."""
+        """Queue bytes that arrive at a time; return when the last one is through."""
         self._free_at = max(at, self._free_at) + size / self.rate
         self.total_bytes += size
         return self._free_at + self.lag
 
     async def transmit(self, size: int) -> float:
-        """Wait until `size` bytes were taken; return when the last one is through.
+        """Wait until the link has accepted `size` bytes; return when all are through.
 
-        A sender that is cancelled meanwhile has put a part of them on the link.
+        A sender that is cancelled meanwhile has already put some of them on the link.
         """
         left = size
         sent_at = trio.current_time()
@@ -53,8 +55,8 @@
     """Both directions of a machine's link.
 
     Args:
-        rate: bytes a second that each carries.
-        lag: seconds that the machine takes for what comes in, besides.
+        rate: rate of each direction, in bytes a second.
+        lag: additional delay of incoming bytes by the machine, in seconds.
     """
 
     def __init__(self, rate: float, lag: float = 0.0) -> None:
--- a/walkcart/standins/main.py
+++ b/walkcart/standins/main.py
@@ -26,7 +26,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run one kind of stand-in until it is ended."""
+    """Run one kind of stand-in until the process is ended."""
     parser = _make_parser()
     options = parser.parse_args(arguments)
     try:
@@ -77,10 +77,10 @@
 
 
 def list_leaves(words: str) -> list[tuple[LeafSpec, HostPort]]:
-    """Return the leaves that ``GROUP:SHARDS:REPLICAS:IP:PORT`` stands for.
+    """Return the leaves that ``GROUP:SHARDS:REPLICAS:IP:PORT`` describes.
 
     Raises:
-        BadValue: it isn't of that form.
+        BadValue: the text isn't of that form.
     """
     parts = words.split(":")
     expected = f"GROUP:SHARDS:REPLICAS:IP:PORT, not {words!r}"
@@ -98,10 +98,10 @@
 
 
 def choose_leaves(options: argparse.Namespace) -> list[tuple[LeafSpec, HostPort]]:
-    """Return the leaves that this process is to serve.
+    """Return the leaves that this process has to serve.
 
     Raises:
-        BadValue: a leaf that is named isn't among them.
+        BadValue: ``--only`` or ``--without`` names an unknown leaf.
     """
     found = list_leaves(options.leaves)
     names = {spec.name for spec, _ in found}
--- a/walkcart/standins/memory.py
+++ b/walkcart/standins/memory.py
@@ -1,8 +1,8 @@
-"""A network in memory: streams and peer envelopes with latency and cuts.
+"""A network in memory: streams and peer envelopes, with latency and partitions.
 
-It has the interfaces of `walkcart.wire.network.Network` and
-`walkcart.wire.peers.PeerTransport`, so that instances run in one process under
-a mocked clock, with the same outcome for the same seed.
+It implements `walkcart.wire.network.Network` and `walkcart.wire.peers.PeerTransport`,
+so that many instances can run in one process under a mocked clock, with the same
+outcome for the same seed.
 """
 
 from __future__ import annotations
@@ -19,12 +19,19 @@
 from walkcart.standins.pipes import MemoryStream, Pipe
 from walkcart.wire.network import MAX_PROBES
 
-#: One-way seconds between two sites.
+#: Returns the one-way latency between two sites, in seconds.
 LatencyModel = Callable[[str, str], float]
 
 
 class MemoryListener(trio.abc.Listener[MemoryStream]):
-    """Accepts streams at one address."""
+    """Accepts streams at one address.
+
+    Args:
+        network: the network.
+        address: the address to listen at.
+        site: site of the listener.
+        link: link of the listener's machine; None for one without a rate limit.
+    """
 
     def __init__(
         self,
@@ -54,10 +61,10 @@
 
 
 class MemoryNetwork:
-    """Streams and envelopes between sites.
+    """The network that connects all sites.
 
     Args:
-        latency: one-way seconds between two sites.
+        latency: returns the one-way latency between two sites, in seconds.
     """
 
     def __init__(self, latency: LatencyModel = lambda a, b: 0.0005) -> None:
@@ -66,33 +73,36 @@
         self._peers: dict[HostPort, MemoryPeerListener] = {}
         self._cuts: dict[frozenset[str], trio.Event] = {}
         self._next_port = 20_000
-        #: Share of envelopes that are lost, decided by `lose`.
+        #: Called for each envelope; returns whether the envelope is lost.
         self.lose: Callable[[], bool] = lambda: False
-        #: What senders that were dialled up to then send is lost without a word.
+        #: Envelopes of senders that were dialled up to this time are silently lost.
         self.silent_until = float("-inf")
-        #: What streams that were opened up to then carry is lost without a word.
+        #: Bytes on streams that were opened up to this time are silently lost.
         self.streams_silent_until = float("-inf")
 
     def at(self, site: str, link: MachineLink | None = None) -> MemorySite:
-        """Return the network as seen from one site, or from one machine there."""
+        """Return the network as seen from a site, or from a machine at it."""
         return MemorySite(self, site, link)
 
     def cut(self, one: str, other: str) -> None:
-        """Hold up whatever passes between two sites, or within one."""
+        """Partition two sites, or a site within itself, until `heal`.
+
+        Bytes on streams are delayed until then; envelopes are lost.
+        """
         self._cuts.setdefault(frozenset((one, other)), trio.Event())
 
     def heal(self, one: str, other: str) -> None:
-        """End a cut."""
+        """End the partition of two sites."""
         event = self._cuts.pop(frozenset((one, other)), None)
         if event is not None:
             event.set()
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Return whether two sites are cut off from each other."""
+        """Return whether two sites are partitioned."""
         return frozenset((one, other)) in self._cuts
 
     async def wait_while_cut(self, one: str, other: str) -> bool:
-        """Wait for the end of a cut; return whether there was one."""
+        """Wait until two sites aren't partitioned; return whether they were."""
         event = self._cuts.get(frozenset((one, other)))
         if event is None:
             return False
@@ -100,11 +110,11 @@
         return True
 
     def find_streams(self, address: HostPort) -> list[MemoryStream]:
-        """Return the listening side of the streams that were opened to an address."""
+        """Return the listener's ends of all streams that were opened to an address."""
         return list(self._listeners[address].streams)
 
     def assign_port(self, address: HostPort) -> HostPort:
-        """Return `address` with a free port in place of 0."""
+        """Return `address`, with a free port if its port is 0."""
         if address.port:
             return address
         while True:
@@ -116,7 +126,7 @@
     def add_listener(
         self, address: HostPort, site: str, link: MachineLink | None = None
     ) -> MemoryListener:
-        """Listen for streams.
+        """Listen for streams at an address.
 
         Raises:
             OSError: the address is in use.
@@ -140,7 +150,18 @@
         link: MachineLink | None = None,
         probe_interval: timedelta | None = None,
     ) -> MemoryStream:
-        """Open a stream from `site`."""
+        """Open a stream from `site` to `address`.
+
+        Args:
+            address: address of the listener.
+            site: site of the caller.
+            link: link of the caller's machine, if it has one.
+            probe_interval: interval of the caller's probes, which detect a connection
+                that went silent; None for no probes.
+
+        Raises:
+            ConnectionRefusedError: nobody listens at `address`.
+        """
         await trio.lowlevel.checkpoint()
         listener = self._listeners.get(address)
         target = listener.site if listener else site
@@ -161,7 +182,7 @@
     def add_peer_listener(
         self, address: HostPort, site: str, link: MachineLink | None = None
     ) -> MemoryPeerListener:
-        """Listen for envelopes.
+        """Listen for envelopes at an address.
 
         Raises:
             OSError: the address is in use.
@@ -173,16 +194,19 @@
         return self._peers[taken]
 
     def drop_peer_listener(self, listener: MemoryPeerListener) -> None:
-        """Lose envelopes to the listener's address from now on."""
+        """Lose all envelopes to the listener's address from now on."""
         if self._peers.get(listener.address) is listener:
             del self._peers[listener.address]
 
     def has_peer(self, address: HostPort) -> bool:
-        """Return whether anybody takes envelopes at an address."""
+        """Return whether there is a listener for envelopes at an address."""
         return address in self._peers
 
     def latency_to(self, site: str, address: HostPort) -> float:
-        """Return the one-way seconds to whoever takes envelopes at an address."""
+        """Return the one-way latency to a listener for envelopes, in seconds.
+
+        It is 0 if nobody listens at the address.
+        """
         listener = self._peers.get(address)
         return self.latency(site, listener.site) if listener else 0.0
 
@@ -193,13 +217,13 @@
         data: bytes,
         left_at: float = float("-inf"),
     ) -> None:
-        """Bring an envelope on its way, or lose it.
+        """Send an envelope, or lose it.
 
         Args:
-            site: where it is sent from.
-            address: where it is sent to.
-            data: its bytes.
-            left_at: when the last of them leaves the machine, if that is later.
+            site: site of the sender.
+            address: address of the receiver.
+            data: the bytes of the envelope.
+            left_at: when its last byte leaves the machine, if that is later than now.
         """
         listener = self._peers.get(address)
         if listener is None or self.is_cut(site, listener.site) or self.lose():
@@ -210,12 +234,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MemorySite:
-    """The network as seen from one site: a `Network` and two peer transports.
+    """The network as seen from one site: a `Network` and a source of peer transports.
 
     Args:
-        network: the whole of it.
-        site: names the site.
-        link: of the machine there; without one its rate has no limit.
+        network: the network.
+        site: name of the site.
+        link: link of the machine at the site; None for one without a rate limit.
     """
 
     network: MemoryNetwork
@@ -225,17 +249,17 @@
     async def connect(
         self, address: HostPort, probe_interval: timedelta | None = None
     ) -> MemoryStream:
-        """Open a stream."""
+        """Open a stream to `address`."""
         return await self.network.connect(address, self.site, self.link, probe_interval)
 
     async def listen(self, address: HostPort) -> MemoryListener:
-        """Listen for streams."""
+        """Listen for streams at `address`."""
         return self.network.add_listener(address, self.site, self.link)
 
     def port_of(self, listener: MemoryListener) -> int:
-        """Return the port that `listener` took."""
+        """Return the port of `listener`."""
         return listener.address.port
 
     def transport(self) -> MemoryTransport:
-        """Return the transport of envelopes from this site."""
+        """Return a transport of envelopes for this site."""
         return MemoryTransport(self.network, self.site, self.link)
--- a/walkcart/standins/memorypeers.py
+++ b/walkcart/standins/memorypeers.py
@@ -1,8 +1,8 @@
-"""Envelopes between instances in memory.
+"""The transport of peer envelopes in memory.
 
 See Also:
-    `walkcart.wire.peers.PeerTransport`, whose interface this has.
-    `walkcart.standins.memory.MemoryNetwork`, over which they go.
+    `walkcart.wire.peers.PeerTransport`, the interface that it implements.
+    `walkcart.standins.memory.MemoryNetwork`, the network that carries the envelopes.
 """
 
 from __future__ import annotations
@@ -20,9 +20,10 @@
     from walkcart.standins.memory import MemoryNetwork
 
 
-#: One-way times until a connection is up: TCP's handshake, and the two ends' greeting.
+#: Number of one-way trips until a connection is up: TCP's handshake, and the greeting
+#: of both ends.
 CONNECT_TRIPS = 3
-#: Seconds between two tries to connect to an address where nobody listens.
+#: Seconds between two attempts to connect to an address where nobody listens.
 RECONNECT_INTERVAL = 0.05
 
 
@@ -46,13 +47,21 @@
         return await self.pipe.read(1 << 30)
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop listening."""
         self._network.drop_peer_listener(self)
 
 
 @dataclass(frozen=True, slots=True)
 class MemoryPeerSender:
-    """Sends envelopes to one address; what can't arrive is lost."""
+    """Sends envelopes to one address; those that can't arrive are lost.
+
+    Args:
+        network: the network that carries them.
+        address: address of the receiver.
+        site: site of the sender.
+        dialled_at: when the connection was requested.
+        link: link of the sender's machine; None for one without a rate limit.
+    """
 
     network: MemoryNetwork
     address: HostPort
@@ -62,13 +71,13 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether the connection is up, and its other end still listens."""
+        """Whether the connection is up and its other end still listens."""
         return trio.current_time() >= self._connected_at and self.network.has_peer(
             self.address
         )
 
     async def wait_connected(self) -> None:
-        """Wait until the connection is up: a round trip, and half of one to agree."""
+        """Wait until the connection is up, `CONNECT_TRIPS` after it was requested."""
         await trio.lowlevel.checkpoint()
         while not self.is_connected:
             retry_at = trio.current_time() + RECONNECT_INTERVAL
@@ -76,12 +85,12 @@
 
     @property
     def _connected_at(self) -> float:
-        """Return when the connection is up at the earliest."""
+        """Earliest time at which the connection is up."""
         trip = self.network.latency_to(self.site, self.address)
         return self.dialled_at + CONNECT_TRIPS * trip
 
     async def send(self, data: bytes) -> None:
-        """Send one envelope; wait while the machine's link can't take more."""
+        """Send one envelope; wait while the buffer of the machine's link is full."""
         await trio.lowlevel.checkpoint()
         if self.dialled_at <= self.network.silent_until:
             return
@@ -92,22 +101,28 @@
         self.network.deliver(self.site, self.address, data, left_at)
 
     async def close(self) -> None:
-        """Stop."""
+        """Do nothing, since there is no connection to close."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemoryTransport:
-    """A `PeerTransport` in memory."""
+    """A `PeerTransport` in memory, as seen from one site.
+
+    Args:
+        network: the network that carries the envelopes.
+        site: name of the site.
+        link: link of the machine at the site; None for one without a rate limit.
+    """
 
     network: MemoryNetwork
     site: str
     link: MachineLink | None = None
 
     async def listen(self, address: HostPort) -> MemoryPeerListener:
-        """Listen for envelopes."""
+        """Listen for envelopes at `address`."""
         return self.network.add_peer_listener(address, self.site, self.link)
 
     async def dial(self, address: HostPort) -> MemoryPeerSender:
-        """Make a sender."""
+        """Return a sender of envelopes to `address`."""
         now = trio.current_time()
         return MemoryPeerSender(self.network, address, self.site, now, self.link)
--- a/walkcart/standins/pipes.py
+++ b/walkcart/standins/pipes.py
@@ -1,7 +1,7 @@
-"""Byte streams in memory, with latency, cuts and the links of machines.
+"""Byte streams in memory, with latency, network partitions and links of machines.
 
 See Also:
-    `walkcart.standins.memory.MemoryNetwork`, which opens them.
+    `walkcart.standins.memory.MemoryNetwork`, which opens the streams.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class Pipe:
-    """One direction of a stream, or the way of all envelopes to one address.
+    """One direction of a stream, or the queue of all envelopes to one address.
 
     Args:
-        network: that it crosses.
+        network: the network between writer and reader.
         source: site of the writer.
         target: site of the reader.
-        writer_link: of the writer's machine, if that has one.
-        reader_link: of the reader's machine, if that has one.
+        writer_link: link of the writer's machine, if it has one.
+        reader_link: link of the reader's machine, if it has one.
     """
 
     def __init__(
@@ -49,13 +49,13 @@
         self._dead_at = float("inf")
         #: Seconds after which the reader's probes show that the pipe went silent.
         self.probe_timeout = float("inf")
-        #: When bytes were sent last.
+        #: Time of the last write.
         self.last_sent_at = self._opened_at
         self.broken = False
         self.reader_closed = False
 
     async def write(self, data: bytes) -> None:
-        """Send bytes on their way, or lose them without a word."""
+        """Send bytes, or lose them silently if the pipe went silent."""
         self.last_sent_at = trio.current_time()
         if self._is_silent():
             return
@@ -65,7 +65,7 @@
         self.add_arrival(left_at + self._latency(), data)
 
     def add_arrival(self, arrival: float, data: bytes) -> None:
-        """Let bytes arrive at a time; those of several writers in its order."""
+        """Let bytes arrive at a time; bytes of several writers are ordered by it."""
         if self._reader_link is not None:
             arrival = self._reader_link.incoming.schedule(len(data), arrival)
         place = len(self._chunks)
@@ -78,13 +78,13 @@
         return self._silent or self._opened_at <= self._network.streams_silent_until
 
     def go_silent(self) -> None:
-        """Lose all that is sent from now on without a word."""
+        """Lose everything that is sent from now on, without an error at either end."""
         self._silent = True
         self._dead_at = trio.current_time() + self.probe_timeout
         self._wakeup.set()
 
     def close(self) -> None:
-        """The writer sends no more; what is on its way arrives before the end."""
+        """Close the writer's end; bytes that are already sent arrive before the end."""
         if self._end_at is None:
             self._end_at = trio.current_time() + self._latency()
             if self._chunks:
@@ -92,7 +92,7 @@
         self._wakeup.set()
 
     def break_connection(self) -> None:
-        """Lose the connection."""
+        """Break the connection: reads and writes fail from now on."""
         self.broken = True
         self._wakeup.set()
 
@@ -100,7 +100,7 @@
         return self._network.latency(self._source, self._target)
 
     async def read(self, limit: int) -> bytes:
-        """Wait for bytes; none at the end."""
+        """Wait for up to `limit` bytes; return none at the end of the stream."""
         await trio.lowlevel.checkpoint()
         while True:
             if self.broken or trio.current_time() >= self._dead_at:
@@ -127,7 +127,12 @@
 
 
 class MemoryStream(trio.abc.Stream):
-    """One end of a connection."""
+    """One end of a connection in memory.
+
+    Args:
+        incoming: the direction that this end reads.
+        outgoing: the direction that this end writes.
+    """
 
     def __init__(self, incoming: Pipe, outgoing: Pipe) -> None:
         self._incoming = incoming
@@ -144,11 +149,11 @@
         await self._outgoing.write(bytes(data))
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Return at once: there is always room."""
+        """Return at once, since there is always room."""
         await trio.lowlevel.checkpoint()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Receive bytes; none at the end."""
+        """Wait for bytes; return none at the end of the stream."""
         if self._closed:
             raise trio.ClosedResourceError
         return await self._incoming.read(max_bytes or 65536)
@@ -162,19 +167,19 @@
 
     @property
     def used_at(self) -> float:
-        """When bytes were sent last, in either direction."""
+        """Time of the last send in either direction."""
         return max(self._incoming.last_sent_at, self._outgoing.last_sent_at)
 
     def go_silent(self) -> None:
-        """Lose whatever is sent from now on, in both directions, without a word."""
+        """Lose everything that is sent from now on, silently and in both directions."""
         self._incoming.go_silent()
         self._outgoing.go_silent()
 
     def forget(self) -> None:
-        """Lose the connection at this end; the other one learns it when it sends."""
+        """Drop the connection at this end; the other end notices when it sends."""
         self._incoming.reader_closed = True
 
     def reset(self) -> None:
-        """Lose the connection at both ends."""
+        """Break the connection at both ends."""
         self._incoming.break_connection()
         self._outgoing.break_connection()
--- a/walkcart/standins/serving.py
+++ b/walkcart/standins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' servers share."""
+"""The HTTP server that the stand-ins share."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 def reply_json(content: Any, status: int = 200) -> HttpReply:
-    """Return a reply with JSON."""
+    """Return a reply with `content` as JSON."""
     headers = ((b"content-type", b"application/json"),)
     return HttpReply(status, headers, msgspec.json.encode(content))
 
 
 def reply_fault(fault: Fault) -> HttpReply:
-    """Return the reply to bytes that are no request."""
+    """Return the reply to bytes that aren't a valid request."""
     return HttpReply(fault.value)
 
 
 class StandinServer:
-    """Serves one handler at one address.
+    """Serves a handler at an address.
 
     Args:
-        handler: makes the replies.
+        handler: returns the reply to each request.
     """
 
     def __init__(self, handler: Handler) -> None:
@@ -46,7 +46,13 @@
         *,
         task_status: trio.TaskStatus[HostPort] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until cancelled or stopped; tells the address taken."""
+        """Serve until cancelled or stopped.
+
+        Args:
+            network: the network to listen on.
+            address: the address to listen at; port 0 for any free port.
+            task_status: receives the address with its actual port.
+        """
         listener = await network.listen(address)
         self.address = HostPort(address.host, network.port_of(listener))
         self._scope = trio.CancelScope()
@@ -66,10 +72,10 @@
             self._streams.discard(stream)
 
     def forget_connections(self) -> None:
-        """Drop all connections without a word: what comes next is reset."""
+        """Drop all connections silently: the next send of each other end fails."""
         for stream in tuple(self._streams):
             stream.forget()
 
     def stop(self) -> None:
-        """Drop the listener and all connections, as a kill does."""
+        """Drop the listener and all connections, as a kill of the process does."""
         self._scope.cancel()
--- a/walkcart/standins/store.py
+++ b/walkcart/standins/store.py
@@ -1,4 +1,4 @@
-"""The key-value service's stand-in: compare-and-swap and watches, with faults."""
+"""Stand-in of the key-value service: compare-and-swap and watches, with faults."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What goes wrong; all off at first.
+    """Faults of the store, all off by default.
 
     Args:
-        down: every call fails without effect.
+        down: whether every call fails without effect.
         delay: seconds added to each call.
-        lose_reply: share of writes whose reply is lost after the effect.
+        lose_reply: share of writes whose reply is lost after they took effect.
         late_write: share of writes that fail now and take effect later.
-        late_by: seconds until such a write takes effect.
-        stale_read: share of reads that give the value before the last.
-        garbage: share of replies that are rubbish.
-        mute_watches: watches never see a change.
-        repeat_watches: a watch may give what it gave before.
+        late_by: seconds until such a late write takes effect.
+        stale_read: share of reads that return the value before the current one.
+        garbage: share of replies that are garbage.
+        mute_watches: whether watches never see a change.
+        repeat_watches: whether a watch may return an entry that it returned before.
     """
 
     down: bool = False
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class _Slot:
-    """One key: its present value and the one before."""
+    """The current value of a key, and the value before it."""
 
     value: bytes
     revision: int
@@ -54,12 +54,16 @@
 
 @dataclass(slots=True, eq=False)
 class StoreStandin:
-    """Holds the values.
+    """A key-value service in memory.
 
     Args:
-        random: decides the faults.
-        faults: what goes wrong.
+        random: source of the faults.
+        faults: its faults.
         call_time: seconds that a call takes.
+        calls: number of calls so far, by kind.
+        waiting_watches: number of watches that wait now.
+        largest_value: size of the largest value that was stored, in bytes.
+        history: key and revision of each write, in order.
     """
 
     random: Random
@@ -136,7 +140,7 @@
                     return _reply(200, slot.value, slot.revision)
                 if self.faults.down:
                     raise trio.BrokenResourceError("the store is down")
-                # Wakes now and then, so that an outage ends the watch.
+                # Wakes once a second, so that an outage ends the watch.
                 with trio.move_on_at(min(deadline, trio.current_time() + 1)):
                     await self._changed.wait()
         finally:
@@ -183,7 +187,7 @@
         self._changed = trio.Event()
 
     def _apply_late(self) -> None:
-        """Let delayed writes take effect, if their revision still stands."""
+        """Apply the late writes that are due, if their expected revision still holds."""
         now = trio.current_time()
         due = [item for item in self._late_writes if item[0] <= now]
         self._late_writes = [item for item in self._late_writes if item[0] > now]
@@ -193,7 +197,7 @@
                 self._set(key, value)
 
     def _control(self, request: HttpRequest) -> HttpReply:
-        """Change the faults: a JSON object of fields and values."""
+        """Set faults from a JSON object of their fields and values."""
         return apply_control(self.faults, request)
 
 
@@ -202,7 +206,7 @@
 
 
 def apply_control(faults: object, request: HttpRequest) -> HttpReply:
-    """Set fields of `faults` from a JSON body; 400 for unknown ones."""
+    """Set fields of `faults` from a JSON object; reply 400 if a field is unknown."""
     import msgspec
 
     try:
