--- a/walkcart/kernel/tests/test_clock.py
+++ b/walkcart/kernel/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""A machine may be suspended: its steady clock stands still, its boot clock doesn't."""
+"""Suspensions of the machine, which stop its monotonic clock but not its boot clock."""
 
 import time
 from datetime import UTC, datetime, timedelta
@@ -10,7 +10,7 @@
 
 
 class Machine:
-    """A machine whose suspensions the test brings about, in seconds."""
+    """A machine whose suspensions the test simulates, in seconds."""
 
     def __init__(self):
         self.suspended = 0.0
@@ -19,7 +19,7 @@
         return time.monotonic() + self.suspended
 
 
-def test_what_became_due_while_suspended_is_seen_soon_after():
+def test_deadlines_that_passed_during_a_suspension_are_noticed_soon():
     machine = Machine()
 
     async def run():
@@ -40,7 +40,7 @@
     assert trio.run(run, clock=BootClock(machine.read)) < 100 * MAX_WAIT
 
 
-def test_the_time_of_day_counts_what_was_suspended():
+def test_time_of_day_includes_suspended_time():
     machine = Machine()
 
     async def run():
@@ -52,17 +52,20 @@
     assert trio.run(run, clock=BootClock(machine.read)) >= timedelta(seconds=100)
 
 
-def test_the_boot_clock_goes_on():
+def test_boot_clock_does_not_step_back():
     first = read_boot_time()
     assert read_boot_time() >= first
 
 
-def test_messages_that_waited_while_suspended_are_as_old_as_they_are():
-    """The receiver was suspended for 5 s, with the envelope in its socket."""
+def test_age_of_a_message_includes_suspended_time():
+    """Guards against taking a message as new after a suspension of its receiver.
+
+    The receiver is suspended for 5 s while the envelope waits in its socket.
+    """
     there = ClockReadings("there")
     boot, steady = ClockReadings("here"), ClockReadings("here")
     there.record_stamp("here", Stamp("here", sent_at=100.0), now=50.0)
     stamp = there.make_stamp("here", now=51.0)
     assert boot.find_age(stamp, now=106.0) >= 4.9
-    # By a clock that stood still meanwhile the same envelope looks new.
+    # By a clock that stopped meanwhile the same envelope looks new.
     assert steady.find_age(stamp, now=101.0) < 0.1
--- a/walkcart/kernel/tests/test_exposition.py
+++ b/walkcart/kernel/tests/test_exposition.py
@@ -10,7 +10,7 @@
 from walkcart.kernel.metrics import CATALOGUE, Metrics
 
 
-def test_the_page_holds_every_metric_and_its_value():
+def test_page_has_every_metric_with_its_value():
     metrics = Metrics(None, "one")
     metrics.count("query.answered", 3)
     metrics.gauge("leaf.connections", 7)
@@ -30,17 +30,17 @@
     assert values["walkcart_query_time_ms_bucket", "+Inf"] == 3
 
 
-def test_a_reader_that_stops_reading_blocks_nobody_and_is_told_what_it_missed():
+def test_log_sink_drops_and_reports_lines_if_the_reader_stalls():
     reading, writing = os.pipe()
     sink = LogSink(writing, limit=10_000)
     line = "x" * 99 + "\n"
-    # Far more than a pipe and the buffer hold: returns all the same.
+    # This is far more than the pipe and the buffer hold; `write` returns all the same.
     for _ in range(5000):
         sink.write(line)
     assert sink.dropped > 0
     os.set_blocking(reading, False)
     received = b""
-    # A bounded number of reads: each makes room for what waits.
+    # Each read makes room for more of the buffer.
     for _ in range(20):
         with suppress(BlockingIOError):
             received += os.read(reading, 1 << 20)
@@ -53,7 +53,7 @@
     os.close(writing)
 
 
-def test_a_reader_that_is_gone_ends_nothing():
+def test_log_sink_survives_a_closed_reader():
     reading, writing = os.pipe()
     sink = LogSink(writing)
     os.close(reading)
--- a/walkcart/kernel/tests/test_seeing.py
+++ b/walkcart/kernel/tests/test_observability.py
@@ -1,4 +1,4 @@
-"""Logs, metrics and spans: what leaves the process."""
+"""Logs, metrics and spans, as they leave the process."""
 
 import io
 import json
@@ -34,12 +34,12 @@
     assert first["event"] == "leaf_ejected"
     assert first["instance"] == "one"
     assert first["leaf"] == "127.0.0.1:1"
-    # A storm is counted in full, and written only so far.
+    # All events are counted, but only a limited number of lines is written.
     assert len(lines) == MAX_LINES_PER_SECOND
     assert counts == {"leaf_ejected": MAX_LINES_PER_SECOND + 10}
 
 
-def test_the_next_line_says_how_many_were_not_written():
+def test_next_line_reports_the_number_of_dropped_lines():
     async def run():
         stream = io.StringIO()
         log = EventLog("one", TrioClock(), stream)
@@ -55,7 +55,7 @@
     assert run_mocked(run) == [None, 10, None]
 
 
-def test_metrics_go_to_statsd():
+def test_metrics_are_sent_to_statsd():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
         server.settimeout(10)
@@ -70,7 +70,7 @@
     assert metrics.read("query.answered") == 1
 
 
-def test_spans_follow_one_request_through_a_holder(tmp_path):
+def test_spans_follow_one_request_through_another_instance(tmp_path):
     path = tmp_path / "spans.jsonl"
 
     async def run():
@@ -95,7 +95,7 @@
     assert {span["instance"] for span in forwards} <= set(INSTANCES)
 
 
-def test_tracing_that_is_off_passes_the_parent_on():
+def test_parent_is_passed_on_if_tracing_is_off():
     tracer = Tracer("one", "none", 1.0)
     assert tracer.start("x", PARENT) is None
     assert tracer.inject(None, PARENT) == PARENT
--- a/walkcart/kernel/tests/test_settings.py
+++ b/walkcart/kernel/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: flags before variables before defaults, all faults in one go."""
+"""Loading of settings: precedence of the sources, and the report of invalid ones."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 from walkcart.kernel.settings import describe_settings, load_settings
 
 
-def test_flag_goes_before_variable_before_default():
+def test_flag_overrides_variable_overrides_default():
     environment = {"WALKCART_REGION": "hobart", "WALKCART_INSTANCE": "a"}
     loaded = load_settings(["--instance", "b"], environment)
     assert not loaded.faults
@@ -18,7 +18,7 @@
     assert loaded.sources["region"] == "variable WALKCART_REGION"
 
 
-def test_all_faults_are_told_in_one_go():
+def test_all_invalid_settings_are_reported_together():
     words = ["--listen", "localhost:1", "--span-ratio=2", "--nonsense", "--stop-bound"]
     loaded = load_settings(words, {"WALKCART_LOG_LEVEL": "loud", "WALKCART_X": "1"})
     names = {fault.name for fault in loaded.faults}
@@ -37,12 +37,12 @@
     assert load_settings(["--store", "localhost:7100"], {}).faults
 
 
-def test_durations_are_durations():
+def test_durations_are_parsed_as_seconds():
     loaded = load_settings(["--stop-grace", "1.5"], {})
     assert loaded.settings.stop_grace == timedelta(seconds=1.5)
 
 
-def test_variables_of_the_tool_are_left_alone():
+def test_variables_of_the_tool_are_ignored():
     assert not load_settings([], {"WALKCART_TOOL_STORE": "x"}).faults
 
 
@@ -61,7 +61,7 @@
     )
 
 
-def test_daemon_ends_with_2_on_bad_settings():
+def test_daemon_exits_with_2_on_invalid_settings():
     ended = run_daemon("--listen", "x", "--region", "UPPER")
     assert ended.returncode == 2
     assert "listen" in ended.stderr
@@ -69,7 +69,7 @@
     assert "Traceback" not in ended.stderr
 
 
-def test_check_settings_prints_what_is_in_force():
+def test_check_settings_prints_values_and_sources():
     ended = run_daemon("--check-settings", "--region", "hobart")
     assert ended.returncode == 0
     assert "flag --region" in ended.stdout
--- a/walkcart/standins/store.py
+++ b/walkcart/standins/store.py
@@ -187,7 +187,7 @@
         self._changed = trio.Event()
 
     def _apply_late(self) -> None:
-        """Apply the late writes that are due, if their expected revision still holds."""
+        """Apply late writes that are due, if their expected revision still holds."""
         now = trio.current_time()
         due = [item for item in self._late_writes if item[0] <= now]
         self._late_writes = [item for item in self._late_writes if item[0] > now]
--- a/walkcart/store/tests/test_client.py
+++ b/walkcart/store/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The store's client: bad replies end in an error that says what is certain."""
+"""The client of the store: after a bad reply the error tells what is certain."""
 
 from random import Random
 
@@ -15,8 +15,8 @@
 from walkcart.store.client import Conflict, Entry, Written
 
 
-def with_store(action):
-    """Run `action(world, client)` beside a store."""
+def run_with_store(action):
+    """Return the result of `action(world, client)`, run with a store."""
 
     async def run():
         async with trio.open_nursery() as nursery:
@@ -37,27 +37,27 @@
         third = await client.put("a", b"3", first.revision)
         return first, second, third, await client.get("a")
 
-    first, second, third, entry = with_store(act)
+    first, second, third, entry = run_with_store(act)
     assert isinstance(first, Written)
     assert second == Conflict(Entry(b"1", first.revision))
     assert isinstance(third, Written)
     assert entry == Entry(b"3", third.revision)
 
 
-def test_delete_needs_the_revision():
+def test_delete_requires_the_revision():
     async def act(world, client):
         first = await client.put("a", b"1", 0)
         wrong = await client.delete("a", first.revision + 5)
         right = await client.delete("a", first.revision)
         return wrong, right, await client.get("a")
 
-    wrong, right, entry = with_store(act)
+    wrong, right, entry = run_with_store(act)
     assert isinstance(wrong, Conflict)
     assert isinstance(right, Written)
     assert entry is None
 
 
-def test_watch_wakes_on_a_change_and_ends_without_one():
+def test_watch_returns_on_a_change_and_times_out_without_one():
     from datetime import timedelta
 
     async def act(world, client):
@@ -68,13 +68,17 @@
             woken = await client.watch("a", first.revision, timedelta(seconds=5))
         return quiet, woken
 
-    quiet, woken = with_store(act)
+    quiet, woken = run_with_store(act)
     assert quiet is None
     assert woken.value == b"2"
 
 
-def failing(**faults):
-    """Return what a write raises under faults, and whether it took effect."""
+def write_under_faults(**faults):
+    """Return whether a failed write is uncertain, and the value stored after it.
+
+    Args:
+        **faults: faults of the store during the write.
+    """
 
     async def act(world, client):
         for name, value in faults.items():
@@ -83,30 +87,30 @@
             await client.put("a", b"1", 0)
         return raised.value.uncertain, world.store.peek("a")
 
-    return with_store(act)
+    return run_with_store(act)
 
 
 def test_lost_reply_is_uncertain():
-    assert failing(lose_reply=1.0) == (True, b"1")
+    assert write_under_faults(lose_reply=1.0) == (True, b"1")
 
 
 def test_late_write_is_uncertain():
-    assert failing(late_write=1.0) == (True, None)
+    assert write_under_faults(late_write=1.0) == (True, None)
 
 
 def test_outage_is_uncertain_once_the_call_was_sent():
-    assert failing(down=True) == (True, None)
+    assert write_under_faults(down=True) == (True, None)
 
 
 def test_slow_store_is_uncertain():
-    assert failing(delay=30.0)[0] is True
+    assert write_under_faults(delay=30.0)[0] is True
 
 
-def test_garbage_is_no_success():
-    assert failing(garbage=1.0)[0] is True
+def test_garbage_reply_is_uncertain():
+    assert write_under_faults(garbage=1.0)[0] is True
 
 
-def test_store_that_is_not_there_is_certain():
+def test_refused_connection_is_certain():
     async def run():
         async with trio.open_nursery() as nursery:
             world = World(nursery, 1, MemoryNetwork())
@@ -126,7 +130,7 @@
         with pytest.raises(StoreUnavailable):
             await client.watch("a", first.revision, timedelta(seconds=1))
 
-    with_store(act)
+    run_with_store(act)
 
 
 def test_backoff_grows_to_its_limit_with_jitter():
@@ -141,7 +145,7 @@
     assert backoff.advance().total_seconds() <= 1
 
 
-def test_call_budget_holds_the_rate():
+def test_call_budget_limits_the_rate():
     async def run():
         budget = CallBudget(10, 5, TrioClock())
         start = trio.current_time()
--- a/walkcart/store/tests/test_following.py
+++ b/walkcart/store/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Copies of a prefix and the changes by which other copies keep up with them."""
+"""Copies of a prefix, and the changes that keep other copies up to date with them."""
 
 from datetime import timedelta
 from random import Random
@@ -36,11 +36,11 @@
     )
 
 
-def state_of(follower):
+def find_revisions(follower):
     return {item.key: item.revision for item in follower.items()}
 
 
-def read_state(history, revision):
+def find_items(history, revision):
     """Return the items that the store holds at a revision."""
     items = {}
     for change in history[:revision]:
@@ -53,10 +53,13 @@
 
 
 def make_history(draws):
-    """Return changes with the revisions 1, 2 and on; odd draws remove what is there."""
+    """Return changes with the revisions 1, 2 and so on.
+
+    A draw whose second part is true removes its key if that is stored.
+    """
     history = []
     for number, (key, removes) in enumerate(draws, start=1):
-        held = read_state(history, number)
+        held = find_items(history, number)
         if removes and key in held:
             history.append(Removal(key, number))
         else:
@@ -71,48 +74,49 @@
     ),
     st.integers(0, 30),
 )
-def test_a_copy_that_takes_the_changes_after_its_revision_is_equal(draws, steps, base):
+def test_changes_after_its_revision_bring_a_copy_up_to_date(draws, steps, base):
     history = make_history(draws)
     base = min(base, len(history))
     feeder, receiver = make_follower(), make_follower()
     feeder.replace({}, 0)
-    receiver.replace(read_state(history, base), base)
+    receiver.replace(find_items(history, base), base)
     for step, how in steps:
         revision = min(len(history), max(step, feeder.revision))
         match how:
             case "copy":
-                feeder.replace(read_state(history, revision), revision)
+                feeder.replace(find_items(history, revision), revision)
             case "pages":
                 # The last page was read later than the first one.
                 late = min(len(history), revision + 3)
-                feeder.replace(read_state(history, late), revision)
+                feeder.replace(find_items(history, late), revision)
             case "watch":
                 feeder.apply(history[feeder.revision : revision], revision)
     feeder.apply(history[feeder.revision :], len(history))
     changes = feeder.changes_after(base)
     if changes is None:
-        # It can't know: a full copy was taken past what the receiver has.
+        # The changes are unknown, since the feeder took a full copy of a later
+        # revision.
         assert any(how != "watch" for _, how in steps)
         return
     receiver.apply(changes, feeder.revision)
-    assert state_of(receiver) == state_of(feeder)
-    assert state_of(feeder) == {
-        key: item.revision for key, item in read_state(history, len(history)).items()
+    assert find_revisions(receiver) == find_revisions(feeder)
+    assert find_revisions(feeder) == {
+        key: item.revision for key, item in find_items(history, len(history)).items()
     }
 
 
-def test_a_full_reading_is_passed_on_as_what_differs():
+def test_full_read_is_passed_on_as_differences():
     follower = make_follower()
     old = {key: Item(key, b"1", 1) for key in KEYS}
     follower.replace(old, 5)
     follower.replace({**old, "a": Item("a", b"2", 8)}, 9)
     assert follower.changes_after(5) == (Item("a", b"2", 8),)
     assert follower.changes_after(4) is None
-    # Whether anything came and went in between is not known.
+    # It isn't known whether items were added and removed in between.
     assert follower.changes_after(7) is None
 
 
-def test_a_value_that_matters_to_nobody_is_kept_and_not_told():
+def test_insignificant_value_is_kept_without_notification():
     told = []
     follower = make_follower(told, matters=lambda old, new: False)
     follower.replace({}, 0)
@@ -129,18 +133,22 @@
     st.integers(0, 30),
     st.integers(0, 30),
 )
-def test_a_feeder_that_is_behind_never_brings_back_what_was_removed(draws, first, last):
+def test_feeder_that_is_behind_never_restores_removed_items(draws, first, last):
     history = make_history(draws)
     base, behind = sorted(number % (len(history) + 1) for number in (first, last))
     receiver = make_follower()
-    receiver.replace(read_state(history, len(history)), len(history))
-    before = state_of(receiver)
+    receiver.replace(find_items(history, len(history)), len(history))
+    before = find_revisions(receiver)
     receiver.apply(history[base:behind], behind, Origin("behind", 0.1))
-    assert state_of(receiver) == before
+    assert find_revisions(receiver) == before
+
 
+def test_changed_values_from_a_feeder_are_always_significant():
+    """Guards against ignoring a leaf that became cold again, for a shorter time.
 
-def test_what_a_feeder_passes_on_is_news_whatever_this_copy_would_make_of_it():
-    """A leaf that became cold again, for less time than the last that was heard of."""
+    The receiver has missed the value in between, by which the leaf wasn't cold, and the
+    new value alone is no rise over the last one that it has.
+    """
 
     def rises(old, new):
         return int(new) > int(old)
@@ -148,6 +156,6 @@
     told = []
     receiver = make_follower(told, rises)
     receiver.replace({"leaf": Item("leaf", b"3000", 1)}, 1)
-    # The feeder saw 3000, then 0, which it kept to itself, and then 1800.
+    # The feeder saw 3000, then 0, which it didn't pass on, and then 1800.
     receiver.apply([Item("leaf", b"1800", 3)], 3, Origin("feeder", 0.1))
     assert told == [{"leaf"}, {"leaf"}]
--- a/walkcart/store/tests/test_currency.py
+++ b/walkcart/store/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""At which time a copy surely held all that was stored."""
+"""Until when a copy of stored items is known to have been complete."""
 
 from contextlib import suppress
 from types import SimpleNamespace
@@ -18,35 +18,35 @@
     return Currency(calls, clock), clock, calls
 
 
-def serve_later(clock, calls, seconds):
+def serve_call_after(clock, calls, seconds):
     clock.time += seconds
     calls.last_success = clock.time
 
 
-def test_a_call_that_was_served_while_a_watch_paused_is_vouched_for():
+def test_copy_is_complete_at_a_call_served_during_the_pause():
     currency, clock, calls = make_currency()
     currency.take(FEW)
-    serve_later(clock, calls, 0.7)
+    serve_call_after(clock, calls, 0.7)
     clock.time += 0.1
     with currency.watch():
         assert currency.find() == calls.last_success
 
 
-def test_a_call_that_was_served_before_a_watch_resumes_says_nothing():
+def test_call_served_before_a_watch_resumes_proves_nothing():
     currency, clock, calls = make_currency()
     currency.take(FEW)
     noted = clock.time
     with suppress(StoreUnavailable), currency.watch():
         raise StoreUnavailable(True, "no reply in time")
-    serve_later(clock, calls, 9.0)
+    serve_call_after(clock, calls, 9.0)
     with currency.watch():
         assert currency.find() == noted
-        serve_later(clock, calls, 0.1)
+        serve_call_after(clock, calls, 0.1)
         assert currency.find() == clock.time
     assert currency.find() == noted
 
 
-def test_a_watch_that_brought_a_part_is_not_taken_for_all():
+def test_copy_is_not_complete_after_a_watch_that_was_cut_off():
     currency, clock, calls = make_currency()
     currency.note(clock.time)
     noted = clock.time
@@ -54,20 +54,20 @@
     assert not currency.take(MANY)
     assert currency.find() == noted
     with currency.watch():
-        serve_later(clock, calls, CUT_OFF_TIME / 2)
+        serve_call_after(clock, calls, CUT_OFF_TIME / 2)
         assert currency.find() == noted
-        serve_later(clock, calls, CUT_OFF_TIME)
+        serve_call_after(clock, calls, CUT_OFF_TIME)
         assert currency.find() == clock.time
 
 
-def test_a_watch_that_brought_few_changes_is_taken_for_all():
+def test_copy_is_complete_after_a_watch_with_few_changes():
     currency, clock, _ = make_currency()
     clock.time += 1.0
     assert currency.take(FEW)
     assert currency.find() == clock.time
 
 
-def test_few_large_values_may_be_a_part():
+def test_few_large_values_may_be_cut_off():
     currency, _, _ = make_currency()
     large = Item("a", bytes(FULL_BYTES // 2), 1)
     assert currency.take([large])
