--- a/walkcart/standins/memorypeers.py
+++ b/walkcart/standins/memorypeers.py
@@ -77,7 +77,7 @@
         )
 
     async def wait_connected(self) -> None:
-        """Wait until the connection is up: a round trip and a half after the request."""
+        """Wait until the connection is up: a round trip and a half after the dial."""
         await trio.lowlevel.checkpoint()
         while not self.is_connected:
             retry_at = trio.current_time() + RECONNECT_INTERVAL
