--- a/walkcart/standins/balancer.py
+++ b/walkcart/standins/balancer.py
@@ -12,7 +12,9 @@
 from walkcart.wire.http import ExchangeFailed, HttpConnection, HttpRequest
 from walkcart.wire.network import Network
 
+#: Timeout of one readiness check, in seconds.
 CHECK_TIMEOUT = 1.0
+#: Maximum size of the reply to a check, in bytes.
 BODY_LIMIT = 65536
 
 
--- a/walkcart/standins/leaf.py
+++ b/walkcart/standins/leaf.py
@@ -23,8 +23,11 @@
 from walkcart.standins.store import apply_control
 from walkcart.wire.http import HttpReply, HttpRequest
 
+#: Maximum number of requests that run or wait; further ones are refused.
 MAX_LOAD = 64
+#: Maximum number of index versions that a leaf holds.
 MAX_VERSIONS = 2
+#: Seconds that a request takes under the fault `hang`.
 HANG_TIME = 10.0
 
 
--- a/walkcart/standins/leaf_faults.py
+++ b/walkcart/standins/leaf_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the stand-in of a leaf can be told to have."""
+"""Faults that can be injected into the stand-in of a leaf."""
 
 from __future__ import annotations
 
--- a/walkcart/standins/main.py
+++ b/walkcart/standins/main.py
@@ -52,7 +52,7 @@
         action="append",
         default=[],
         metavar="GROUP:SHARDS:REPLICAS:IP:PORT",
-        help="leaves that `leaves` with the same words serves",
+        help="leaves to list: the same argument as that of `leaves`",
     )
     listing.add_argument(
         "--instance",
@@ -69,7 +69,7 @@
     leaves.add_argument("--only", default="", help="name of the one leaf to serve")
     leaves.add_argument("--without", default="", help="name of a leaf to leave out")
     leaves.set_defaults(run=_run_leaves)
-    balancer = kinds.add_parser("balancer", help="passes connections on")
+    balancer = kinds.add_parser("balancer", help="forwards connections")
     balancer.add_argument("--listen", default="127.0.0.1:7102")
     balancer.add_argument("instances", nargs="+", metavar="IP:PORT")
     balancer.set_defaults(run=_run_balancer)
@@ -83,7 +83,7 @@
         BadValue: the text isn't of that form.
     """
     parts = words.split(":")
-    expected = f"GROUP:SHARDS:REPLICAS:IP:PORT, not {words!r}"
+    expected = f"expected GROUP:SHARDS:REPLICAS:IP:PORT, got {words!r}"
     if len(parts) != 5 or not all(part.isdigit() for part in (*parts[1:3], parts[4])):
         raise BadValue(expected)
     group, shards, replicas = parts[0], int(parts[1]), int(parts[2])
@@ -135,7 +135,7 @@
     for words in options.instance:
         parts = words.split(",")
         if len(parts) != 3:
-            raise BadValue(f"NAME,ADDRESS,PEER_ADDRESS, not {words!r}")
+            raise BadValue(f"expected NAME,ADDRESS,PEER_ADDRESS, got {words!r}")
         listing.put(ListedInstance(parts[0], ROLE_INSTANCE, parts[1], parts[2]))
     listing.lag = options.lag
     await listing.make_server().run(TcpNetwork(), parse_host_port(options.listen))
--- a/walkcart/store/backoff.py
+++ b/walkcart/store/backoff.py
@@ -5,6 +5,7 @@
 from datetime import timedelta
 from random import Random
 
+#: Factor of the delay from one failure to the next.
 GROWTH_FACTOR = 2.0
 
 
--- a/walkcart/store/calls.py
+++ b/walkcart/store/calls.py
@@ -29,6 +29,7 @@
 #: Maximum size of a reply, in bytes: a page of many values.
 REPLY_LIMIT = 4 << 20
 CALL_TIMEOUT = timedelta(seconds=2)
+#: Maximum number of idle connections that are kept for later calls.
 MAX_IDLE_CONNECTIONS = 2
 #: Interval of the probes of a connection. While a watch waits its connection is quiet,
 #: and it may go silent for good while others work: this is detected after three
