--- a/walkcart/kernel/settings.py
+++ b/walkcart/kernel/settings.py
@@ -203,7 +203,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedSettings:
     """The result of loading settings.
 
     Args:
@@ -217,12 +217,14 @@
     faults: tuple[InvalidSetting, ...]
 
 
-def flag_of(name: str) -> str:
+def format_flag(name: str) -> str:
     """Return the command-line flag of the setting called `name`."""
     return "--" + name.replace("_", "-")
 
 
-def load_settings(arguments: Sequence[str], environment: Mapping[str, str]) -> Loaded:
+def load_settings(
+    arguments: Sequence[str], environment: Mapping[str, str]
+) -> LoadedSettings:
     """Load the settings from flags and environment variables.
 
     Args:
@@ -243,14 +245,14 @@
             shown = MASK if item.metadata["secret"] else text
             faults.append(InvalidSetting(item.name, shown, source, str(error)))
     faults.extend(_unknown_variables(environment))
-    return Loaded(Settings(**values), sources, tuple(faults))
+    return LoadedSettings(Settings(**values), sources, tuple(faults))
 
 
 def _choose_source(
     name: str, default: str, given: Mapping[str, str], environment: Mapping[str, str]
 ) -> tuple[str, str]:
     if name in given:
-        return given[name], f"flag {flag_of(name)}"
+        return given[name], f"flag {format_flag(name)}"
     variable = ENVIRONMENT_PREFIX + name.upper()
     if variable in environment:
         return environment[variable], f"variable {variable}"
@@ -276,7 +278,7 @@
 def _read_flags(
     arguments: Sequence[str],
 ) -> tuple[dict[str, str], list[InvalidSetting]]:
-    names = {flag_of(item.name): item.name for item in fields(Settings)}
+    names = {format_flag(item.name): item.name for item in fields(Settings)}
     given: dict[str, str] = {}
     faults: list[InvalidSetting] = []
     words = list(arguments)
@@ -294,7 +296,7 @@
     return given, faults
 
 
-def describe_settings(loaded: Loaded) -> list[tuple[str, str, str]]:
+def describe_settings(loaded: LoadedSettings) -> list[tuple[str, str, str]]:
     """Return rows of the name, value and source of each setting; secrets are masked."""
     rows = []
     for item in fields(Settings):
--- a/walkcart/kernel/taskfaults.py
+++ b/walkcart/kernel/taskerrors.py
@@ -19,7 +19,7 @@
 TRACEBACK_LIMIT = 2000
 
 
-def note_task_fault(events: EventLog, task: str, error: Exception) -> None:
+def log_task_error(events: EventLog, task: str, error: Exception) -> None:
     """Log an unexpected error that ended a task, with the end of its traceback.
 
     Args:
--- a/walkcart/platform/apikeys.py
+++ b/walkcart/platform/apikeys.py
@@ -18,7 +18,7 @@
 SCHEME = b"bearer"
 #: Bytes of a key at the most: some ten times those of keys in use, so that a caller
 #: can't have an instance digest whole heads for nothing.
-MOST_KEY_BYTES = 512
+MAX_KEY_BYTES = 512
 #: First and last of the visible characters of ASCII: a key has no others.
 _VISIBLE = (0x21, 0x7E)
 
@@ -41,6 +41,6 @@
 
 def _may_be_key(key: bytes) -> bool:
     first, last = _VISIBLE
-    if not 0 < len(key) <= MOST_KEY_BYTES:
+    if not 0 < len(key) <= MAX_KEY_BYTES:
         return False
     return first <= min(key) and max(key) <= last
--- a/walkcart/platform/tests/crashingplay.py
+++ b/walkcart/platform/tests/crashingscenario.py
@@ -10,11 +10,16 @@
 from walkcart.wire.http import ExchangeFailed
 
 SHARDS = 9
-BAD = "/all/bad"
+CRASHING_TARGET = "/all/bad"
 PLACES = ("north-a", "south-a", "east-a")
 
 
-def play(act, instances=("one", "two", "three"), places=("north-a",), targets=(BAD,)):
+def run_with_crashes(
+    action,
+    instances=("one", "two", "three"),
+    places=("north-a",),
+    targets=(CRASHING_TARGET,),
+):
     """Play with instances before shards and one service of four leafs."""
 
     async def run():
@@ -30,7 +35,7 @@
                 await world.start_instance(name, places[number % len(places)])
                 await world.wait_ready(name)
             await trio.sleep(3)
-            return await act(crashing)
+            return await action(crashing)
 
     return run_mocked(run)
 
--- a/walkcart/platform/tests/crashingworld.py
+++ b/walkcart/platform/tests/crashingworld.py
@@ -14,11 +14,11 @@
 #: Seconds that a leaf runs such a request until it ends.
 CRASH_TIME = 0.01
 #: Seconds until a leaf that ended is back.
-BACK_TIME = 3.0
+RESTART_DELAY = 3.0
 #: Seconds until the entry of a leaf that ended has lapsed.
 LAPSE_TIME = 3.6
 #: Seconds within which all instances know; the platform's bound for its smallest sites.
-CONTACT_TIME = 4.0
+SPREAD_TIME = 4.0
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
     targets: set[str] = field(default_factory=set)
     ended: list[Arrival] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    back_time: float = BACK_TIME
+    restart_delay: float = RESTART_DELAY
     _lives: count = field(default_factory=count)
 
     async def start_shards(
@@ -66,7 +66,7 @@
         await self.world.run_leaf(leaf, service, place)
         return id
 
-    def note_arrival(self, request: str, target: str, leaf: str) -> None:
+    def record_arrival(self, request: str, target: str, leaf: str) -> None:
         """Note that a request reached a leaf."""
         self.arrivals.append(Arrival(trio.current_time(), request, target, leaf))
 
@@ -82,16 +82,16 @@
         self.world.store.remove(f"servers/{id}")
 
     async def _revive(self, id: str) -> None:
-        await trio.sleep(self.back_time)
+        await trio.sleep(self.restart_delay)
         entry = self.world.entries[id]
         await self.start_leaf(entry["backend"], entry["zone"])
 
-    def leafs_alive(self) -> list[str]:
+    def find_running_leaves(self) -> list[str]:
         """Return the ids of the leafs that run."""
         ended = {item.leaf for item in self.ended}
         return [id for id in self.world.leafs if id not in ended]
 
-    def late_tries(self, target: str, after: float = CONTACT_TIME) -> set[str]:
+    def find_late_requests(self, target: str, after: float = SPREAD_TIME) -> set[str]:
         """Return the callers' tries that reached leafs though that was to be known.
 
         Args:
@@ -118,7 +118,7 @@
 
     async def begin(self, id: str, target: str) -> None:
         """Run a request up to where it may end the leaf."""
-        self._around.note_arrival(id, target, self.id)
+        self._around.record_arrival(id, target, self.id)
         if target in self._around.targets:
             await trio.sleep(CRASH_TIME)
             self._around.crash(self.id, id, target)
--- a/walkcart/platform/tests/garbledlinks.py
+++ b/walkcart/platform/tests/garbledlinks.py
@@ -84,7 +84,7 @@
         self._world.nursery.start_soon(bring)
 
 
-def play(seed: int) -> dict[str, int]:
+def run_garbled_links(seed: int) -> dict[str, int]:
     """Ask through spoiled links; return what is to be checked, by name."""
     return run_mocked(_play, seed)
 
@@ -135,7 +135,7 @@
     return sum(1 for count in ran.values() if count > MOST_ATTEMPTS)
 
 
-def check(counts: dict[str, int]) -> list[str]:
+def find_violations(counts: dict[str, int]) -> list[str]:
     """Return what doesn't hold."""
     return [
         f"{name}: {counts[name]}"
@@ -151,8 +151,8 @@
     parser.add_argument("--seeds", type=int, default=10)
     options = parser.parse_args()
     for seed in range(options.seed, options.seed + options.seeds):
-        counts = play(seed)
-        print(seed, check(counts) or "held", counts, flush=True)
+        counts = run_garbled_links(seed)
+        print(seed, find_violations(counts) or "held", counts, flush=True)
 
 
 if __name__ == "__main__":
--- a/walkcart/platform/tests/leafstandin.py
+++ b/walkcart/platform/tests/leafstandin.py
@@ -22,7 +22,7 @@
         status: of every answer, if not 0.
         fail_first: status of every answer, which is given before anything is run.
         drop: every request is run and its connection closed without an answer.
-        drop_share: share of the requests of which that is true, by lots.
+        drop_rate: share of the requests of which that is true, by lots.
         other_id: echoes the id of another request.
         unstamped: answers lack their stamp.
     """
@@ -33,7 +33,7 @@
     status: int = 0
     fail_first: int = 0
     drop: bool = False
-    drop_share: float = 0.0
+    drop_rate: float = 0.0
     other_id: bool = False
     unstamped: bool = False
 
@@ -56,11 +56,11 @@
     ran: list[str] = field(default_factory=list)
     finished: list[str] = field(default_factory=list)
     running: int = 0
-    lots: Random = field(init=False)
+    random: Random = field(init=False)
 
     def __post_init__(self) -> None:
         """Draw the same lots in each run."""
-        self.lots = Random(self.id)
+        self.random = Random(self.id)
 
     def make_server(self) -> StandinServer:
         """Return the server of this leaf."""
@@ -96,7 +96,7 @@
         finally:
             self.running -= 1
         self.finished.append(id)
-        if self.faults.drop or self.lots.random() < self.faults.drop_share:
+        if self.faults.drop or self.random.random() < self.faults.drop_rate:
             # The server closes the connection when there is no reply.
             return None
         if self.faults.other_id:
--- a/walkcart/platform/tests/platformworld.py
+++ b/walkcart/platform/tests/platformworld.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from walkcart.daemon.tenant import Tenant, TenantSurroundings, assemble_tenant
+from walkcart.daemon.tenant import Tenant, TenantEnvironment, assemble_tenant
 from walkcart.kernel.clock import TrioClock
 from walkcart.kernel.settings import HostPort
 from walkcart.platform.settings import PlatformSettings
@@ -152,7 +152,7 @@
             name, data_centre, self.store_address, self.repeat_allowance
         )
         site = self.network.at(site_name or data_centre, link)
-        around = TenantSurroundings(
+        around = TenantEnvironment(
             site, site.transport(), TrioClock(), Random(7), self.log
         )
         tenant = await assemble_tenant(settings, around)
@@ -285,7 +285,7 @@
     return {"name": name, "apiKeys": list(keys), **fields}
 
 
-def show_key(key: str) -> tuple[tuple[bytes, bytes], ...]:
+def make_key_headers(key: str) -> tuple[tuple[bytes, bytes], ...]:
     """Return the header by which a caller shows its key."""
     return ((b"authorization", f"Bearer {key}".encode()),)
 
--- a/walkcart/platform/tests/soakteams.py
+++ b/walkcart/platform/tests/soakteams.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from walkcart.platform.tests.platformworld import make_team, show_key
+from walkcart.platform.tests.platformworld import make_key_headers, make_team
 from walkcart.wire.http import Headers, HttpRequest
 
 TEAMS = ("riders", "fitters")
@@ -56,7 +56,7 @@
     def show(self, id: str, key: str) -> Headers:
         """Return the headers that show a key with a request."""
         self._shown[id] = key
-        return ((b"x-tenant", b"anybody"), *show_key(key))
+        return ((b"x-tenant", b"anybody"), *make_key_headers(key))
 
     def is_stranger(self, id: str) -> bool:
         """Return whether a request showed the key that nobody has."""
--- a/walkcart/platform/tests/storestandin.py
+++ b/walkcart/platform/tests/storestandin.py
@@ -17,9 +17,9 @@
 PAGE = 50
 #: Bytes of the values that one watch returns, as encoded; the rest come with the next.
 #: Seen on the platform: a watch from an old revision doesn't bring the newest.
-WATCH_BYTES = 1 << 20
+MAX_WATCH_BYTES = 1 << 20
 #: Changes that one watch returns; seen on the platform, too.
-WATCH_EVENTS = 500
+MAX_WATCH_EVENTS = 500
 
 
 @dataclass(slots=True)
@@ -157,7 +157,7 @@
         size = 0
         for number, event in enumerate(events):
             size += len(event.get("value", ""))
-            if number == WATCH_EVENTS or (number and size > WATCH_BYTES):
+            if number == MAX_WATCH_EVENTS or (number and size > MAX_WATCH_BYTES):
                 return {
                     "events": events[:number],
                     "asOf": events[number - 1]["revision"],
--- a/walkcart/platform/tests/test_store_calls.py
+++ b/walkcart/platform/tests/test_store_calls.py
@@ -14,7 +14,7 @@
 from walkcart.membership.instancerecord import INSTANCE_PREFIX
 from walkcart.membership.registration import Registration
 from walkcart.membership.relaying import Relay
-from walkcart.platform.tests.changesinforce import DATA_CENTRES, STORE, Estate
+from walkcart.platform.tests.changedelays import DATA_CENTRES, STORE, Fleet
 from walkcart.platform.tests.platformworld import make_route, open_platform
 from walkcart.platform.tests.test_start_calls import CENTRES, add_prices, open_fleet
 
@@ -221,7 +221,7 @@
 def test_feeders_that_are_turned_away_are_replaced_by_few():
     async def run():
         async with open_platform() as world:
-            estate = Estate(world)
+            estate = Fleet(world)
             await estate.start_many(FED, DATA_CENTRES[:1])
             before = len(world.store.targets)
             async with trio.open_nursery() as nursery:
@@ -231,7 +231,7 @@
                     await trio.sleep(1)
                     estate.change()
             await trio.sleep(20)
-            return add_prices(world.store.targets[before:]), estate.find_worst()
+            return add_prices(world.store.targets[before:]), estate.find_max_delay()
 
     price, worst = run_mocked(run)
     assert worst <= BOUND
--- a/walkcart/platform/tests/test_suspended_instances.py
+++ b/walkcart/platform/tests/test_suspended_instances.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from walkcart.daemon.tenant import TenantSurroundings, assemble_tenant
+from walkcart.daemon.tenant import TenantEnvironment, assemble_tenant
 from walkcart.intent.routekeeper import RouteKeeper
 from walkcart.kernel.clock import BootClock, TrioClock
 from walkcart.kernel.eventlog import EventLog
@@ -100,7 +100,7 @@
         trio.run(self._run, clock=BootClock(self.machine.read))
 
     async def _run(self):
-        around = TenantSurroundings(
+        around = TenantEnvironment(
             TcpNetwork(), NngTransport(), TrioClock(), Random(7), self.log
         )
         self.tenant = await assemble_tenant(self.settings, around)
--- a/walkcart/platform/tests/test_teams.py
+++ b/walkcart/platform/tests/test_teams.py
@@ -6,7 +6,7 @@
 
 from walkcart.kernel.exposition import render_metrics
 from walkcart.kernel.metrics import Metrics
-from walkcart.platform.tests.platformworld import REGIONS, make_team, show_key
+from walkcart.platform.tests.platformworld import REGIONS, make_key_headers, make_team
 from walkcart.platform.tests.teamworld import (
     CLAIMS,
     DATA_CENTRES,
@@ -37,7 +37,9 @@
                 trouble_leafs(world)
             for path in PATHS:
                 for name in DATA_CENTRES * 3:
-                    await world.ask(path, name, headers=CLAIMS + show_key(RIDERS))
+                    await world.ask(
+                        path, name, headers=CLAIMS + make_key_headers(RIDERS)
+                    )
         return list_arrived(world)
 
     arrived = with_teams(act)
@@ -56,11 +58,13 @@
         for key in (RIDERS, FITTERS, "unknown-secret-key"):
             for path in (*PATHS, "/open/x", "/none/x"):
                 for name in DATA_CENTRES:
-                    await world.ask(path, name, headers=show_key(key))
-        await world.ask("/one/x", "north-a", headers=show_key("secret-key x"))
+                    await world.ask(path, name, headers=make_key_headers(key))
+        await world.ask("/one/x", "north-a", headers=make_key_headers("secret-key x"))
         world.store.faults.refusal = 503
         await trio.sleep(5)
-        await world.ask("/one/x", "north-a", headers=show_key("later-secret-key"))
+        await world.ask(
+            "/one/x", "north-a", headers=make_key_headers("later-secret-key")
+        )
         world.store.faults.refusal = 0
         content = msgspec.json.decode(world.store.rows["op/config"].value)
         content["version"] += 1
@@ -97,7 +101,7 @@
 
 def test_without_teams_requests_pass_as_they_came(monkeypatch):
     sent = watch_messages(monkeypatch)
-    headers = ((b"x-tenant", b"clerks"), *show_key(RIDERS), (b"accept", b"*/*"))
+    headers = ((b"x-tenant", b"clerks"), *make_key_headers(RIDERS), (b"accept", b"*/*"))
 
     async def act(world):
         for path in (*PATHS, "/open/x"):
@@ -131,10 +135,10 @@
             for name in DATA_CENTRES
             for headers in (
                 (),
-                show_key("unknown"),
-                show_key(RIDERS) * 2,
-                show_key(RIDERS) + show_key(FITTERS),
-                show_key("k" * 4000),
+                make_key_headers("unknown"),
+                make_key_headers(RIDERS) * 2,
+                make_key_headers(RIDERS) + make_key_headers(FITTERS),
+                make_key_headers("k" * 4000),
                 ((b"authorization", b"Basic abc"),),
                 ((b"x-tenant", b"riders"),),
             )
@@ -160,8 +164,8 @@
     ("headers", "told"),
     [
         (CLAIMS, ()),
-        (CLAIMS + show_key("unknown"), ()),
-        (CLAIMS + show_key(FITTERS), (b"fitters",)),
+        (CLAIMS + make_key_headers("unknown"), ()),
+        (CLAIMS + make_key_headers(FITTERS), (b"fitters",)),
     ],
 )
 def test_a_public_route_takes_all_and_tells_the_team_of_a_known_key(headers, told):
@@ -178,8 +182,8 @@
 
 def test_an_empty_list_of_teams_lets_nobody_in_but_on_public_routes():
     async def act(world):
-        one = await world.ask("/one/x", "north-a", headers=show_key(RIDERS))
-        public = await world.ask("/open/x", "north-a", headers=show_key(RIDERS))
+        one = await world.ask("/one/x", "north-a", headers=make_key_headers(RIDERS))
+        public = await world.ask("/open/x", "north-a", headers=make_key_headers(RIDERS))
         return one.status, public.status
 
     assert with_teams(act, teams=[]) == (401, 200)
@@ -193,7 +197,7 @@
         statuses = set()
         for path in PATHS:
             for name in DATA_CENTRES * 2:
-                reply = await world.ask(path, name, headers=show_key(RIDERS))
+                reply = await world.ask(path, name, headers=make_key_headers(RIDERS))
                 statuses.add(reply.status)
         regions = {
             REGIONS[world.entries[id]["zone"]]
@@ -211,8 +215,8 @@
     lost = [make_team("riders", RIDERS, allowedRegions=["west"]), TEAMS[1]]
 
     async def act(world):
-        refused = await world.ask("/one/x", "north-a", headers=show_key(RIDERS))
-        served = await world.ask("/one/x", "north-a", headers=show_key(FITTERS))
+        refused = await world.ask("/one/x", "north-a", headers=make_key_headers(RIDERS))
+        served = await world.ask("/one/x", "north-a", headers=make_key_headers(FITTERS))
         world.configure(*ROUTES, teams=lost)
         await trio.sleep(IN_FORCE)
         lines = [
--- a/walkcart/standins/balancer.py
+++ b/walkcart/standins/balancer.py
@@ -73,7 +73,7 @@
                 return
             found[address] = reply.status == 200
 
-    async def pass_on(self, client: trio.abc.Stream) -> None:
+    async def forward(self, client: trio.abc.Stream) -> None:
         """Forward one connection to a ready instance, or close it without one."""
         address = self.choose()
         if address is None:
--- a/walkcart/standins/pipes.py
+++ b/walkcart/standins/pipes.py
@@ -166,7 +166,7 @@
         await trio.lowlevel.checkpoint()
 
     @property
-    def used_at(self) -> float:
+    def last_sent_at(self) -> float:
         """Time of the last send in either direction."""
         return max(self._incoming.last_sent_at, self._outgoing.last_sent_at)
 
@@ -175,7 +175,7 @@
         self._incoming.go_silent()
         self._outgoing.go_silent()
 
-    def forget(self) -> None:
+    def drop_silently(self) -> None:
         """Drop the connection at this end; the other end notices when it sends."""
         self._incoming.reader_closed = True
 
--- a/walkcart/standins/serving.py
+++ b/walkcart/standins/serving.py
@@ -71,7 +71,7 @@
         finally:
             self._streams.discard(stream)
 
-    def forget_connections(self) -> None:
+    def drop_connections_silently(self) -> None:
         """Drop all connections silently: the next send of each other end fails."""
         for stream in tuple(self._streams):
             stream.forget()
--- a/walkcart/store/backoff.py
+++ b/walkcart/store/backoff.py
@@ -24,7 +24,7 @@
         self._random = random
         self._next = self._first
 
-    def advance(self) -> timedelta:
+    def next_delay(self) -> timedelta:
         """Return the next delay, at random between half of a growing bound and all."""
         bound = self._next
         self._next = min(self._next * GROWTH_FACTOR, self._limit)
--- a/walkcart/store/budget.py
+++ b/walkcart/store/budget.py
@@ -23,7 +23,7 @@
         self._tokens = burst
         self._refilled_at = clock.monotonic()
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Take one token, and wait until the bucket has earned it."""
         self._refill()
         self._tokens -= 1
--- a/walkcart/store/calls.py
+++ b/walkcart/store/calls.py
@@ -102,11 +102,11 @@
         """Address at which the service is called."""
         return self._address
 
-    def on_back(self, listener: Callable[[], None]) -> None:
+    def on_recovered(self, listener: Callable[[], None]) -> None:
         """Call `listener` whenever calls succeed again after a failure."""
         self._recovery_listeners.append(listener)
 
-    def on_away(self, listener: Callable[[], None]) -> None:
+    def on_unreachable(self, listener: Callable[[], None]) -> None:
         """Call `listener` whenever a call fails after calls had succeeded."""
         self._outage_listeners.append(listener)
 
@@ -114,7 +114,7 @@
         """Call `listener` after each call that the service has served."""
         self._success_listeners.append(listener)
 
-    def unserved_time(self) -> float:
+    def find_outage_time(self) -> float:
         """Return the seconds since calls began to fail, or 0 while they succeed."""
         if self.reachable:
             return 0.0
@@ -124,7 +124,7 @@
         """Wait until the service is reachable, as far as this instance knows."""
         await self._recovered.wait()
 
-    def move(self, address: HostPort) -> None:
+    def set_address(self, address: HostPort) -> None:
         """Call the service at `address` from now on."""
         if address != self._address:
             self._address = address
@@ -142,14 +142,14 @@
         Raises:
             StoreUnavailable: the service sent no reply, or not in time.
         """
-        await self._budget.take()
+        await self._budget.acquire()
         self._metrics.count("store.calls")
         limit = wait + self._call_time
         span = self._tracer.start("store.call", None, method=request.method)
-        with self._tracer.hold(span):
+        with self._tracer.end_on_exit(span):
             with trio.move_on_after(limit.total_seconds()):
                 return await self._exchange(request)
-        raise self.fail("no reply in time", True)
+        raise self.record_failure("no reply in time", True)
 
     async def _exchange(self, request: HttpRequest) -> HttpReply:
         """Exchange the request on a connection that no other call uses meanwhile.
@@ -163,7 +163,7 @@
             reply = await connection.exchange(request)
         except ExchangeFailed as error:
             await connection.close()
-            raise self.fail(str(error), error.sent) from None
+            raise self.record_failure(str(error), error.sent) from None
         except BaseException:
             await connection.close()
             raise
@@ -185,15 +185,15 @@
         try:
             stream = await self._network.connect(self._address, PROBE_INTERVAL)
         except OSError as error:
-            raise self.fail(str(error), False) from None
+            raise self.record_failure(str(error), False) from None
         return HttpConnection(stream, str(self._address), REPLY_LIMIT)
 
-    def reject(self, detail: str) -> StoreUnavailable:
+    def reject_reply(self, detail: str) -> StoreUnavailable:
         """Log a reply that can't be understood, and return the error to raise."""
         self._events.emit(Events.STORE_BAD_REPLY, detail=detail)
         return StoreUnavailable(True, detail)
 
-    def fail(self, detail: str, uncertain: bool) -> StoreUnavailable:
+    def record_failure(self, detail: str, uncertain: bool) -> StoreUnavailable:
         """Record that the service didn't serve a call; return the error to raise."""
         self._metrics.count("store.failed")
         if self.reachable:
@@ -205,7 +205,7 @@
                 listener()
         return StoreUnavailable(uncertain, detail)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Record that the service served a call."""
         self.last_success = self._clock.monotonic()
         if not self.reachable:
--- a/walkcart/store/following.py
+++ b/walkcart/store/follower.py
@@ -22,7 +22,7 @@
 from walkcart.kernel.events import Events
 from walkcart.store.backoff import Backoff
 from walkcart.store.calls import StoreCalls, StoreUnavailable
-from walkcart.store.currency import Currency
+from walkcart.store.freshness import CopyFreshness
 from walkcart.store.history import ChangeHistory
 from walkcart.store.items import (
     Change,
@@ -82,13 +82,13 @@
         events: log of the reads that a lost history made necessary.
         listener: called at each change of the copy, and once when it was first read.
         pause: pause after a watch that brought changes.
-        matters: whether the difference between two values of an item is significant. A
+        is_significant: whether the difference between two values of an item is significant. A
             value that differs only insignificantly is kept, but the listener isn't
             called and the change isn't passed on.
-        read_past: a copy that was last current longer ago than this is read again in
+        reread_after: a copy that was last current longer ago than this is read again in
             full, since a watch from its revision would bring all versions since; None
             to always watch.
-        first_fresh: whether the first read must be of the newest state. A read that may
+        fresh_first_read: whether the first read must be of the newest state. A read that may
             be seconds old costs a tenth, and the first watch or feed brings the rest.
     """
 
@@ -102,9 +102,9 @@
         events: EventLog,
         listener: UpdateListener,
         pause: timedelta = BURST_PAUSE,
-        matters: DifferenceTest = differ,
-        read_past: timedelta | None = None,
-        first_fresh: bool = True,
+        is_significant: DifferenceTest = differ,
+        reread_after: timedelta | None = None,
+        fresh_first_read: bool = True,
     ) -> None:
         self._store = store
         self._calls = calls
@@ -113,14 +113,14 @@
         self._events = events
         self._listener = listener
         self._pause = pause
-        self._is_significant = matters
-        self._reread_after = read_past
-        self._fresh_first_read = first_fresh
+        self._is_significant = is_significant
+        self._reread_after = reread_after
+        self._fresh_first_read = fresh_first_read
         self._items: dict[str, Item] = {}
         self._history = ChangeHistory()
         self._needs_read = True
         self._work_scope: trio.CancelScope | None = None
-        self._currency = Currency(calls, clock)
+        self._currency = CopyFreshness(calls, clock)
         self._fed = False
         self._feed_lost = trio.Event()
         self._watch_requested = trio.Event()
@@ -131,8 +131,8 @@
         #: Called after a watch that made the copy complete.
         self.on_current: Callable[[], None] = lambda: None
         #: Called when the pause after a watch ends, just before the next watch.
-        self.on_resumed: Callable[[], None] = lambda: None
-        calls.on_back(self.restart_watch)
+        self.on_watch_resumed: Callable[[], None] = lambda: None
+        calls.on_recovered(self.restart_watch)
 
     def items(self) -> Iterable[Item]:
         """Return all items of the copy."""
@@ -146,16 +146,16 @@
     @property
     def current_at(self) -> float:
         """Latest time at which the copy is known to have been complete."""
-        return self._currency.find()
+        return self._currency.find_complete_time()
 
     def find_age(self) -> float:
         """Return the seconds since `current_at`; infinite before the first read."""
         return self._clock.monotonic() - self.current_at
 
-    def note_current(self, revision: int, at: float) -> None:
+    def record_current(self, revision: int, at: float) -> None:
         """Record that at a time the copy was complete up to a revision."""
         self.revision = max(self.revision, revision)
-        self._currency.note(at)
+        self._currency.record_complete(at)
 
     def changes_after(self, revision: int) -> tuple[Change, ...] | None:
         """Return the latest change of each key after a revision, or None if unknown."""
@@ -211,7 +211,7 @@
             await self._process_result(result)
         except StoreUnavailable:
             # `StoreCalls` logs it, as it knows whether this is the first failure.
-            await trio.sleep(self._backoff.advance().total_seconds())
+            await trio.sleep(self._backoff.next_delay().total_seconds())
 
     async def _wait_for_service(self) -> None:
         """Wait, after a failure, until another call to the service makes sense."""
@@ -243,7 +243,7 @@
         if fresh:
             # Recorded before the listener is called, which passes on until when the
             # copy is complete.
-            self._currency.note(started_at)
+            self._currency.record_complete(started_at)
         self.replace(reading.items, reading.revision)
 
     def replace(
@@ -292,7 +292,7 @@
                 )
                 self._needs_read = True
             case Changes(changes, revision):
-                is_complete = self._currency.take(changes)
+                is_complete = self._currency.record_changes(changes)
                 pause = self._pause.total_seconds()
                 if not self.apply(changes, revision):
                     pause *= IDLE_PAUSE_FACTOR
@@ -300,7 +300,7 @@
                     self.on_current()
                 if changes and is_complete:
                     await trio.sleep(pause)
-                    self.on_resumed()
+                    self.on_watch_resumed()
 
     def apply(
         self, changes: Iterable[Change], revision: int, origin: Origin = Origin()
--- a/walkcart/store/currency.py
+++ b/walkcart/store/freshness.py
@@ -1,7 +1,7 @@
 """Until when a copy of stored items is known to have been complete.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which keeps such a copy.
+    `walkcart.store.follower.PrefixFollower`, which keeps such a copy.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     return len(changes) >= FULL_CHANGES or size >= FULL_BYTES
 
 
-class Currency:
+class CopyFreshness:
     """Finds the latest time at which a copy was complete.
 
     Args:
@@ -47,7 +47,7 @@
         #: Whether a watch is waiting for changes.
         self.waiting = False
 
-    def find(self) -> float:
+    def find_complete_time(self) -> float:
         """Return the latest time at which the copy is known to have been complete."""
         if not self.waiting:
             return self._complete_at
@@ -69,7 +69,7 @@
             return self._watch_started_at + CUT_OFF_TIME
         return self._watch_started_at if self._interrupted else float("-inf")
 
-    def note(self, at: float) -> None:
+    def record_complete(self, at: float) -> None:
         """Record that the copy was complete at a time."""
         self._complete_at = max(self._complete_at, at)
 
@@ -86,10 +86,10 @@
         finally:
             self.waiting = False
 
-    def take(self, changes: Collection[Change]) -> bool:
+    def record_changes(self, changes: Collection[Change]) -> bool:
         """Record the changes of a watch; return whether they are surely all."""
         self._cut_off = is_full(changes)
         self._interrupted = False
         if not self._cut_off:
-            self.note(self._clock.monotonic())
+            self.record_complete(self._clock.monotonic())
         return not self._cut_off
--- a/walkcart/store/history.py
+++ b/walkcart/store/history.py
@@ -5,7 +5,7 @@
 they changed.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which keeps one.
+    `walkcart.store.follower.PrefixFollower`, which keeps one.
 """
 
 from __future__ import annotations
--- a/walkcart/store/items.py
+++ b/walkcart/store/items.py
@@ -4,7 +4,7 @@
 leases. An adapter translates it to the service's protocol.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which keeps a copy of a prefix.
+    `walkcart.store.follower.PrefixFollower`, which keeps a copy of a prefix.
 """
 
 from __future__ import annotations
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseOver:
+class LeaseNotFound:
     """The lease doesn't exist or has ended."""
 
 
@@ -164,7 +164,7 @@
 
     async def commit(
         self, transaction: Transaction
-    ) -> Committed | Rejected | LeaseOver:
+    ) -> Committed | Rejected | LeaseNotFound:
         """Apply the transaction if all its conditions hold."""
         ...
 
@@ -172,7 +172,7 @@
         """Grant a new lease."""
         ...
 
-    async def renew_lease(self, lease: Lease) -> Lease | LeaseOver:
+    async def renew_lease(self, lease: Lease) -> Lease | LeaseNotFound:
         """Restart the time to live of a lease."""
         ...
 
