--- a/walkcart/standins/serving.py
+++ b/walkcart/standins/serving.py
@@ -74,7 +74,7 @@
     def drop_connections_silently(self) -> None:
         """Drop all connections silently: the next send of each other end fails."""
         for stream in tuple(self._streams):
-            stream.forget()
+            stream.drop_silently()
 
     def stop(self) -> None:
         """Drop the listener and all connections, as a kill of the process does."""
--- a/walkcart/store/follower.py
+++ b/walkcart/store/follower.py
@@ -82,14 +82,15 @@
         events: log of the reads that a lost history made necessary.
         listener: called at each change of the copy, and once when it was first read.
         pause: pause after a watch that brought changes.
-        is_significant: whether the difference between two values of an item is significant. A
-            value that differs only insignificantly is kept, but the listener isn't
-            called and the change isn't passed on.
+        is_significant: whether the difference between two values of an item is
+            significant. A value that differs only insignificantly is kept, but the
+            listener isn't called and the change isn't passed on.
         reread_after: a copy that was last current longer ago than this is read again in
             full, since a watch from its revision would bring all versions since; None
             to always watch.
-        fresh_first_read: whether the first read must be of the newest state. A read that may
-            be seconds old costs a tenth, and the first watch or feed brings the rest.
+        fresh_first_read: whether the first read must be of the newest state. A read
+            that may be seconds old costs a tenth, and the first watch or feed brings
+            the rest.
     """
 
     def __init__(
@@ -120,7 +121,7 @@
         self._history = ChangeHistory()
         self._needs_read = True
         self._work_scope: trio.CancelScope | None = None
-        self._currency = CopyFreshness(calls, clock)
+        self._freshness = CopyFreshness(calls, clock)
         self._fed = False
         self._feed_lost = trio.Event()
         self._watch_requested = trio.Event()
@@ -146,7 +147,7 @@
     @property
     def current_at(self) -> float:
         """Latest time at which the copy is known to have been complete."""
-        return self._currency.find_complete_time()
+        return self._freshness.find_complete_time()
 
     def find_age(self) -> float:
         """Return the seconds since `current_at`; infinite before the first read."""
@@ -155,7 +156,7 @@
     def record_current(self, revision: int, at: float) -> None:
         """Record that at a time the copy was complete up to a revision."""
         self.revision = max(self.revision, revision)
-        self._currency.record_complete(at)
+        self._freshness.record_complete(at)
 
     def changes_after(self, revision: int) -> tuple[Change, ...] | None:
         """Return the latest change of each key after a revision, or None if unknown."""
@@ -166,7 +167,7 @@
 
         A full read isn't cancelled, since each of its calls has a timeout.
         """
-        if self._work_scope is not None and self._currency.waiting:
+        if self._work_scope is not None and self._freshness.waiting:
             self._work_scope.cancel()
 
     def begin_watching(self) -> None:
@@ -233,7 +234,7 @@
         return age > self._reread_after.total_seconds()
 
     async def _watch(self) -> Changes | HistoryLost:
-        with self._currency.watch():
+        with self._freshness.watch():
             return await self._store.watch(self.prefix, self.revision, WATCH_WAIT)
 
     async def _read_all(self, fresh: bool) -> None:
@@ -243,7 +244,7 @@
         if fresh:
             # Recorded before the listener is called, which passes on until when the
             # copy is complete.
-            self._currency.record_complete(started_at)
+            self._freshness.record_complete(started_at)
         self.replace(reading.items, reading.revision)
 
     def replace(
@@ -292,7 +293,7 @@
                 )
                 self._needs_read = True
             case Changes(changes, revision):
-                is_complete = self._currency.record_changes(changes)
+                is_complete = self._freshness.record_changes(changes)
                 pause = self._pause.total_seconds()
                 if not self.apply(changes, revision):
                     pause *= IDLE_PAUSE_FACTOR
--- a/walkcart/store/tests/test_follower.py
+++ b/walkcart/store/tests/test_follower.py
@@ -16,8 +16,8 @@
 KEYS = "abcde"
 
 
-def make_follower(told=None, matters=differ):
-    calls = SimpleNamespace(on_back=lambda listener: None)
+def make_follower(told=None, is_significant=differ):
+    calls = SimpleNamespace(on_recovered=lambda listener: None)
     backoff = Backoff(timedelta(seconds=1), timedelta(seconds=1), Random(1))
 
     def listen(update):
@@ -32,7 +32,7 @@
         backoff,
         None,
         listen,
-        is_significant=matters,
+        is_significant=is_significant,
     )
 
 
@@ -118,7 +118,7 @@
 
 def test_insignificant_value_is_kept_without_notification():
     told = []
-    follower = make_follower(told, matters=lambda old, new: False)
+    follower = make_follower(told, is_significant=lambda old, new: False)
     follower.replace({}, 0)
     told.clear()
     follower.apply([Item("a", b"1", 1)], 1)
--- a/walkcart/store/tests/test_freshness.py
+++ b/walkcart/store/tests/test_freshness.py
@@ -17,7 +17,7 @@
 MANY = [Item(f"a{number}", b"1", number) for number in range(FULL_CHANGES)]
 
 
-def make_currency():
+def make_freshness():
     clock = ManualClock()
     calls = SimpleNamespace(last_success=clock.time)
     return CopyFreshness(calls, clock), clock, calls
@@ -29,51 +29,51 @@
 
 
 def test_copy_is_complete_at_a_call_served_during_the_pause():
-    currency, clock, calls = make_currency()
-    currency.record_changes(FEW)
+    freshness, clock, calls = make_freshness()
+    freshness.record_changes(FEW)
     serve_call_after(clock, calls, 0.7)
     clock.time += 0.1
-    with currency.watch():
-        assert currency.find_complete_time() == calls.last_success
+    with freshness.watch():
+        assert freshness.find_complete_time() == calls.last_success
 
 
 def test_call_served_before_a_watch_resumes_proves_nothing():
-    currency, clock, calls = make_currency()
-    currency.record_changes(FEW)
+    freshness, clock, calls = make_freshness()
+    freshness.record_changes(FEW)
     noted = clock.time
-    with suppress(StoreUnavailable), currency.watch():
+    with suppress(StoreUnavailable), freshness.watch():
         raise StoreUnavailable(True, "no reply in time")
     serve_call_after(clock, calls, 9.0)
-    with currency.watch():
-        assert currency.find_complete_time() == noted
+    with freshness.watch():
+        assert freshness.find_complete_time() == noted
         serve_call_after(clock, calls, 0.1)
-        assert currency.find_complete_time() == clock.time
-    assert currency.find_complete_time() == noted
+        assert freshness.find_complete_time() == clock.time
+    assert freshness.find_complete_time() == noted
 
 
 def test_copy_is_not_complete_after_a_watch_that_was_cut_off():
-    currency, clock, calls = make_currency()
-    currency.record_complete(clock.time)
+    freshness, clock, calls = make_freshness()
+    freshness.record_complete(clock.time)
     noted = clock.time
     clock.time += 1.0
-    assert not currency.record_changes(MANY)
-    assert currency.find_complete_time() == noted
-    with currency.watch():
+    assert not freshness.record_changes(MANY)
+    assert freshness.find_complete_time() == noted
+    with freshness.watch():
         serve_call_after(clock, calls, CUT_OFF_TIME / 2)
-        assert currency.find_complete_time() == noted
+        assert freshness.find_complete_time() == noted
         serve_call_after(clock, calls, CUT_OFF_TIME)
-        assert currency.find_complete_time() == clock.time
+        assert freshness.find_complete_time() == clock.time
 
 
 def test_copy_is_complete_after_a_watch_with_few_changes():
-    currency, clock, _ = make_currency()
+    freshness, clock, _ = make_freshness()
     clock.time += 1.0
-    assert currency.record_changes(FEW)
-    assert currency.find_complete_time() == clock.time
+    assert freshness.record_changes(FEW)
+    assert freshness.find_complete_time() == clock.time
 
 
 def test_few_large_values_may_be_cut_off():
-    currency, _, _ = make_currency()
+    freshness, _, _ = make_freshness()
     large = Item("a", bytes(FULL_BYTES // 2), 1)
-    assert currency.record_changes([large])
-    assert not currency.record_changes([large, large])
+    assert freshness.record_changes([large])
+    assert not freshness.record_changes([large, large])
