--- a/walkcart/kernel/exposition.py
+++ b/walkcart/kernel/exposition.py
@@ -1,4 +1,4 @@
-"""The metrics as a page of text, in the form that Prometheus reads.
+"""The metrics page, in the text format of Prometheus.
 
 References:
     Prometheus, text-based exposition format, version 0.0.4.
@@ -24,10 +24,10 @@
 
 
 class MetricsCollector(Collector):
-    """Gives the values of one instance to the library.
+    """Collects the metrics of one instance for the Prometheus library.
 
     Args:
-        metrics: the values.
+        metrics: the metrics of the instance.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -48,21 +48,23 @@
                     yield self._collect_histogram(name, full, metric.help)
 
     def _collect_histogram(
-        self, name: str, full: str, text: str
+        self, name: str, full: str, help_text: str
     ) -> HistogramMetricFamily:
-        found = self._metrics.read_histogram(name)
+        histogram = self._metrics.read_histogram(name)
         buckets = []
-        sum_so_far = 0
-        for bound, count in zip((*BUCKET_BOUNDS, "+Inf"), found.counts, strict=True):
-            sum_so_far += count
-            buckets.append((str(bound), sum_so_far))
+        cumulative = 0
+        for bound, count in zip(
+            (*BUCKET_BOUNDS, "+Inf"), histogram.counts, strict=True
+        ):
+            cumulative += count
+            buckets.append((str(bound), cumulative))
         return HistogramMetricFamily(
-            f"{full}_ms", text, buckets=buckets, sum_value=found.total
+            f"{full}_ms", help_text, buckets=buckets, sum_value=histogram.total
         )
 
 
 def render_metrics(metrics: Metrics) -> bytes:
-    """Return the page."""
+    """Return the metrics page."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(MetricsCollector(metrics))
     return generate_latest(registry)
--- a/walkcart/standins/balancer.py
+++ b/walkcart/standins/balancer.py
@@ -1,7 +1,7 @@
-"""The balancer's stand-in: passes connections on to instances that are ready.
+"""Stand-in of the load balancer: forwards connections to instances that are ready.
 
-It looks at ``/readyz`` of each instance at intervals, so it learns of a stop
-late, as the platform's does.
+It polls ``/readyz`` of each instance, so it notices a stop late, as the platform's load
+balancer does.
 """
 
 from __future__ import annotations
@@ -12,17 +12,19 @@
 from walkcart.wire.http import ExchangeFailed, HttpConnection, HttpRequest
 from walkcart.wire.network import Network
 
-CHECK_TIME = 1.0
+#: Timeout of one readiness check, in seconds.
+CHECK_TIMEOUT = 1.0
+#: Maximum size of the reply to a check, in bytes.
 BODY_LIMIT = 65536
 
 
 class BalancerStandin:
-    """Knows which instances are ready and gives connections by turns.
+    """Distributes connections to the ready instances, round-robin.
 
     Args:
         network: opens connections.
         instances: addresses of the instances.
-        interval: seconds between two looks.
+        interval: seconds between two rounds of readiness checks.
     """
 
     def __init__(
@@ -35,7 +37,7 @@
         self._turn = 0
 
     def choose(self) -> HostPort | None:
-        """Return the next ready instance, or None."""
+        """Return the address of the next ready instance, or None without one."""
         if not self._ready:
             return None
         self._turn += 1
@@ -44,14 +46,14 @@
     async def watch(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Look at the instances until cancelled."""
-        await self._look()
+        """Check the readiness of the instances until cancelled."""
+        await self._check_all()
         task_status.started()
         while True:
             await trio.sleep(self._interval)
-            await self._look()
+            await self._check_all()
 
-    async def _look(self) -> None:
+    async def _check_all(self) -> None:
         found: dict[HostPort, bool] = {}
         async with trio.open_nursery() as nursery:
             for address in list(self.instances):
@@ -59,7 +61,7 @@
         self._ready = [address for address in self.instances if found.get(address)]
 
     async def _check(self, address: HostPort, found: dict[HostPort, bool]) -> None:
-        with trio.move_on_after(CHECK_TIME):
+        with trio.move_on_after(CHECK_TIMEOUT):
             try:
                 stream = await self._network.connect(address)
                 connection = HttpConnection(stream, str(address), BODY_LIMIT)
@@ -72,7 +74,7 @@
             found[address] = reply.status == 200
 
     async def forward(self, client: trio.abc.Stream) -> None:
-        """Pass one connection on."""
+        """Forward one connection to a ready instance, or close it without one."""
         address = self.choose()
         if address is None:
             await trio.aclose_forcefully(client)
@@ -83,13 +85,13 @@
             await trio.aclose_forcefully(client)
             return
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_pump, client, server, nursery.cancel_scope)
-            nursery.start_soon(_pump, server, client, nursery.cancel_scope)
+            nursery.start_soon(_copy_bytes, client, server, nursery.cancel_scope)
+            nursery.start_soon(_copy_bytes, server, client, nursery.cancel_scope)
         await trio.aclose_forcefully(client)
         await trio.aclose_forcefully(server)
 
 
-async def _pump(
+async def _copy_bytes(
     source: trio.abc.Stream, target: trio.abc.Stream, scope: trio.CancelScope
 ) -> None:
     try:
--- a/walkcart/standins/machinelinks.py
+++ b/walkcart/standins/machinelinks.py
@@ -1,4 +1,4 @@
-"""The link of one machine in memory: bytes pass one after the other.
+"""The network link of one machine, which carries bytes one after the other at a rate.
 
 See Also:
     `walkcart.standins.memory.MemoryNetwork`, whose sites may stand for a machine.
@@ -8,53 +8,55 @@
 
 import trio
 
-#: Bytes of one sender that are put on the link at once, so that senders share it.
-CHUNK = 16_384
-#: Bytes that wait in the machine before senders are held up: a kernel's buffers.
-WINDOW = 65_536
+#: Maximum number of bytes that one sender puts on the link at once, so that senders
+#: share it.
+CHUNK_SIZE = 16_384
+#: Number of bytes that wait in the machine before senders are blocked, as in the
+#: buffers of the operating system's kernel.
+BUFFER_SIZE = 65_536
 
 
 class LinkDirection:
     """One direction of a machine's link.
 
     Args:
-        rate: bytes a second that it carries.
-        lag: seconds that the machine takes besides, as one whose processor is busy.
+        rate: its rate, in bytes a second.
+        lag: additional delay by the machine, in seconds, as with a busy processor.
     """
 
     def __init__(self, rate: float, lag: float = 0.0) -> None:
         self.rate = rate
         self.lag = lag
-        self.carried = 0
+        self.total_bytes = 0
         self._free_at = float("-inf")
 
-    def queue(self, size: int, at: float) -> float:
-        """Take bytes that come at a time; return when the last of them is through."""
+    def schedule(self, size: int, at: float) -> float:
+        """Queue bytes that arrive at a time; return when the last one is through."""
         self._free_at = max(at, self._free_at) + size / self.rate
-        self.carried += size
+        self.total_bytes += size
         return self._free_at + self.lag
 
-    async def carry(self, size: int) -> float:
-        """Wait until `size` bytes were taken; return when the last one is through.
+    async def transmit(self, size: int) -> float:
+        """Wait until the link has accepted `size` bytes; return when all are through.
 
-        A sender that is cancelled meanwhile has put a part of them on the link.
+        A sender that is cancelled meanwhile has already put some of them on the link.
         """
         left = size
-        through = trio.current_time()
+        sent_at = trio.current_time()
         while left > 0:
-            await trio.sleep_until(self._free_at - WINDOW / self.rate)
-            chunk = min(left, CHUNK)
-            through = self.queue(chunk, trio.current_time())
+            await trio.sleep_until(self._free_at - BUFFER_SIZE / self.rate)
+            chunk = min(left, CHUNK_SIZE)
+            sent_at = self.schedule(chunk, trio.current_time())
             left -= chunk
-        return through
+        return sent_at
 
 
 class MachineLink:
     """Both directions of a machine's link.
 
     Args:
-        rate: bytes a second that each carries.
-        lag: seconds that the machine takes for what comes in, besides.
+        rate: rate of each direction, in bytes a second.
+        lag: additional delay of incoming bytes by the machine, in seconds.
     """
 
     def __init__(self, rate: float, lag: float = 0.0) -> None:
--- a/walkcart/standins/pipes.py
+++ b/walkcart/standins/pipes.py
@@ -1,7 +1,7 @@
-"""Byte streams in memory, with latency, cuts and the links of machines.
+"""Byte streams in memory, with latency, network partitions and links of machines.
 
 See Also:
-    `walkcart.standins.memory.MemoryNetwork`, which opens them.
+    `walkcart.standins.memory.MemoryNetwork`, which opens the streams.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class Pipe:
-    """One direction of a stream, or the way of all envelopes to one address.
+    """One direction of a stream, or the queue of all envelopes to one address.
 
     Args:
-        network: that it crosses.
+        network: the network between writer and reader.
         source: site of the writer.
         target: site of the reader.
-        writer_link: of the writer's machine, if that has one.
-        reader_link: of the reader's machine, if that has one.
+        writer_link: link of the writer's machine, if it has one.
+        reader_link: link of the reader's machine, if it has one.
     """
 
     def __init__(
@@ -43,31 +43,31 @@
         self._reader_link = reader_link
         self._chunks: deque[tuple[float, bytes]] = deque()
         self._wakeup = trio.Event()
-        self._end: float | None = None
+        self._end_at: float | None = None
         self._opened_at = trio.current_time()
         self._silent = False
         self._dead_at = float("inf")
         #: Seconds after which the reader's probes show that the pipe went silent.
-        self.probe_time = float("inf")
-        #: When bytes were sent last.
-        self.used_at = self._opened_at
+        self.probe_timeout = float("inf")
+        #: Time of the last write.
+        self.last_sent_at = self._opened_at
         self.broken = False
-        self.reader_gone = False
+        self.reader_closed = False
 
-    async def put(self, data: bytes) -> None:
-        """Send bytes on their way, or lose them without a word."""
-        self.used_at = trio.current_time()
+    async def write(self, data: bytes) -> None:
+        """Send bytes, or lose them silently if the pipe went silent."""
+        self.last_sent_at = trio.current_time()
         if self._is_silent():
             return
         left_at = trio.current_time()
         if self._writer_link is not None:
-            left_at = await self._writer_link.outgoing.carry(len(data))
-        self.put_at(left_at + self._latency(), data)
+            left_at = await self._writer_link.outgoing.transmit(len(data))
+        self.add_arrival(left_at + self._latency(), data)
 
-    def put_at(self, arrival: float, data: bytes) -> None:
-        """Let bytes arrive at a time; those of several writers in its order."""
+    def add_arrival(self, arrival: float, data: bytes) -> None:
+        """Let bytes arrive at a time; bytes of several writers are ordered by it."""
         if self._reader_link is not None:
-            arrival = self._reader_link.incoming.queue(len(data), arrival)
+            arrival = self._reader_link.incoming.schedule(len(data), arrival)
         place = len(self._chunks)
         while place and self._chunks[place - 1][0] > arrival:
             place -= 1
@@ -78,40 +78,40 @@
         return self._silent or self._opened_at <= self._network.streams_silent_until
 
     def go_silent(self) -> None:
-        """Lose all that is sent from now on without a word."""
+        """Lose everything that is sent from now on, without an error at either end."""
         self._silent = True
-        self._dead_at = trio.current_time() + self.probe_time
+        self._dead_at = trio.current_time() + self.probe_timeout
         self._wakeup.set()
 
     def close(self) -> None:
-        """The writer sends no more; what is on its way arrives before the end."""
-        if self._end is None:
-            self._end = trio.current_time() + self._latency()
+        """Close the writer's end; bytes that are already sent arrive before the end."""
+        if self._end_at is None:
+            self._end_at = trio.current_time() + self._latency()
             if self._chunks:
-                self._end = max(self._end, self._chunks[-1][0])
+                self._end_at = max(self._end_at, self._chunks[-1][0])
         self._wakeup.set()
 
-    def break_off(self) -> None:
-        """Lose the connection."""
+    def break_connection(self) -> None:
+        """Break the connection: reads and writes fail from now on."""
         self.broken = True
         self._wakeup.set()
 
     def _latency(self) -> float:
         return self._network.latency(self._source, self._target)
 
-    async def take(self, limit: int) -> bytes:
-        """Wait for bytes; none at the end."""
+    async def read(self, limit: int) -> bytes:
+        """Wait for up to `limit` bytes; return none at the end of the stream."""
         await trio.lowlevel.checkpoint()
         while True:
             if self.broken or trio.current_time() >= self._dead_at:
                 raise trio.BrokenResourceError("the connection was lost")
-            with trio.move_on_after(self.probe_time) as probing:
+            with trio.move_on_after(self.probe_timeout) as probe_scope:
                 if await self._network.wait_while_cut(self._source, self._target):
                     continue
-            if probing.cancelled_caught:
-                self.break_off()
+            if probe_scope.cancelled_caught:
+                self.break_connection()
                 continue
-            due = self._chunks[0][0] if self._chunks else self._end
+            due = self._chunks[0][0] if self._chunks else self._end_at
             if due is not None and due <= trio.current_time():
                 return self._pop(limit) if self._chunks else b""
             self._wakeup = trio.Event()
@@ -127,7 +127,12 @@
 
 
 class MemoryStream(trio.abc.Stream):
-    """One end of a connection."""
+    """One end of a connection in memory.
+
+    Args:
+        incoming: the direction that this end reads.
+        outgoing: the direction that this end writes.
+    """
 
     def __init__(self, incoming: Pipe, outgoing: Pipe) -> None:
         self._incoming = incoming
@@ -139,42 +144,42 @@
         await trio.lowlevel.checkpoint()
         if self._closed:
             raise trio.ClosedResourceError
-        if self._outgoing.broken or self._outgoing.reader_gone:
+        if self._outgoing.broken or self._outgoing.reader_closed:
             raise trio.BrokenResourceError("the other end is gone")
-        await self._outgoing.put(bytes(data))
+        await self._outgoing.write(bytes(data))
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Return at once: there is always room."""
+        """Return at once, since there is always room."""
         await trio.lowlevel.checkpoint()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Receive bytes; none at the end."""
+        """Wait for bytes; return none at the end of the stream."""
         if self._closed:
             raise trio.ClosedResourceError
-        return await self._incoming.take(max_bytes or 65536)
+        return await self._incoming.read(max_bytes or 65536)
 
     async def aclose(self) -> None:
         """Close both directions."""
         self._closed = True
         self._outgoing.close()
-        self._incoming.reader_gone = True
+        self._incoming.reader_closed = True
         await trio.lowlevel.checkpoint()
 
     @property
     def last_sent_at(self) -> float:
-        """When bytes were sent last, in either direction."""
-        return max(self._incoming.used_at, self._outgoing.used_at)
+        """Time of the last send in either direction."""
+        return max(self._incoming.last_sent_at, self._outgoing.last_sent_at)
 
     def go_silent(self) -> None:
-        """Lose whatever is sent from now on, in both directions, without a word."""
+        """Lose everything that is sent from now on, silently and in both directions."""
         self._incoming.go_silent()
         self._outgoing.go_silent()
 
     def drop_silently(self) -> None:
-        """Lose the connection at this end; the other one learns it when it sends."""
-        self._incoming.reader_gone = True
+        """Drop the connection at this end; the other end notices when it sends."""
+        self._incoming.reader_closed = True
 
     def reset(self) -> None:
-        """Lose the connection at both ends."""
-        self._incoming.break_off()
-        self._outgoing.break_off()
+        """Break the connection at both ends."""
+        self._incoming.break_connection()
+        self._outgoing.break_connection()
--- a/walkcart/store/backoff.py
+++ b/walkcart/store/backoff.py
@@ -1,19 +1,20 @@
-"""Waits between tries that grow, with jitter so that instances spread out."""
+"""Exponential backoff with jitter, so that instances don't retry together."""
 
 from __future__ import annotations
 
 from datetime import timedelta
 from random import Random
 
-GROWTH = 2.0
+#: Factor of the delay from one failure to the next.
+GROWTH_FACTOR = 2.0
 
 
 class Backoff:
-    """Gives the next wait after each failure.
+    """Exponential backoff with jitter.
 
     Args:
-        first: longest wait after the first failure.
-        limit: longest wait at all.
+        first: maximum delay after the first failure.
+        limit: maximum delay after any failure.
         random: source of the jitter.
     """
 
@@ -24,11 +25,11 @@
         self._next = self._first
 
     def next_delay(self) -> timedelta:
-        """Return the next wait: half to all of a bound that grows."""
+        """Return the next delay, at random between half of a growing bound and all."""
         bound = self._next
-        self._next = min(self._next * GROWTH, self._limit)
+        self._next = min(self._next * GROWTH_FACTOR, self._limit)
         return timedelta(seconds=bound * self._random.uniform(0.5, 1.0))
 
     def reset(self) -> None:
-        """Start again after a success."""
+        """Start again from the first delay, after a success."""
         self._next = self._first
--- a/walkcart/store/budget.py
+++ b/walkcart/store/budget.py
@@ -1,4 +1,4 @@
-"""A budget for calls to the store, which counts each of them."""
+"""The rate limit of an instance's calls to the store."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class CallBudget:
-    """A token bucket: so many calls a second, with a burst.
+    """A token bucket whose tokens are calls to the store.
 
     Args:
         rate: calls a second.
-        burst: calls at once after a quiet time.
+        burst: number of calls that may follow at once after a quiet time.
         clock: source of time.
     """
 
@@ -21,10 +21,10 @@
         self._burst = burst
         self._clock = clock
         self._tokens = burst
-        self._then = clock.monotonic()
+        self._refilled_at = clock.monotonic()
 
     async def acquire(self) -> None:
-        """Take one call, waiting until there is one."""
+        """Take one token, and wait until the bucket has earned it."""
         self._refill()
         self._tokens -= 1
         if self._tokens < 0:
@@ -32,6 +32,6 @@
 
     def _refill(self) -> None:
         now = self._clock.monotonic()
-        earned = (now - self._then) * self._rate
+        earned = (now - self._refilled_at) * self._rate
         self._tokens = min(self._burst, self._tokens + earned)
-        self._then = now
+        self._refilled_at = now
--- a/walkcart/store/history.py
+++ b/walkcart/store/history.py
@@ -1,8 +1,8 @@
-"""The latest change of each key of a copy, for other copies that are a little behind.
+"""The latest change of each key of a copy, to bring other copies up to date.
 
-Only the latest is kept: what it replaced is of no use to anyone. Whoever passes changes
-on so sends what is there now, however many versions lie in between, and the size of it
-depends on the keys that changed and not on how often they did.
+Only the latest change of a key is kept, since no copy needs the versions before it.
+What is passed on therefore depends on the number of keys that changed, not on how often
+they changed.
 
 See Also:
     `walkcart.store.follower.PrefixFollower`, which keeps one.
@@ -14,20 +14,22 @@
 
 from walkcart.store.items import Change
 
-#: Keys whose changes are kept: an index that is cut anew at twice the largest
-#: deployment that was measured (405 leafs).
-KEPT_CHANGES = 1000
-#: Full readings that are remembered; before the first of them nothing is known.
-KEPT_GAPS = 20
+#: Maximum number of keys whose changes are kept. An index that is divided into new
+#: shards changes the keys of all its leaves; the largest known deployment has 405
+#: leaves, and this allows for twice as many.
+MAX_CHANGES = 1000
+#: Maximum number of full reads that are remembered. The history starts after the oldest
+#: one that was dropped.
+MAX_GAPS = 20
 
 
 class ChangeHistory:
-    """What changed, by key.
+    """The latest change of each key, in the order in which the changes were added.
 
     Examples:
         >>> from walkcart.store.items import Item
         >>> history = ChangeHistory()
-        >>> history.begin(1)
+        >>> history.start_at(1)
         >>> for revision in (2, 3):
         ...     history.add(Item("routes", b"", revision))
         >>> [change.revision for change in history.changes_after(1)]
@@ -36,41 +38,43 @@
 
     def __init__(self) -> None:
         self._changes: dict[str, Change] = {}
-        self._from = 0
-        #: Pairs of revisions between which only the difference is known.
-        self._gaps: deque[tuple[int, int]] = deque(maxlen=KEPT_GAPS)
-        #: Revision of the latest change.
+        self._known_since = 0
+        #: Pairs of revisions, before and after a full read, between which only the
+        #: difference is known.
+        self._gaps: deque[tuple[int, int]] = deque(maxlen=MAX_GAPS)
+        #: Revision of the latest change; 0 without one.
         self.latest = 0
 
-    def begin(self, revision: int) -> None:
-        """Note that nothing is known of what changed before a revision."""
-        self._from = revision
+    def start_at(self, revision: int) -> None:
+        """Start the history at a revision: changes before it are unknown."""
+        self._known_since = revision
 
-    def note_gap(self, before: int, after: int) -> None:
-        """Note that between two revisions only the difference is known."""
-        if len(self._gaps) == KEPT_GAPS:
-            self._from = max(self._from, self._gaps[0][1])
+    def add_gap(self, before: int, after: int) -> None:
+        """Record that between two revisions only the difference is known."""
+        if len(self._gaps) == MAX_GAPS:
+            self._known_since = max(self._known_since, self._gaps[0][1])
         self._gaps.append((before, after))
 
     def add(self, change: Change) -> None:
-        """Take a change in place of an earlier one of its key."""
+        """Add a change, which replaces an earlier change of the same key."""
         held = self._changes.get(change.key)
         if held is not None and held.revision > change.revision:
             return
         self._changes.pop(change.key, None)
         self._changes[change.key] = change
         self.latest = max(self.latest, change.revision)
-        while len(self._changes) > KEPT_CHANGES:
+        while len(self._changes) > MAX_CHANGES:
             dropped = self._changes.pop(next(iter(self._changes)))
-            self._from = max(self._from, dropped.revision)
+            self._known_since = max(self._known_since, dropped.revision)
 
     def changes_after(self, revision: int) -> tuple[Change, ...] | None:
-        """Return what changed after a revision; None when that isn't known.
+        """Return the changes after a revision, or None if they aren't known.
 
-        Of what a full reading brought it is known only how it differs from the copy
-        before it, not what came and went in between.
+        They aren't known for a revision within a gap: a full read only shows how the
+        store differs from the copy before it, not what was stored and removed in
+        between.
         """
-        if revision < self._from:
+        if revision < self._known_since:
             return None
         if any(first < revision < last for first, last in self._gaps):
             return None
