--- a/walkcart/membership/tests/test_feeding.py
+++ b/walkcart/membership/tests/test_feeding.py
@@ -45,7 +45,7 @@
 
 
 def make_follower(clock):
-    calls = SimpleNamespace(on_back=lambda listener: None, last_success=0.0)
+    calls = SimpleNamespace(on_recovered=lambda listener: None, last_success=0.0)
     return PrefixFollower(
         None,
         calls,
--- a/walkcart/routing/admission.py
+++ b/walkcart/routing/admission.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may run; call `Admission.leave` when it ends."""
+    """The request may run; call `Admission.release` when it ends."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/walkcart/routing/instancelimiter.py
+++ b/walkcart/routing/instancelimiter.py
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The question may be worked on; call `InstanceLimiter.leave` when it ends."""
+    """The question may be worked on; call `InstanceLimiter.finish` when it ends."""
 
 
 @dataclass(frozen=True, slots=True)
