--- a/walkcart/fanout/delegationserver.py
+++ b/walkcart/fanout/delegationserver.py
@@ -43,7 +43,7 @@
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
 #: Seconds in transit after which a question isn't begun: the asker has long gone on by
-#: itself (`walkcart.routing.peerchoice.MAX_TIMEOUT`), and its caller may have
+#: itself (`walkcart.routing.peerchoice.BASE_MAX_TIMEOUT`), and its caller may have
 #: left. Leaves must be idle half a second after a caller has left.
 MAX_AGE = 0.2
 #: Seconds in transit that a question's times allow for: a round trip to another region,
