--- a/walkcart/platform/tests/test_attempt_account.py
+++ b/walkcart/platform/tests/test_attempt_account.py
@@ -1,9 +1,10 @@
-"""No shard is asked more often than its route allows, whatever becomes of messages.
+"""No shard is asked more often than its route allows, whatever happens to messages.
 
-A question whose word "taken" is late is asked for anew, while the instance that has it
-may still be at work. An asker whose processor is busy takes a question back later than
-it meant to: seen 79 ms late on machines of half a core under a burst, where the other
-instance had made a second attempt meanwhile, and the asker the third of two.
+A question whose acceptance arrives late is sent again, while the instance that has it
+may still be working on it. An instance whose processor is busy cancels a delegated
+question late: by 79 ms on machines with half a core under a burst. By then the other
+instance had made a second attempt, and the asking one made a third where two were
+allowed.
 """
 
 from collections import Counter
@@ -30,10 +31,10 @@
     DelegatedTaken,
 )
 
-MOST_ATTEMPTS = 2
-#: Leafs of each shard: more than may run a question.
+MAX_ATTEMPTS = 2
+#: Leaves of each shard: more than may run a question.
 COPIES = 4
-GATHERING = (
+GATHERING_MESSAGES = (
     DelegatedAnswer,
     DelegatedCancel,
     DelegatedFailure,
@@ -44,16 +45,22 @@
 )
 
 
-def spoil_messages(monkeypatch, world, choose):
-    """Send each message of a gathering `choose(message)` seconds later, or never."""
+def disturb_messages(monkeypatch, world, choose):
+    """Delay or lose messages between gathering instances.
+
+    Args:
+        monkeypatch: fixture of the test.
+        world: the platform under test.
+        choose: returns the delay of a message in seconds, or None to lose it.
+    """
     send = PeerLinks.send
 
     async def send_after(links, name, message, delay):
         await trio.sleep(delay)
         send(links, name, message)
 
-    def send_spoiled(links, name, message):
-        if not isinstance(message, GATHERING):
+    def send_disturbed(links, name, message):
+        if not isinstance(message, GATHERING_MESSAGES):
             return send(links, name, message)
         delay = choose(message)
         if delay is None:
@@ -63,11 +70,11 @@
         world.nursery.start_soon(send_after, links, name, message, delay)
         return True
 
-    monkeypatch.setattr(PeerLinks, "send", send_spoiled)
+    monkeypatch.setattr(PeerLinks, "send", send_disturbed)
 
 
-def test_a_question_taken_back_80_ms_late_keeps_within_the_attempts(monkeypatch):
-    async def act(world):
+def test_question_cancelled_80_ms_late_stays_within_max_attempts(monkeypatch):
+    async def scenario(world):
         def choose(message):
             match message:
                 case DelegatedTaken():
@@ -78,29 +85,30 @@
 
         for name in ("i-00", "i-01"):
             world.leafs[name].faults.delay = 1.0
-        spoil_messages(monkeypatch, world, choose)
+        disturb_messages(monkeypatch, world, choose)
         with trio.move_on_after(0.5):
             await world.ask("/all/x", "asker")
         await trio.sleep(1)
         return count_arrived(world)
 
-    arrived = with_two_regions(act, targetLatencyMs=60, minCoverage=1.0)
-    assert max(arrived) <= MOST_ATTEMPTS
+    arrived = with_two_regions(scenario, targetLatencyMs=60, minCoverage=1.0)
+    assert max(arrived) <= MAX_ATTEMPTS
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_lost_late_and_overtaken_messages_keep_within_the_attempts(monkeypatch, seed):
-    """Any message of a gathering is lost, or comes up to 0.4 s late; leafs are slow.
+def test_lost_late_and_reordered_messages_stay_within_max_attempts(monkeypatch, seed):
+    """Any gathering message is lost or up to 0.4 s late, and leaves are slow.
 
-    Some lose their answers too: such a leaf may be asked once more, another one not.
+    Some leaves lose their answers too: such a leaf may be asked once more, but no
+    further leaf.
     """
     random = Random(seed)
 
-    async def act(world):
+    async def scenario(world):
         def choose(message):
             return random.choice((0.0, 0.0, 0.0, 0.02, 0.08, 0.2, 0.4, None))
 
-        spoil_messages(monkeypatch, world, choose)
+        disturb_messages(monkeypatch, world, choose)
         for _ in range(12):
             for leaf in world.leafs.values():
                 leaf.faults.delay = random.choice((0.0, 0.03, 0.1, 0.6))
@@ -110,14 +118,14 @@
             await trio.sleep(1.5)
         return count_by_leaf(world)
 
-    asked = with_two_regions(act, COPIES, targetLatencyMs=120, minCoverage=0.75)
-    for leafs in asked.values():
-        assert len(leafs) <= MOST_ATTEMPTS
-        assert sum(leafs.values()) <= MOST_ATTEMPTS * MAX_SENDS_PER_LEAF
+    asked = with_two_regions(scenario, COPIES, targetLatencyMs=120, minCoverage=0.75)
+    for leaves in asked.values():
+        assert len(leaves) <= MAX_ATTEMPTS
+        assert sum(leaves.values()) <= MAX_ATTEMPTS * MAX_SENDS_PER_LEAF
 
 
 def count_by_leaf(world):
-    """Return how often each leaf was asked, by question and shard."""
+    """Return how often each leaf was asked, keyed by question and shard."""
     asked = {}
     for id, leaf in world.leafs.items():
         shard = id[: len("i-0")]
@@ -127,12 +135,12 @@
     return asked
 
 
-def lose_words_of(names, monkeypatch):
-    """Lose what some instances say of questions that they took.
+def lose_acceptances(names, monkeypatch):
+    """Lose the acceptance messages of some instances.
 
     Args:
-        names: of the instances; none for the first that says so.
-        monkeypatch: of the test.
+        names: names of the instances; if empty, the first that accepts a question.
+        monkeypatch: fixture of the test.
     """
     send = PeerLinks.send
     lost = set(names)
@@ -149,40 +157,40 @@
     monkeypatch.setattr(PeerLinks, "send", send_others)
 
 
-def test_a_group_that_was_lost_is_not_asked_for_again_without_a_repeat(monkeypatch):
-    """What is handed to another instance may have arrived: it counts as a repeat."""
+def test_lost_group_is_not_sent_again_without_repeat_budget(monkeypatch):
+    """A group sent to another instance may have arrived, so resending is a repeat."""
 
-    async def act(world):
+    async def scenario(world):
         await world.start_instance("second", "south-a")
         await world.wait_ready("second")
         await trio.sleep(10)
         for leaf in world.leafs.values():
             leaf.faults.delay = 0.3
-        lose_words_of(("helper", "second"), monkeypatch)
-        taken = []
+        lose_acceptances(("helper", "second"), monkeypatch)
+        requested = []
 
         def deny(self, service, now, instances, vital=True):
-            taken.append(service)
+            requested.append(service)
             return False
 
         monkeypatch.setattr(RepeatBudget, "try_spend", deny)
         await world.ask("/all/x", "asker")
         await trio.sleep(1)
-        return count_arrived(world), len(taken)
+        return count_arrived(world), len(requested)
 
-    arrived, asked_for = with_two_regions(act, targetLatencyMs=100)
+    arrived, requested = with_two_regions(scenario, targetLatencyMs=100)
     assert arrived == [1, 1, 1, 1]
-    assert asked_for >= 4
+    assert requested >= 4
 
 
-def test_a_group_that_was_lost_goes_to_another_instance(monkeypatch):
-    async def act(world):
+def test_lost_group_goes_to_another_instance(monkeypatch):
+    async def scenario(world):
         await world.start_instance("second", "south-a")
         await world.wait_ready("second")
         await trio.sleep(10)
         for leaf in world.leafs.values():
             leaf.faults.delay = 0.2
-        lose_words_of((), monkeypatch)
+        lose_acceptances((), monkeypatch)
         replies = []
         for _ in range(6):
             replies.append((await world.ask("/all/x", "asker")).status)
@@ -190,7 +198,7 @@
         direct = count_lines(world, '"direct": 4')
         return replies, direct, count_lines(world, "delegate_lost")
 
-    replies, direct, lost = with_two_regions(act, targetLatencyMs=800)
+    replies, direct, lost = with_two_regions(scenario, targetLatencyMs=800)
     assert replies == [200] * 6
     assert lost >= 1
     assert direct == 0
--- a/walkcart/platform/tests/test_barred_attempts.py
+++ b/walkcart/platform/tests/test_barred_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that may no longer go to their leaf when it is their turn to be sent."""
+"""Attempts whose leaf becomes ineligible just before they are sent."""
 
 import pytest
 import trio
@@ -13,8 +13,8 @@
 BARRED = "plain-0"
 
 
-def ask_ten(prepare):
-    """Ask ten times with one leaf of two barred at the last moment."""
+def send_ten_requests(prepare):
+    """Send ten requests while `prepare()` bars one of two leaves at the last moment."""
 
     async def run():
         async with open_platform() as world:
@@ -35,7 +35,7 @@
     return run_mocked(run)
 
 
-def test_an_attempt_that_is_barred_goes_to_another_leaf_at_once(monkeypatch):
+def test_barred_attempt_goes_to_another_leaf_at_once(monkeypatch):
     find = LeafDirectory.find_obstacle
 
     def bar(directory, leaf, regions):
@@ -43,7 +43,7 @@
             return Obstacle.EVACUATED
         return find(directory, leaf, regions)
 
-    statuses, elapsed, outstanding, metrics, arrived = ask_ten(
+    statuses, elapsed, outstanding, metrics, arrived = send_ten_requests(
         lambda: monkeypatch.setattr(LeafDirectory, "find_obstacle", bar)
     )
     assert statuses == [200] * 10
@@ -54,18 +54,16 @@
 
 
 @pytest.mark.parametrize("fault", [KeyError("unknown"), RuntimeError("fault")])
-def test_a_fault_while_an_attempt_is_admitted_ends_that_attempt_alone(
-    monkeypatch, fault
-):
+def test_error_while_admitting_an_attempt_fails_only_that_attempt(monkeypatch, fault):
     admit = LeafAccess.admit
 
-    def fail(access, leaf, attempt):
+    def admit_or_fail(access, leaf, attempt):
         if leaf.id == BARRED:
             raise fault
         return admit(access, leaf, attempt)
 
-    statuses, elapsed, outstanding, _, _ = ask_ten(
-        lambda: monkeypatch.setattr(LeafAccess, "admit", fail)
+    statuses, elapsed, outstanding, _, _ = send_ten_requests(
+        lambda: monkeypatch.setattr(LeafAccess, "admit", admit_or_fail)
     )
     assert statuses == [200] * 10
     assert elapsed < 0.5
--- a/walkcart/platform/tests/test_boundary.py
+++ b/walkcart/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""The adapter's boundary, the deploy file and what they must agree on."""
+"""Checks of the platform adapter's boundary and of the deployment files."""
 
 import tomllib
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 ROOT = Path(walkcart.__file__).parent.parent
 
-#: Words that only the platform's pages use.
+#: Names of the platform's protocol, which only the adapter may contain.
 WIRE_WORDS = (
     "X-Part-Stamps",
     "x-part-stamps",
@@ -37,7 +37,7 @@
 )
 
 
-def test_no_word_of_the_wire_stands_outside_the_adapter():
+def test_platform_protocol_names_occur_only_in_the_adapter():
     found = [
         (path.name, word)
         for path in (ROOT / "walkcart").rglob("*.py")
@@ -48,7 +48,7 @@
     assert found == []
 
 
-def test_the_product_does_not_import_the_adapter_but_in_its_assembly():
+def test_only_the_daemon_imports_the_adapter():
     found = [
         path.relative_to(ROOT).as_posix()
         for path in (ROOT / "walkcart").rglob("*.py")
@@ -58,14 +58,14 @@
     assert found == []
 
 
-def test_the_deploy_file_installs_what_the_project_declares():
+def test_requirements_match_the_project_dependencies():
     project = tomllib.loads((ROOT / "pyproject.toml").read_text(encoding="utf-8"))
     lines = (ROOT / "requirements.txt").read_text(encoding="utf-8").splitlines()
     required = [line for line in lines if line and not line.startswith("#")]
     assert sorted(required) == sorted(project["project"]["dependencies"])
 
 
-def test_the_deploy_file_names_one_port_for_the_metrics():
+def test_deploy_file_uses_one_port_for_the_metrics():
     deploy = tomllib.loads((ROOT / "deploy/system.toml").read_text(encoding="utf-8"))
     role = deploy["roles"]["entry"]
     assert role["metrics"].startswith(role["env"]["WALKCART_METRICS_PORT"] + "/")
--- a/walkcart/platform/tests/test_cold_leafs.py
+++ b/walkcart/platform/tests/test_cold_leafs.py
@@ -1,4 +1,4 @@
-"""Leafs that are cold: no second holds more than they bear, over all instances."""
+"""Cold leaves get no more requests in any second than they bear, from all instances."""
 
 import trio
 
@@ -10,14 +10,14 @@
 DATA_CENTRES = ("north-a", "south-a", "east-a")
 INSTANCES = [f"{dc}{n}" for dc in DATA_CENTRES for n in ("", "-2", "-3")]
 SHARDS = [f"shard-{number}" for number in range(3)]
-#: Requests a second that a cold leaf bears, and what follows for any second.
+#: Requests a second that a cold leaf bears, and the resulting bound for any second.
 RATE = 4
-MOST = RATE * 1.5 + 5
+MAX_PER_SECOND = RATE * 1.5 + 5
 COLD_SECONDS = 3
 
 
 class TimedLeaf(PlatformLeafStandin):
-    """Notes when requests arrive."""
+    """A leaf that records when requests arrive."""
 
     async def handle(self, request):
         self.times = getattr(self, "times", [])
@@ -25,12 +25,12 @@
         return await PlatformLeafStandin.handle(self, request)
 
 
-def most_in_a_second(leaf, since=0.0):
+def find_peak_rate(leaf, since=0.0):
     times = [at for at in getattr(leaf, "times", []) if at >= since]
     return max((sum(a <= b <= a + 1.0 for b in times) for a in times), default=0)
 
 
-def with_many_instances(action, data_centres=DATA_CENTRES):
+def with_many_instances(scenario, data_centres=DATA_CENTRES):
     async def run():
         async with open_platform() as world:
             for service in (*SHARDS, "single"):
@@ -51,13 +51,22 @@
             for name in INSTANCES:
                 await world.wait_ready(name)
             await trio.sleep(12)
-            return await action(world)
+            return await scenario(world)
 
     return run_mocked(run)
 
 
-async def ask_much(world, seconds, rate=90):
-    """Ask for all shards and for one, many times a second, at all instances."""
+async def send_load(world, seconds, rate=90):
+    """Ask sharded and single-leaf questions at all instances.
+
+    Args:
+        world: the platform under test.
+        seconds: duration of the load.
+        rate: questions a second over all instances.
+
+    Returns:
+        The statuses of the replies.
+    """
     statuses = []
 
     async def ask(number):
@@ -72,55 +81,55 @@
     return statuses
 
 
-def note_cold(world, id, left_ms):
+def mark_cold(world, id, left_ms):
     entry = world.entries[id]
     entry["seq"] += 1
     entry["warmupLeftMs"] = left_ms
     world.store.put(f"servers/{id}", entry)
 
 
-def test_a_leaf_that_becomes_cold_again_gets_no_more_than_it_bears():
-    async def act(world):
-        await ask_much(world, 2)
+def test_leaf_that_becomes_cold_again_gets_no_more_than_it_bears():
+    async def scenario(world):
+        await send_load(world, 2)
         ids = [f"{service}-south-a" for service in (*SHARDS, "single")]
-        warm = max(most_in_a_second(world.leafs[id]) for id in ids)
+        warm = max(find_peak_rate(world.leafs[id]) for id in ids)
         for id in ids:
-            note_cold(world, id, COLD_SECONDS * 1000)
+            mark_cold(world, id, COLD_SECONDS * 1000)
         await trio.sleep(1.0)
         since = trio.current_time()
-        statuses = await ask_much(world, COLD_SECONDS - 1.2)
-        most = max(most_in_a_second(world.leafs[id], since) for id in ids)
-        return warm, most, statuses
-
-    warm, most, statuses = with_many_instances(act)
-    assert warm > MOST
-    assert most <= MOST
-    # The siblings serve.
+        statuses = await send_load(world, COLD_SECONDS - 1.2)
+        peak = max(find_peak_rate(world.leafs[id], since) for id in ids)
+        return warm, peak, statuses
+
+    warm, peak, statuses = with_many_instances(scenario)
+    assert warm > MAX_PER_SECOND
+    assert peak <= MAX_PER_SECOND
+    # The other leaves of each service serve the rest.
     assert set(statuses) == {200}
 
 
-def test_leafs_are_cold_when_their_data_centre_is_taken_back():
-    async def act(world):
+def test_leaves_are_cold_when_the_evacuation_of_their_data_centre_ends():
+    async def scenario(world):
         world.store.put("op/evacuate/south-a", {})
         await trio.sleep(2)
         world.store.remove("op/evacuate/south-a")
         since = trio.current_time()
-        await ask_much(world, COLD_SECONDS - 0.2)
+        await send_load(world, COLD_SECONDS - 0.2)
         ids = [f"{service}-south-a" for service in (*SHARDS, "single")]
-        cold = max(most_in_a_second(world.leafs[id], since) for id in ids)
+        cold = max(find_peak_rate(world.leafs[id], since) for id in ids)
         await trio.sleep(2 * COLD_SECONDS)
-        await ask_much(world, 2)
-        return cold, max(most_in_a_second(world.leafs[id]) for id in ids)
+        await send_load(world, 2)
+        return cold, max(find_peak_rate(world.leafs[id]) for id in ids)
 
-    cold, warm = with_many_instances(act)
-    assert cold <= MOST
-    assert warm > MOST
+    cold, warm = with_many_instances(scenario)
+    assert cold <= MAX_PER_SECOND
+    assert warm > MAX_PER_SECOND
 
 
-def test_when_all_of_a_service_are_cold_the_rest_is_refused_at_once():
-    async def act(world):
+def test_excess_is_refused_at_once_when_all_leaves_of_a_service_are_cold():
+    async def scenario(world):
         for service in ("single", *SHARDS):
-            note_cold(world, f"{service}-north-a", COLD_SECONDS * 1000)
+            mark_cold(world, f"{service}-north-a", COLD_SECONDS * 1000)
         await trio.sleep(1.0)
         refusals = []
 
@@ -136,21 +145,21 @@
             for number in range(100):
                 nursery.start_soon(ask, number)
                 await trio.sleep(0.01)
-        return refusals, most_in_a_second(world.leafs["single-north-a"], since)
+        return refusals, find_peak_rate(world.leafs["single-north-a"], since)
 
-    refusals, most = with_many_instances(act, data_centres=("north-a",))
-    assert 0 < most <= MOST
+    refusals, peak = with_many_instances(scenario, data_centres=("north-a",))
+    assert 0 < peak <= MAX_PER_SECOND
     assert {status for status, _, _ in refusals} == {503}
     assert all(0 < wait <= COLD_SECONDS for _, wait, _ in refusals)
     assert max(elapsed for _, _, elapsed in refusals) < 0.05
 
 
-def test_what_a_leaf_says_of_itself_is_read():
+def test_reported_load_and_cold_time_are_read():
     read = PlatformLeafProtocol().read_status
-    four = read({b"x-server-load": b"3,1,2,400", b"x-warmup-ms": b"1500"})
-    assert (four.load, four.pace) == (4, 4.0)
-    assert four.cold_time.total_seconds() == 1.5
-    three = read({b"x-server-load": b"3,0,2"})
-    assert (three.load, three.pace, three.cold_time) == (3, None, None)
+    cold = read({b"x-server-load": b"3,1,2,400", b"x-warmup-ms": b"1500"})
+    assert (cold.load, cold.pace) == (4, 4.0)
+    assert cold.cold_time.total_seconds() == 1.5
+    warm = read({b"x-server-load": b"3,0,2"})
+    assert (warm.load, warm.pace, warm.cold_time) == (3, None, None)
     for bad in (b"", b"x", b"3", b"3,,,", b"-1,2,3,4", b"1,2,3,zero"):
         assert read({b"x-server-load": bad}).pace is None
--- a/walkcart/platform/tests/test_crash_sight.py
+++ b/walkcart/platform/tests/test_crash_sight.py
@@ -1,4 +1,4 @@
-"""Logs tell which question a leaf had when it ended, and that it came again."""
+"""Logs identify the question that a leaf ran when it crashed, also after a retry."""
 
 import json
 
@@ -7,7 +7,7 @@
 from walkcart.platform.tests.platformworld import make_route, open_platform
 
 
-def test_two_tries_of_one_question_are_known_as_the_same_in_the_logs():
+def test_logs_give_two_tries_of_a_question_the_same_identifier():
     async def run():
         async with open_platform() as world:
             crashing = CrashingWorld(world, {"/one/bad"})
@@ -23,8 +23,10 @@
             return crashing, lines
 
     crashing, lines = run_mocked(run)
-    bad = [line for line in lines if line["event"] == "leaf_ended"]
+    crashes = [line for line in lines if line["event"] == "leaf_ended"]
     unserved = [line for line in lines if line["event"] == "request_unserved"]
-    assert {line["leaf_id"] for line in bad} == {item.leaf for item in crashing.ended}
-    assert len({line["question"] for line in (*bad, *unserved)}) == 1
+    assert {line["leaf_id"] for line in crashes} == {
+        item.leaf for item in crashing.ended
+    }
+    assert len({line["question"] for line in (*crashes, *unserved)}) == 1
     assert len(unserved) == 2
--- a/walkcart/platform/tests/test_crashing_requests.py
+++ b/walkcart/platform/tests/test_crashing_requests.py
@@ -1,19 +1,19 @@
-"""Requests that end the leafs which run them.
-
-What users saw: again and again all leafs of a service ended within 0.3 s, and for three
-seconds no question to it was answered. Each time one and the same request had come once
-more, at whichever instance.
-
-The order of events: a question goes to one leaf of each shard, and each ends. It is
-sent again to the other leaf of each shard, which ends too. The caller, who has 502,
-asks again at another instance, which does the same with whatever leafs are back.
-
-The cause: a leaf that ended under a question was taken for a lost leaf, and nothing
-remembered the question from one try to the next, or told other instances.
-
-The evidence: each leaf's connections closed at once and new ones were refused, in the
-order in which one question's requests reached the leafs; it got no part at all, while
-questions that ran beside it got those of the leafs that it hadn't reached.
+"""Requests that crash the leaves which run them are kept from further leaves.
+
+The failure: all leaves of a service crash within 0.3 s, and for three seconds the
+service answers no question. Each time the same request has been retried, at any
+instance.
+
+A question goes to one leaf of each shard, and each of these leaves crashes. The second
+attempt crashes the other leaf of each shard. The caller gets 502 and retries at another
+instance, which does the same to the leaves that have restarted.
+
+It comes about when an instance treats a leaf that crashes during a question as merely
+lost, doesn't remember the question from one attempt to the next, and doesn't tell the
+other instances. The signs: each leaf's connections close at once and new ones are
+refused, in the order in which the question's requests reach the leaves; that question
+gets no part at all, while concurrent questions get parts from the leaves that it hasn't
+reached.
 """
 
 import trio
@@ -27,20 +27,20 @@
 
 SHARDS = 10
 INSTANCES = ("one", "two", "three")
-BAD = "/all/bad"
-#: Seconds between two tries of the bad request, and how many come.
-PAUSE = 2.0
+CRASHING_TARGET = "/all/bad"
+#: Seconds between two tries of the crashing request, and the number of tries.
+TRY_INTERVAL = 2.0
 TRIES = 12
-#: Tries that may reach leafs after all instances are to know.
-MOST_LATE = 3
+#: Tries that may reach leaves after all instances should know of the request.
+MAX_LATE = 3
 
 
-def play(act, single=False):
-    """Play with instances before the leafs of shards, or of one service."""
+def run_scenario(scenario, single=False):
+    """Run `scenario(crashing)` with shards, or with one service of four leaves."""
 
     async def run():
         async with open_platform() as world:
-            crashing = CrashingWorld(world, {BAD, "/one/bad"})
+            crashing = CrashingWorld(world, {CRASHING_TARGET, "/one/bad"})
             if single:
                 for _ in range(4):
                     await crashing.start_leaf("service")
@@ -52,37 +52,37 @@
                 await world.start_instance(name)
                 await world.wait_ready(name)
             await trio.sleep(3)
-            return await act(crashing)
+            return await scenario(crashing)
 
     return run_mocked(run)
 
 
-async def ask_again(crashing, target, tries=TRIES, pause=PAUSE):
-    """Send the bad request again and again, to one instance after the other."""
+async def retry_requests(crashing, target, tries=TRIES, interval=TRY_INTERVAL):
+    """Send the crashing request `tries` times, to the instances in turn."""
     statuses = []
     for number in range(tries):
         name = INSTANCES[number % len(INSTANCES)]
         statuses.append((await crashing.world.ask(target, name)).status)
-        await trio.sleep(pause)
+        await trio.sleep(interval)
     return statuses
 
 
-def test_a_question_that_ends_leafs_is_soon_kept_from_them():
-    async def act(crashing):
-        await ask_again(crashing, BAD)
-        return crashing.late_tries(BAD), len(crashing.ended)
+def test_question_that_crashes_leaves_is_soon_kept_from_them():
+    async def scenario(crashing):
+        await retry_requests(crashing, CRASHING_TARGET)
+        return crashing.find_late_requests(CRASHING_TARGET), len(crashing.ended)
 
-    late, ended = play(act)
-    assert len(late) <= MOST_LATE
-    # One leaf of each shard, and few more: not the siblings too, not again and again.
+    late, ended = run_scenario(scenario)
+    assert len(late) <= MAX_LATE
+    # One leaf of each shard and a few more, but not the second leaf of each shard.
     assert ended <= SHARDS + 4
 
 
-def test_a_request_to_one_leaf_that_ends_it_is_soon_kept_from_leafs():
-    async def act(crashing):
-        await ask_again(crashing, "/one/bad")
-        return crashing.late_tries("/one/bad"), len(crashing.ended)
+def test_single_leaf_request_that_crashes_leaves_is_soon_kept_from_them():
+    async def scenario(crashing):
+        await retry_requests(crashing, "/one/bad")
+        return crashing.find_late_requests("/one/bad"), len(crashing.ended)
 
-    late, ended = play(act, single=True)
-    assert len(late) <= MOST_LATE
+    late, ended = run_scenario(scenario, single=True)
+    assert len(late) <= MAX_LATE
     assert ended <= 4
--- a/walkcart/platform/tests/test_crowded_leafs.py
+++ b/walkcart/platform/tests/test_crowded_leafs.py
@@ -1,4 +1,4 @@
-"""Urgent requests beside long ones at a leaf that has turned slow."""
+"""Urgent requests beside long ones at a leaf that has become slow."""
 
 import trio
 
@@ -10,14 +10,14 @@
     open_platform,
 )
 
-SLOW = 0.3
-#: Limits at leafs hold where teams compete.
+SLOW_DELAY = 0.3
+#: The request limits at leaves apply only where teams are configured.
 KEY = make_key_headers("key")
-LONG = 10
+LONG_REQUESTS = 10
 
 
 async def start_world(world):
-    """Start an instance and a leaf, and let it learn their times."""
+    """Start a leaf and an instance, and let the instance learn the response times."""
     leaf = await world.start_leaf("only", "desk")
     routes = [("long", 1, 200), ("urgent", 0, 100)]
     world.configure(
@@ -43,7 +43,12 @@
 
 
 async def ask_at_once(world, leaf):
-    """Ask for long requests and then an urgent one; return statuses and arrivals."""
+    """Send long requests and then an urgent one.
+
+    Returns:
+        The statuses, the targets in their order of arrival at the leaf, and the number
+        of requests that arrived before the urgent one was sent.
+    """
     statuses = []
     before = len(leaf.arrived)
 
@@ -51,7 +56,7 @@
         statuses.append((await world.ask(path, deadline_ms=9000, headers=KEY)).status)
 
     async with trio.open_nursery() as nursery:
-        for _ in range(LONG):
+        for _ in range(LONG_REQUESTS):
             nursery.start_soon(ask, "/long/x")
         await trio.sleep(0.02)
         arrived_first = len(leaf.arrived) - before
@@ -60,12 +65,12 @@
     return statuses, targets, arrived_first
 
 
-def play(slow):
+def run_load(slow):
     async def run():
         async with open_platform() as world:
             leaf = await start_world(world)
             if slow:
-                leaf.faults.delay = SLOW
+                leaf.faults.delay = SLOW_DELAY
                 for _ in range(10):
                     await world.ask("/long/x", deadline_ms=9000, headers=KEY)
             return await ask_at_once(world, leaf)
@@ -73,24 +78,24 @@
     return run_mocked(run)
 
 
-def test_an_urgent_request_passes_long_ones_that_wait_for_a_slow_leaf():
-    statuses, targets, _ = play(slow=True)
-    assert statuses == [200] * (LONG + 1)
-    # One long request at the leaf, and one that the reply before it let in.
+def test_urgent_request_overtakes_long_ones_that_wait_for_a_slow_leaf():
+    statuses, targets, _ = run_load(slow=True)
+    assert statuses == [200] * (LONG_REQUESTS + 1)
+    # One long request is at the leaf, and the reply before it admitted another.
     assert targets.index("/urgent/x") <= 2
 
 
-def test_a_leaf_at_its_usual_pace_gets_all_at_once():
-    statuses, _, arrived_first = play(slow=False)
-    assert statuses == [200] * (LONG + 1)
-    assert arrived_first == LONG
+def test_leaf_at_its_usual_speed_gets_all_requests_at_once():
+    statuses, _, arrived_first = run_load(slow=False)
+    assert statuses == [200] * (LONG_REQUESTS + 1)
+    assert arrived_first == LONG_REQUESTS
 
 
-def test_what_surely_comes_too_late_is_refused_before_a_leaf_has_it():
+def test_request_that_would_miss_its_deadline_is_refused_before_a_leaf_gets_it():
     async def run():
         async with open_platform() as world:
             leaf = await start_world(world)
-            leaf.faults.delay = SLOW
+            leaf.faults.delay = SLOW_DELAY
             for _ in range(10):
                 await world.ask("/long/x", deadline_ms=9000, headers=KEY)
             served = []
@@ -101,22 +106,22 @@
                 )
 
             async with trio.open_nursery() as nursery:
-                for _ in range(4 * LONG):
+                for _ in range(4 * LONG_REQUESTS):
                     nursery.start_soon(ask)
                 await trio.sleep(0.05)
                 before = len(leaf.arrived)
                 start = trio.current_time()
-                hasty = await world.ask("/long/hasty", deadline_ms=1000, headers=KEY)
+                short = await world.ask("/long/hasty", deadline_ms=1000, headers=KEY)
                 elapsed = trio.current_time() - start
                 urgent = await world.ask("/urgent/x", deadline_ms=2000, headers=KEY)
             targets = [request.target for request in leaf.arrived[before:]]
-            return served, hasty, elapsed, urgent, targets
+            return served, short, elapsed, urgent, targets
 
-    served, hasty, elapsed, urgent, targets = run_mocked(run)
-    assert hasty.status == 503
+    served, short, elapsed, urgent, targets = run_mocked(run)
+    assert short.status == 503
     assert elapsed < 0.05
     assert "/long/hasty" not in targets
-    # Two slots and 300 ms each: forty are done after six seconds.
-    assert 3 <= float(hasty.header(b"retry-after")) <= 14
+    # Two slots and 300 ms each: forty requests are done after six seconds.
+    assert 3 <= float(short.header(b"retry-after")) <= 14
     assert urgent.status == 200
-    assert served == [200] * (4 * LONG)
+    assert served == [200] * (4 * LONG_REQUESTS)
--- a/walkcart/platform/tests/test_cut_data_centres.py
+++ b/walkcart/platform/tests/test_cut_data_centres.py
@@ -1,4 +1,4 @@
-"""A data centre that nothing comes from any more, and its leafs' siblings elsewhere."""
+"""A data centre that is cut off, while other data centres hold the same shards."""
 
 import json
 
@@ -11,8 +11,8 @@
 SHARDS = [f"shard-{number}" for number in range(4)]
 
 
-def with_a_cut(action):
-    """Run `action(world)`: each shard in two data centres, one of which is cut off."""
+def with_cut_off_data_centre(scenario):
+    """Run `scenario(world)`: each shard in two data centres, one of them cut off."""
 
     async def run():
         async with open_platform() as world:
@@ -37,32 +37,32 @@
             await trio.sleep(10)
             for site in ("north-a", "east-a", "south-b"):
                 world.network.cut("south-a", site)
-            return await action(world)
+            return await scenario(world)
 
     return run_mocked(run)
 
 
-def test_the_last_attempt_is_not_spent_in_a_data_centre_that_is_cut_off():
-    async def act(world):
+def test_last_attempt_is_not_spent_in_a_cut_off_data_centre():
+    async def scenario(world):
         statuses = []
         for _ in range(12):
             statuses.append((await world.ask("/all/x", "asker")).status)
         return statuses
 
-    statuses = with_a_cut(act)
+    statuses = with_cut_off_data_centre(scenario)
     assert statuses == [200] * 12
 
 
-def count_southern(world):
-    """Return how many requests leafs of the data centre that was cut off got."""
+def count_arrived_south(world):
+    """Return the number of requests at the leaves of the cut-off data centre."""
     ids = [f"i-{number}-south-a" for number in range(len(SHARDS))]
     return sum(len(world.leafs[id].arrived) for id in ids)
 
 
-def test_a_data_centre_that_is_cut_off_costs_each_of_its_gatherers_one_wait():
-    """Questions come each few seconds: later than one that was silent is left alone."""
+def test_cut_off_data_centre_costs_one_timeout_per_gathering_instance():
+    """Questions come every 2.7 s: longer than a silent instance is left alone."""
 
-    async def act(world):
+    async def scenario(world):
         for _ in range(20):
             assert (await world.ask("/all/x", "asker")).status == 200
             await trio.sleep(2.7)
@@ -71,13 +71,13 @@
         for site in ("north-a", "east-a", "south-b"):
             world.network.heal("south-a", site)
         await trio.sleep(10)
-        before = count_southern(world)
+        before = count_arrived_south(world)
         for _ in range(8):
             await world.ask("/all/x", "asker")
             await trio.sleep(0.5)
-        return peers, count_southern(world) - before
+        return peers, count_arrived_south(world) - before
 
-    peers, southern = with_a_cut(act)
+    peers, arrived = with_cut_off_data_centre(scenario)
     assert len(peers) == len(set(peers))
-    # They get groups again once the cut has healed.
-    assert southern > 0
+    # The instances there get groups again once the cut has healed.
+    assert arrived > 0
--- a/walkcart/platform/tests/test_dark_leafs.py
+++ b/walkcart/platform/tests/test_dark_leafs.py
@@ -1,4 +1,4 @@
-"""Leafs that fall silent: connections to them hang."""
+"""Leaves that become unreachable, so that connections to them hang."""
 
 import trio
 
@@ -6,8 +6,12 @@
 from walkcart.platform.tests.platformworld import make_route, open_platform
 
 
-def ask_beside_a_dark_leaf(kind):
-    """Ask twenty times while one of two leafs is dark; statuses, times, runs."""
+def ask_beside_unreachable_leaf(kind):
+    """Send twenty requests while one of two leaves is unreachable.
+
+    Returns:
+        The status and the seconds of each request, and the ids of the requests run.
+    """
 
     async def run():
         async with open_platform() as world:
@@ -21,26 +25,26 @@
             await world.wait_ready()
             await trio.sleep(10)
             world.network.cut("north-a", "south-a")
-            found = []
+            results = []
 
             async def ask():
                 start = trio.current_time()
                 reply = await world.ask("/r/x", method="POST")
-                found.append((reply.status, trio.current_time() - start))
+                results.append((reply.status, trio.current_time() - start))
 
             async with trio.open_nursery() as nursery:
                 for _ in range(20):
                     nursery.start_soon(ask)
                     await trio.sleep(0.05)
             ran = [id for leaf in world.leafs.values() for id in leaf.ran]
-            return found, ran
+            return results, ran
 
     return run_mocked(run)
 
 
-def test_a_request_that_waits_for_a_dark_leaf_goes_elsewhere():
+def test_request_that_waits_for_an_unreachable_leaf_goes_elsewhere():
     for kind in ("non_idempotent", "idempotent"):
-        found, ran = ask_beside_a_dark_leaf(kind)
-        assert {status for status, _ in found} == {200}
-        assert max(elapsed for _, elapsed in found) < 0.9
+        results, ran = ask_beside_unreachable_leaf(kind)
+        assert {status for status, _ in results} == {200}
+        assert max(elapsed for _, elapsed in results) < 0.9
         assert kind == "idempotent" or len(ran) == len(set(ran)) == 20
--- a/walkcart/platform/tests/test_delegation.py
+++ b/walkcart/platform/tests/test_delegation.py
@@ -1,4 +1,4 @@
-"""Questions that another instance gathers, near the leafs."""
+"""Questions whose gathering is delegated to an instance near the leaves."""
 
 import trio
 
@@ -8,8 +8,14 @@
 from walkcart.wire.delegations import DelegatedCancel, DelegatedTaken
 
 
-def with_two_regions(action, copies=2, **fields):
-    """Run `action(world)`: leafs and one instance in the south, one in the north."""
+def with_two_regions(scenario, copies=2, **fields):
+    """Run a scenario with leaves and one instance in the south, one in the north.
+
+    Args:
+        scenario: called with the platform; its result is returned.
+        copies: leaves of each shard.
+        fields: of the route, beside or instead of the default ones.
+    """
 
     async def run():
         async with open_platform() as world:
@@ -27,7 +33,7 @@
             await world.wait_ready("asker")
             await world.wait_ready("helper")
             await trio.sleep(10)
-            return await action(world)
+            return await scenario(world)
 
     return run_mocked(run)
 
@@ -36,36 +42,36 @@
     return sum(1 for line in world.log.getvalue().splitlines() if text in line)
 
 
-def test_an_instance_near_the_leafs_gathers_and_the_answer_is_whole():
-    async def act(world):
+def test_instance_near_the_leaves_gathers_a_complete_answer():
+    async def scenario(world):
         reply = await world.ask("/all/x", "asker")
         return reply, count_lines(world, '"gathered": 1')
 
-    reply, by_helper = with_two_regions(act)
+    reply, by_helper = with_two_regions(scenario)
     assert reply.status == 200
     assert reply.body == b"D" * 16 + b"C" * 16 + b"B" * 16
     assert len(reply.header(b"x-part-stamps").split(", ")) == 4
     assert by_helper == 1
 
 
-def test_a_peer_that_died_costs_the_wait_for_its_word_and_no_answer():
-    async def act(world):
+def test_dead_peer_costs_one_acceptance_timeout_and_no_answer():
+    async def scenario(world):
         world.tenants["helper"].scope.cancel()
         start = trio.current_time()
         replies = [await world.ask("/all/x", "asker") for _ in range(3)]
         return replies, trio.current_time() - start
 
-    replies, elapsed = with_two_regions(act)
+    replies, elapsed = with_two_regions(scenario)
     assert [reply.status for reply in replies] == [200] * 3
     assert all(
         len(reply.header(b"x-part-stamps").split(", ")) == 4 for reply in replies
     )
-    # Only the first question waits for it.
+    # Only the first question waits for the dead instance.
     assert elapsed < 0.06 + 3 * 0.05
 
 
-def test_a_peer_that_dies_with_a_question_ends_it_soon_and_within_the_attempts():
-    async def act(world):
+def test_question_of_a_dying_peer_ends_soon_and_within_max_attempts():
+    async def scenario(world):
         for leaf in world.leafs.values():
             leaf.faults.delay = 0.12
         result = []
@@ -81,15 +87,15 @@
         elapsed = trio.current_time() - start
         return result[0].status, elapsed, count_arrived(world)
 
-    status, elapsed, arrived = with_two_regions(act)
-    # What the dead one had sent isn't known: more attempts could pass the most allowed.
+    status, elapsed, arrived = with_two_regions(scenario)
+    # The dead instance's attempts aren't known: more could exceed the allowed number.
     assert status == 502
     assert elapsed < 0.4
     assert max(arrived) <= 2
 
 
-def test_a_caller_that_leaves_ends_the_work_at_the_peer():
-    async def act(world):
+def test_work_at_the_peer_ends_when_the_caller_leaves():
+    async def scenario(world):
         for leaf in world.leafs.values():
             leaf.faults.delay = 5.0
         with trio.move_on_after(0.1):
@@ -97,11 +103,11 @@
         await trio.sleep(0.2)
         return sum(leaf.running for leaf in world.leafs.values())
 
-    assert with_two_regions(act) == 0
+    assert with_two_regions(scenario) == 0
 
 
-def test_a_failure_at_the_peer_tells_whether_it_may_have_run():
-    async def act(world):
+def test_failure_at_the_peer_tells_whether_it_may_have_run():
+    async def scenario(world):
         for leaf in world.leafs.values():
             leaf.faults.drop = True
         ran = await world.ask("/all/x", "asker")
@@ -110,7 +116,7 @@
             leaf.faults.refuse = True
         return ran, await world.ask("/all/x", "asker")
 
-    ran, refused = with_two_regions(act)
+    ran, refused = with_two_regions(scenario)
     assert ran.status == 502
     assert refused.status == 503
 
@@ -122,11 +128,11 @@
     ]
 
 
-def test_a_question_taken_back_late_keeps_within_the_attempts(monkeypatch):
-    """The helper's word is lost and the cancellation comes 12 ms late."""
+def test_question_cancelled_late_stays_within_max_attempts(monkeypatch):
+    """The helper's acceptance is lost and the cancellation arrives 12 ms late."""
     send = PeerLinks.send
 
-    async def act(world):
+    async def scenario(world):
         def send_late(links, name, message):
             match message:
                 case DelegatedTaken():
@@ -147,11 +153,11 @@
             await world.ask("/all/x", "asker")
         return count_arrived(world)[0]
 
-    assert with_two_regions(act, targetLatencyMs=60, minCoverage=1.0) == 2
+    assert with_two_regions(scenario, targetLatencyMs=60, minCoverage=1.0) == 2
 
 
-def test_links_that_went_silent_without_an_end_are_made_anew():
-    async def act(world):
+def test_links_that_went_silent_are_reconnected():
+    async def scenario(world):
         await world.ask("/all/x", "asker")
         await trio.sleep(3)
         world.network.silent_until = trio.current_time()
@@ -161,7 +167,7 @@
             await trio.sleep(3)
         return statuses, count_lines(world, '"gathered": 1')
 
-    statuses, by_helper = with_two_regions(act)
+    statuses, by_helper = with_two_regions(scenario)
     assert statuses == [200] * 4
-    # Two of five met the silence, one for each direction, and were asked for from here.
+    # Two of five met a silent link, one for each direction; the asker gathered them.
     assert by_helper == 3
--- a/walkcart/platform/tests/test_documents.py
+++ b/walkcart/platform/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Settings, configurations and entries of the platform, good and bad."""
+"""Reading of valid and invalid settings, configurations and leaf entries."""
 
 from datetime import timedelta
 from io import StringIO
@@ -50,7 +50,7 @@
 """
 
 
-def test_settings_are_read_and_unknown_ones_left_alone(tmp_path):
+def test_settings_are_read_and_unknown_ones_ignored(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS, encoding="utf-8")
     settings = read_settings(path)
@@ -73,14 +73,14 @@
         ("[listen]", "[listen"),
     ],
 )
-def test_wrong_settings_are_told_with_what_is_wrong(tmp_path, old, new):
+def test_invalid_settings_are_reported(tmp_path, old, new):
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace(old, new), encoding="utf-8")
     with pytest.raises(BadSettings, match="wrong"):
         read_settings(path)
 
 
-def test_missing_settings_are_told(tmp_path):
+def test_missing_settings_file_is_reported(tmp_path):
     with pytest.raises(BadSettings, match="read"):
         read_settings(tmp_path / "none.toml")
 
@@ -119,12 +119,12 @@
     assert shards.target == ToShards(("x", "y"), 4, 0.5)
 
 
-def test_a_configuration_that_cannot_be_read_is_an_error():
+def test_unreadable_configuration_is_an_error():
     with pytest.raises(msgspec.MsgspecError):
         read_configuration(b'{"version": "nine"}')
 
 
-def test_an_unreadable_entry_is_logged_and_the_others_are_read():
+def test_unreadable_entry_is_logged_and_the_others_are_read():
     log = StringIO()
 
     async def run():
@@ -141,7 +141,7 @@
     assert "leaf_entry_bad" in log.getvalue()
 
 
-def test_entries_are_read_again_only_where_they_changed():
+def test_only_changed_entries_are_read_again():
     async def run():
         entries = LeafEntries({}, EventLog("one", TrioClock(), StringIO()))
         await trio.lowlevel.checkpoint()
@@ -174,8 +174,8 @@
     "warmupLeftMs": 0,
     "seq": 1,
 }
-#: Entries of other writers: none names a leaf.
-FOREIGN = {
+#: Entries of other writers, which don't describe a leaf.
+FOREIGN_ENTRIES = {
     "no-json": b"rubbish",
     "no-text": b"\xff\xfe\x00",
     "nothing": b"",
@@ -198,14 +198,14 @@
 }
 
 
-@pytest.mark.parametrize("name", FOREIGN)
-def test_an_entry_of_another_writer_names_no_leaf_and_the_others_hold(name):
+@pytest.mark.parametrize("name", FOREIGN_ENTRIES)
+def test_foreign_entry_is_skipped_and_the_others_are_read(name):
     log = StringIO()
 
     async def run():
         entries = LeafEntries({}, EventLog("one", TrioClock(), log))
         await trio.lowlevel.checkpoint()
-        foreign = Item(f"servers/{name}", FOREIGN[name], 2)
+        foreign = Item(f"servers/{name}", FOREIGN_ENTRIES[name], 2)
         items = {"servers/a": make_entry(), foreign.key: foreign}
         return [entry.id for entry in entries.read(items, items)]
 
@@ -213,17 +213,17 @@
     assert log.getvalue().count("leaf_entry_bad") == 1
 
 
-def test_an_entry_that_stays_unreadable_is_no_news_each_time_it_is_written():
+def test_rewritten_unreadable_entry_is_no_change():
     assert not leaf_entry_differs(b"rubbish 1", b"rubbish 2")
 
 
-def test_a_leaf_that_started_again_under_its_id_is_news():
+def test_restart_of_a_leaf_under_the_same_id_is_a_change():
     old = make_entry(born=1_700_000_000_000, seq=9).value
     new = make_entry(born=1_700_000_005_000, seq=1).value
     assert leaf_entry_differs(old, new)
 
 
-def test_an_entry_that_only_tells_of_life_and_warming_up_is_no_news():
+def test_entry_that_only_renews_seq_and_warmup_is_no_change():
     old = make_entry(seq=1, warmupLeftMs=3000).value
     assert not leaf_entry_differs(old, make_entry(seq=2, warmupLeftMs=1800).value)
     assert leaf_entry_differs(old, make_entry(seq=2, state="draining").value)
@@ -232,7 +232,7 @@
 
 
 @given(st.lists(st.binary(max_size=200), max_size=6), st.integers(1, 12))
-def test_merging_is_a_plain_sort(bodies, top):
+def test_merging_equals_sorting_all_records(bodies, top):
     records = []
     for body in bodies:
         whole = len(body) // RECORD_SIZE * RECORD_SIZE
@@ -241,7 +241,7 @@
 
 
 @given(st.lists(st.lists(st.binary(min_size=16, max_size=16), max_size=9), max_size=5))
-def test_merging_merged_parts_changes_nothing(parts):
+def test_merging_merged_parts_gives_the_same_result(parts):
     bodies = [b"".join(part) for part in parts]
-    once = merge_records(bodies, 4)
-    assert merge_records([merge_records(bodies[:2], 4), *bodies[2:]], 4) == once
+    merged = merge_records(bodies, 4)
+    assert merge_records([merge_records(bodies[:2], 4), *bodies[2:]], 4) == merged
--- a/walkcart/platform/tests/test_early_second_attempts.py
+++ b/walkcart/platform/tests/test_early_second_attempts.py
@@ -1,4 +1,4 @@
-"""Late parts are asked for again as soon as that costs nobody a slot."""
+"""Late parts are requested again as soon as that takes no slot from other requests."""
 
 import trio
 
@@ -9,8 +9,8 @@
 OBJECTIVE_MS = 400
 
 
-def play(action):
-    """Run `action(world)` with two leafs for each shard, which one instance knows."""
+def run_scenario(scenario):
+    """Run `scenario(world)` with two leaves a shard and one warmed-up instance."""
 
     async def run():
         async with open_platform() as world:
@@ -23,11 +23,12 @@
             )
             await world.start_instance("one")
             await world.wait_ready("one")
-            # For its first window an instance leaves most repeats to its former life.
+            # In its first window an instance leaves most repeats to the process that it
+            # may have replaced.
             await trio.sleep(11)
             for _ in range(40):
                 await world.ask("/all/x")
-            return await action(world)
+            return await scenario(world)
 
     return run_mocked(run)
 
@@ -44,29 +45,30 @@
             world.leafs[f"{shard}-{copy}"].faults.delay = 0.3
 
 
-def test_callers_get_whole_answers_long_before_the_objective_under_slow_leafs():
-    async def act(world):
-        # Where more are late the service is slow, and second attempts are of no use.
+def test_answers_are_complete_long_before_the_objective_beside_slow_leaves():
+    async def scenario(world):
+        # Were more shards late, the service would count as slow, and second attempts
+        # would be of no use.
         make_slow(world, SHARDS[:2], "a")
         return [await ask_timed(world) for _ in range(10)]
 
-    asked = play(act)
-    assert {status for status, _ in asked} == {200}
-    # Planned for the latest moment they came to nothing: the slow leafs answered after
-    # 0.31 s, just before.
-    assert max(elapsed for _, elapsed in asked) < OBJECTIVE_MS / 1000 / 4
+    results = run_scenario(scenario)
+    assert {status for status, _ in results} == {200}
+    # Second attempts at the latest possible moment would gain nothing: the slow leaves
+    # answer after 0.31 s, just before it.
+    assert max(elapsed for _, elapsed in results) < OBJECTIVE_MS / 1000 / 4
 
 
-def test_a_busy_leaf_is_spared_until_the_last_moment():
-    async def act(world):
+def test_busy_leaf_gets_no_second_attempt_until_the_last_moment():
+    async def scenario(world):
         make_slow(world, SHARDS, "ab")
         sent = sum(len(leaf.arrived) for leaf in world.leafs.values())
         async with trio.open_nursery() as nursery:
             for _ in range(4):
                 nursery.start_soon(ask_timed, world)
-            # All slots are taken: four questions at two leafs of two slots.
+            # All slots are taken: four questions at two leaves of two slots each.
             await trio.sleep(0.15)
             early = sum(len(leaf.arrived) for leaf in world.leafs.values()) - sent
         return early
 
-    assert play(act) == 4 * len(SHARDS)
+    assert run_scenario(scenario) == 4 * len(SHARDS)
--- a/walkcart/platform/tests/test_evacuations.py
+++ b/walkcart/platform/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Data centres whose leafs are to get nothing for a while."""
+"""Evacuated data centres, whose leaves must get no requests."""
 
 import pytest
 import trio
@@ -14,12 +14,12 @@
 
 DATA_CENTRES = ("north-a", "south-a", "east-a")
 SHARDS = [f"shard-{number}" for number in range(4)]
-#: Seconds within which an evacuation is to be in force at every instance.
-IN_FORCE = 1.0
+#: Seconds within which an evacuation must be in force at every instance.
+MAX_DELAY = 1.0
 
 
-def in_three_data_centres(action, instances=DATA_CENTRES, routes=None):
-    """Run `action(world)` with leafs of each service in each data centre."""
+def in_three_data_centres(scenario, instances=DATA_CENTRES, routes=None):
+    """Run `scenario(world)` with a leaf of each service in each data centre."""
 
     async def run():
         async with open_platform() as world:
@@ -38,7 +38,7 @@
                     "all", "/all/", fanoutServices=SHARDS, topK=8, minCoverage=0.5
                 ),
             )
-            return await action(world)
+            return await scenario(world)
 
     return run_mocked(run)
 
@@ -63,7 +63,7 @@
     world.store.put(f"op/evacuate/{data_centre}", {})
 
 
-def take_back(world, data_centre):
+def end_evacuation(world, data_centre):
     world.store.remove(f"op/evacuate/{data_centre}")
 
 
@@ -75,64 +75,64 @@
     return replies
 
 
-def test_nothing_goes_to_the_leafs_of_an_evacuated_data_centre_until_it_is_back():
-    async def act(world):
+def test_leaves_of_an_evacuated_data_centre_get_nothing_until_it_ends():
+    async def scenario(world):
         await start_all(world)
         await ask_everything(world)
         evacuate(world, "south-a")
-        await trio.sleep(IN_FORCE)
+        await trio.sleep(MAX_DELAY)
         before = count_arrived(world, "south-a")
-        # Repeats and late parts have to go elsewhere too.
+        # Repeats and second attempts for late parts must go elsewhere too.
         for shard in SHARDS[:2]:
             world.leafs[f"{shard}-north-a"].faults.delay = 0.5
         world.leafs["single-north-a"].faults.refuse = True
         statuses = await ask_everything(world)
         during = count_arrived(world, "south-a") - before
-        take_back(world, "south-a")
-        await trio.sleep(IN_FORCE)
+        end_evacuation(world, "south-a")
+        await trio.sleep(MAX_DELAY)
         await ask_everything(world)
         return statuses, before, during, count_arrived(world, "south-a") - before
 
-    statuses, before, during, after = in_three_data_centres(act)
+    statuses, before, during, after = in_three_data_centres(scenario)
     assert set(statuses) == {200}
     assert before > 0
     assert during == 0
     assert after > 0
 
 
-def test_an_evacuation_that_stands_at_the_start_binds_the_first_request():
-    async def act(world):
+def test_evacuation_before_the_start_applies_to_the_first_request():
+    async def scenario(world):
         evacuate(world, "north-a")
         await world.start_instance("north-a", "north-a")
         await world.wait_ready("north-a")
         statuses = await ask_everything(world, ("north-a",), times=1)
         return statuses, count_arrived(world, "north-a")
 
-    assert in_three_data_centres(act) == ([200, 200], 0)
+    assert in_three_data_centres(scenario) == ([200, 200], 0)
 
 
-def test_several_at_once_one_unknown_and_what_cant_be_served_is_refused_at_once():
-    async def act(world):
+def test_several_evacuations_and_an_unknown_one_refuse_unservable_requests_at_once():
+    async def scenario(world):
         await start_all(world)
         for data_centre in ("north-a", "south-a", "nowhere"):
             evacuate(world, data_centre)
-        await trio.sleep(IN_FORCE)
+        await trio.sleep(MAX_DELAY)
         some = await ask_everything(world, times=1)
         evacuate(world, "east-a")
-        await trio.sleep(IN_FORCE)
+        await trio.sleep(MAX_DELAY)
         start = trio.current_time()
         replies = [await world.ask(path, "east-a") for path in ("/one/x", "/all/x")]
         return some, replies, trio.current_time() - start
 
-    some, replies, elapsed = in_three_data_centres(act)
+    some, replies, elapsed = in_three_data_centres(scenario)
     assert set(some) == {200}
     assert [reply.status for reply in replies] == [503, 503]
     assert all(float(reply.header(b"retry-after")) > 0 for reply in replies)
     assert elapsed < 0.05
 
 
-def test_work_under_way_goes_on():
-    async def act(world):
+def test_requests_in_progress_finish():
+    async def scenario(world):
         await start_all(world, ("north-a",))
         world.leafs["single-north-a"].faults.delay = 1.5
         statuses = []
@@ -143,18 +143,18 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
             await trio.sleep(0.05)
-            begun = count_arrived(world, "north-a")
+            started = count_arrived(world, "north-a")
             evacuate(world, "north-a")
-        return statuses, begun, world.leafs["single-north-a"].finished
+        return statuses, started, world.leafs["single-north-a"].finished
 
-    statuses, begun, finished = in_three_data_centres(act)
-    assert (statuses, begun) == ([200], 1)
+    statuses, started, finished = in_three_data_centres(scenario)
+    assert (statuses, started) == ([200], 1)
     assert len(finished) == 1
 
 
 @pytest.mark.parametrize("trouble", ["history lost", "store turns it away"])
-def test_it_comes_to_those_that_the_store_does_not_tell(trouble):
-    async def act(world):
+def test_evacuation_reaches_instances_that_the_store_does_not_tell(trouble):
+    async def scenario(world):
         await start_all(world)
         if trouble == "history lost":
             world.store.compact()
@@ -164,20 +164,20 @@
             world.network.cut("store", "east-a")
             await trio.sleep(6)
             evacuate(world, "south-a")
-        await trio.sleep(IN_FORCE)
+        await trio.sleep(MAX_DELAY)
         before = count_arrived(world, "south-a")
         await ask_everything(world)
         return count_arrived(world, "south-a") - before
 
-    assert in_three_data_centres(act) == 0
+    assert in_three_data_centres(scenario) == 0
 
 
-def test_fed_instances_act_within_the_aim_and_it_costs_no_further_calls():
+def test_evacuation_reaches_fed_instances_in_time_without_extra_calls():
     names = tuple(
         f"{dc}{n}" for dc in DATA_CENTRES for n in ("", "-2", "-3", "-4", "-5")
     )
 
-    async def act(world):
+    async def scenario(world):
         for name in names:
             await world.start_instance(name, name[: name.index("-") + 2])
         for name in names:
@@ -185,23 +185,23 @@
         await trio.sleep(10)
         calls = len([call for call in world.store.targets if "op/" in call])
         evacuate(world, "south-a")
-        await trio.sleep(IN_FORCE)
+        await trio.sleep(MAX_DELAY)
         before = count_arrived(world, "south-a")
         await ask_everything(world, names, times=1)
         made = [call for call in world.store.targets if "op/" in call][calls:]
         return count_arrived(world, "south-a") - before, made
 
-    arrived, made = in_three_data_centres(act)
+    arrived, made = in_three_data_centres(scenario)
     assert arrived == 0
-    # Two watch in each data centre; each begins its watch of all the operators' keys
-    # anew after the change.
+    # Two instances watch in each data centre; each restarts its watch of the operators'
+    # keys after the change.
     assert len(made) <= 2 * len(DATA_CENTRES)
     assert all("kv-watch" in call for call in made)
 
 
 def name_instances(count):
-    """Return names of instances, a data centre in turn, that share no port."""
-    # The network gives the store and the leafs the first ones.
+    """Return `count` instances with their data centres in turn, none sharing a port."""
+    # The network gives the first ports to the store and the leaves.
     names, ports, number = {}, set(range(20000, 20040)), 0
     while len(names) < count:
         data_centre = DATA_CENTRES[len(names) % len(DATA_CENTRES)]
@@ -214,9 +214,9 @@
 
 
 def measure_until_in_force(count):
-    """Return the seconds until no instance gives an evacuated data centre work."""
+    """Return the seconds until no instance sends work to an evacuated data centre."""
 
-    async def act(world):
+    async def scenario(world):
         names = name_instances(count)
         for name, data_centre in names.items():
             await world.start_instance(name, data_centre)
@@ -237,10 +237,10 @@
             await trio.sleep(0.005)
         return trio.current_time() - start
 
-    return in_three_data_centres(act)
+    return in_three_data_centres(scenario)
 
 
 @pytest.mark.parametrize("count", [7, 60])
-def test_it_is_in_force_within_the_aim_at_each_size(count):
-    # 300 instances take a minute of a processor: played by hand, see the measurements.
-    assert measure_until_in_force(count) <= IN_FORCE
+def test_evacuation_is_in_force_in_time_at_each_fleet_size(count):
+    # 300 instances take a minute of processor time and are therefore run by hand.
+    assert measure_until_in_force(count) <= MAX_DELAY
--- a/walkcart/platform/tests/test_garbled_links.py
+++ b/walkcart/platform/tests/test_garbled_links.py
@@ -1,4 +1,4 @@
-"""Links that repeat, garble and rename messages: no instance ends, none lies."""
+"""Links that repeat, garble and rename messages end no instance and spoil no answer."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_spoiled_links_end_no_instance_and_spoil_no_answer(seed):
+def test_garbled_links_end_no_instance_and_spoil_no_answer(seed):
     counts = run_garbled_links(seed)
     assert find_violations(counts) == []
     assert counts["spoiled"] > 100
--- a/walkcart/platform/tests/test_idle_connections.py
+++ b/walkcart/platform/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections to leafs that were idle for a while."""
+"""Connections to leaves that were idle for a while."""
 
 import trio
 
@@ -6,7 +6,7 @@
 from walkcart.platform.tests.platformworld import make_route, open_platform
 
 
-def test_what_must_not_repeat_never_goes_over_a_connection_that_was_idle():
+def test_non_idempotent_request_never_uses_a_connection_that_was_idle():
     async def run():
         async with open_platform() as world:
             await world.start_leaf("p-0", "plain", records=b"body")
@@ -19,8 +19,8 @@
             statuses = []
             for pause in (0.1, 5, 0.1, 5):
                 statuses.append((await world.ask("/once/x", method="POST")).status)
-                # The leaf forgets what is idle without a word: what is sent next
-                # over such a connection is reset.
+                # The leaf silently drops idle connections: the next request over such
+                # a connection is reset.
                 if pause > 1:
                     world.servers["p-0"].drop_connections_silently()
                 await trio.sleep(pause)
--- a/walkcart/platform/tests/test_innocent_requests.py
+++ b/walkcart/platform/tests/test_innocent_requests.py
@@ -1,6 +1,6 @@
-"""Troubles of leafs and instances that make no request suspect.
+"""Faults of leaves and instances that must not quarantine any request.
 
-Leafs crash for reasons of their own, and each of them had requests.
+Leaves crash for reasons of their own while requests run on them.
 """
 
 import trio
@@ -13,11 +13,11 @@
 )
 
 
-def test_all_leafs_that_crash_at_once_make_no_question_suspect():
-    async def act(crashing):
+def test_leaves_that_all_crash_at_once_quarantine_no_question():
+    async def scenario(crashing):
         async def crash_all():
             await trio.sleep(1)
-            for id in crashing.leafs_alive():
+            for id in crashing.find_running_leaves():
                 crashing.crash(id)
 
         async with trio.open_nursery() as nursery:
@@ -27,15 +27,15 @@
         statuses = await ask_steadily(crashing, 2, interval=0.005)
         return statuses, read_events(crashing.world, "request_quarantined")
 
-    statuses, suspected = run_with_crashes(act)
-    assert suspected == []
+    statuses, quarantined = run_with_crashes(scenario)
+    assert quarantined == []
     assert statuses.count(200) == len(statuses)
 
 
-def test_leafs_that_crash_one_after_the_other_make_no_question_suspect():
-    async def act(crashing):
+def test_leaves_that_crash_one_by_one_quarantine_no_question():
+    async def scenario(crashing):
         async def crash_all():
-            for id in crashing.leafs_alive():
+            for id in crashing.find_running_leaves():
                 crashing.crash(id)
                 await trio.sleep(0.02)
 
@@ -44,34 +44,34 @@
             await ask_steadily(crashing, 2, interval=0.005)
         return read_events(crashing.world, "request_quarantined")
 
-    assert run_with_crashes(act, places=PLACES) == []
+    assert run_with_crashes(scenario, places=PLACES) == []
 
 
-def test_leafs_that_go_down_and_up_make_no_request_suspect():
-    """Each second two of them crash; they are back at once. The same callers retry."""
+def test_leaves_that_crash_and_restart_quarantine_no_request():
+    """Each second two leaves crash and restart after 0.3 s, while the load goes on."""
 
-    async def act(crashing):
-        crashing.back_time = 0.3
+    async def scenario(crashing):
+        crashing.restart_delay = 0.3
 
-        async def flap():
+        async def crash_repeatedly():
             while True:
-                alive = crashing.leafs_alive()
-                for id in alive[:: len(alive) // 2]:
+                running = crashing.find_running_leaves()
+                for id in running[:: len(running) // 2]:
                     crashing.crash(id)
                 await trio.sleep(1)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(flap)
+            nursery.start_soon(crash_repeatedly)
             nursery.start_soon(ask_steadily, crashing, 30, "/one/good", 0.02)
             await ask_steadily(crashing, 30, "/all/good", 0.05)
             nursery.cancel_scope.cancel()
         return read_events(crashing.world, "request_quarantined")
 
-    assert run_with_crashes(act) == []
+    assert run_with_crashes(scenario) == []
 
 
-def test_replies_that_are_lost_are_no_ends_of_leafs():
-    async def act(crashing):
+def test_lost_replies_are_not_taken_for_leaf_crashes():
+    async def scenario(crashing):
         world = crashing.world
         for leaf in world.leafs.values():
             leaf.faults.drop = True
@@ -83,13 +83,13 @@
         reply = await world.ask("/all/good", "one")
         return reply.status, read_events(world, "leaf_ended")
 
-    assert run_with_crashes(act) == (200, [])
+    assert run_with_crashes(scenario) == (200, [])
 
 
-def test_leafs_that_are_replaced_in_turn_make_no_request_suspect():
-    """Half of them announce it, the others only vanish; all serve for a while yet."""
+def test_rolling_replacement_of_leaves_quarantines_no_request():
+    """Half of them announce it, the others just vanish; all serve for 3 s more."""
 
-    async def act(crashing):
+    async def scenario(crashing):
         world = crashing.world
 
         async def replace(id, announces):
@@ -103,19 +103,19 @@
             world.servers[id].stop()
 
         async with trio.open_nursery() as nursery:
-            load = nursery.start_soon
-            load(ask_steadily, crashing, 12, "/all/good", 0.02)
-            load(ask_steadily, crashing, 12, "/one/good", 0.02)
-            for number, id in enumerate(crashing.leafs_alive()):
+            start_load = nursery.start_soon
+            start_load(ask_steadily, crashing, 12, "/all/good", 0.02)
+            start_load(ask_steadily, crashing, 12, "/one/good", 0.02)
+            for number, id in enumerate(crashing.find_running_leaves()):
                 nursery.start_soon(replace, id, number % 2 == 0)
                 await trio.sleep(0.3)
         return read_events(world, "request_quarantined")
 
-    assert run_with_crashes(act) == []
+    assert run_with_crashes(scenario) == []
 
 
-def test_instances_that_are_killed_make_no_request_suspect():
-    async def act(crashing):
+def test_killed_instances_quarantine_no_request():
+    async def scenario(crashing):
         world = crashing.world
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask_steadily, crashing, 6, "/all/good", 0.02)
@@ -124,28 +124,28 @@
                 world.tenants[name].scope.cancel()
         return read_events(world, "request_quarantined")
 
-    assert run_with_crashes(act, places=PLACES) == []
+    assert run_with_crashes(scenario, places=PLACES) == []
 
 
-def test_the_same_harmless_question_of_many_callers_is_answered_all_the_time():
-    """Leafs go down and up, and hundreds of callers ask one and the same."""
+def test_harmless_question_of_many_callers_is_always_answered():
+    """Leaves crash and restart while 500 callers ask the same question."""
 
-    async def act(crashing):
-        crashing.back_time = 0.3
+    async def scenario(crashing):
+        crashing.restart_delay = 0.3
         world = crashing.world
         statuses = []
 
-        async def flap():
+        async def crash_repeatedly():
             while True:
-                alive = crashing.leafs_alive()
-                crashing.crash(alive[len(alive) // 2])
+                running = crashing.find_running_leaves()
+                crashing.crash(running[len(running) // 2])
                 await trio.sleep(0.5)
 
         async def ask(name):
             statuses.append((await world.ask("/all/same", name)).status)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(flap)
+            nursery.start_soon(crash_repeatedly)
             async with trio.open_nursery() as callers:
                 for number in range(500):
                     callers.start_soon(ask, list(world.tenants)[number % 3])
@@ -153,6 +153,6 @@
             nursery.cancel_scope.cancel()
         return statuses, read_events(world, "request_quarantined")
 
-    statuses, suspected = run_with_crashes(act)
-    assert suspected == []
+    statuses, quarantined = run_with_crashes(scenario)
+    assert quarantined == []
     assert 503 not in statuses
--- a/walkcart/platform/tests/test_key_changes.py
+++ b/walkcart/platform/tests/test_key_changes.py
@@ -1,7 +1,7 @@
-"""How soon keys that are added or taken away act where the store turns some away.
+"""How soon added and removed API keys take effect when the store refuses instances.
 
-Each change adds a key and takes the one before away. The time at each instance is
-that from the store's acknowledgement until the new key is let in and the old one isn't.
+Each change adds a key and removes the previous one. The delay at each instance lasts
+from the store's acknowledgement until the new key is admitted and the old one isn't.
 """
 
 from __future__ import annotations
@@ -29,29 +29,31 @@
 from walkcart.store.follower import PrefixFollower
 from walkcart.wire.http import HttpReply
 
-#: Seconds until a change acts where feeds stand.
-BOUND = 1.0
-#: The same for one that comes just as the store begins to turn instances away: until
-#: they are fed.
-TURNED_BOUND = 3.0
-#: Seconds for which a fleet that starts settles.
+#: Seconds until a change is in force while feeds are established.
+MAX_DELAY = 1.0
+#: The same bound for a change just as the store begins to refuse instances, which takes
+#: until other instances feed them.
+MAX_REFUSED_DELAY = 3.0
+#: Seconds for which a starting fleet is left to settle.
 SETTLE_TIME = 30
 TEAMS = 78
-KEYS_EACH = 30
+KEYS_PER_TEAM = 30
 CHANGES = 8
-#: Seconds between two looks at the ages of the copies.
-LOOK = 0.25
-#: How the store turns an instance away: a status, a closed connection, silence.
-WAYS = (503, 429, "reset", "silent")
+#: Seconds between two checks of the ages of the copies.
+CHECK_INTERVAL = 0.25
+#: How the store refuses an instance: a status, a closed connection, or silence.
+REFUSALS = (503, 429, "reset", "silent")
 
 
 @dataclass(eq=False)
-class KeyEstate:
-    """Instances that follow the teams of one configuration.
+class KeyFleet:
+    """A fleet of instances that follow the teams of one configuration.
 
     Args:
-        world: around them.
-        seen: by instance, when each version came into force.
+        world: the platform that the instances run on.
+        seen: for each instance, the time at which each version came into force.
+        acknowledged: the time at which the store acknowledged each version.
+        changes: number of changes so far.
     """
 
     world: PlatformWorld
@@ -64,10 +66,10 @@
         seen = self.seen[name] = {}
         keeper = running.tenant.kernel.find("keeper", RouteKeeper)
 
-        def note(table) -> None:
+        def record(table) -> None:
             seen.setdefault(table.document.version, trio.current_time())
 
-        keeper.on_change(note)
+        keeper.on_change(record)
 
     async def start_many(self, count: int) -> None:
         self.change()
@@ -78,11 +80,12 @@
         self.acknowledged.clear()
 
     def change(self) -> None:
-        """Store a version with a new key and without the one of the last version."""
+        """Store a version with a new key and without the key of the last version."""
         self.changes += 1
         teams = [
             make_team(
-                f"team-{team}", *(f"key-{team}-{number}" for number in range(KEYS_EACH))
+                f"team-{team}",
+                *(f"key-{team}-{number}" for number in range(KEYS_PER_TEAM)),
             )
             for team in range(TEAMS)
         ]
@@ -91,13 +94,18 @@
         version = self.world.configure(route, teams=teams)
         self.acknowledged[version] = trio.current_time()
 
-    async def turn_away(self, name: str, way: int | str) -> None:
-        """Have the store turn an instance away."""
+    async def refuse_store(self, name: str, refusal: int | str) -> None:
+        """Have the store refuse an instance.
+
+        Args:
+            name: name of the instance.
+            refusal: one of `REFUSALS`.
+        """
 
         async def refuse(request):
-            if way == "silent":
+            if refusal == "silent":
                 await trio.sleep_forever()
-            return None if way == "reset" else HttpReply(way)
+            return None if refusal == "reset" else HttpReply(refusal)
 
         server = StandinServer(refuse)
         site = self.world.network.at("store")
@@ -110,89 +118,89 @@
         return self.world.tenants[name].tenant.kernel.find(service, kind)
 
     def holds_last(self, name: str) -> bool:
-        """Return whether an instance lets in the last key and not the one before."""
+        """Return whether an instance admits the last key and not the one before it."""
         teams = self.find(name, "keeper", RouteKeeper).table.teams
         new = teams.find_by_key(digest_key(f"changing-{self.changes}".encode()))
         old = teams.find_by_key(digest_key(f"changing-{self.changes - 1}".encode()))
         return new is not None and old is None
 
-    def find_worst(self) -> float:
-        """Return the longest time from an acknowledgement to force, in seconds."""
+    def find_max_delay(self) -> float:
+        """Return the longest time from acknowledgement until in force, in seconds."""
         delays = []
         for seen in self.seen.values():
             for version, at in self.acknowledged.items():
-                times = [when for held, when in seen.items() if held >= version]
+                times = [when for in_force, when in seen.items() if in_force >= version]
                 delays.append(min(times, default=float("inf")) - at)
         return max(delays)
 
-    def find_oldest(self, names: Iterable[str]) -> float:
+    def find_max_age(self, names: Iterable[str]) -> float:
         """Return the age of the oldest copy of the configuration, in seconds."""
         return max(
             self.find(name, "configuration", PrefixFollower).find_age()
             for name in names
         )
 
-    async def watch_oldest(self, names: Iterable[str], seconds: float) -> float:
-        """Return the greatest age of any of the copies during some seconds."""
+    async def observe_max_age(self, names: Iterable[str], seconds: float) -> float:
+        """Return the greatest age of any copy during the next `seconds`, in seconds."""
         ages = []
-        for _ in range(int(seconds / LOOK)):
-            await trio.sleep(LOOK)
-            ages.append(self.find_oldest(names))
+        for _ in range(int(seconds / CHECK_INTERVAL)):
+            await trio.sleep(CHECK_INTERVAL)
+            ages.append(self.find_max_age(names))
         return max(ages)
 
 
-def with_estate(count, act):
+def with_fleet(count, scenario):
     async def run():
         async with open_platform() as world:
             await world.start_leaf("p-0", "plain")
-            estate = KeyEstate(world)
-            await estate.start_many(count)
-            return await act(estate)
+            fleet = KeyFleet(world)
+            await fleet.start_many(count)
+            return await scenario(fleet)
 
     return run_mocked(run)
 
 
-async def change_often(estate):
+async def change_often(fleet):
     for _ in range(CHANGES):
-        estate.change()
+        fleet.change()
         await trio.sleep(0.4)
     await trio.sleep(5)
 
 
 @pytest.mark.parametrize("count", [7, 72])
-def test_keys_act_within_a_second_also_where_the_store_turns_many_away(count):
-    async def act(estate):
-        names = list(estate.seen)
-        await change_often(estate)
-        calm = estate.find_worst()
-        estate.acknowledged.clear()
+def test_keys_are_in_force_in_a_second_also_when_the_store_refuses_many(count):
+    async def scenario(fleet):
+        names = list(fleet.seen)
+        await change_often(fleet)
+        calm = fleet.find_max_delay()
+        fleet.acknowledged.clear()
         for number, name in enumerate(names[: count // 2]):
-            await estate.turn_away(name, WAYS[number % len(WAYS)])
-        await change_often(estate)
-        turned = estate.find_worst()
-        estate.acknowledged.clear()
-        await change_often(estate)
-        return calm, turned, estate.find_worst(), all(map(estate.holds_last, names))
+            await fleet.refuse_store(name, REFUSALS[number % len(REFUSALS)])
+        await change_often(fleet)
+        refused = fleet.find_max_delay()
+        fleet.acknowledged.clear()
+        await change_often(fleet)
+        return calm, refused, fleet.find_max_delay(), all(map(fleet.holds_last, names))
 
-    calm, turned, fed, whole = with_estate(count, act)
-    assert calm <= BOUND
-    assert turned <= TURNED_BOUND
-    assert fed <= BOUND
-    assert whole
+    calm, refused, fed, all_current = with_fleet(count, scenario)
+    assert calm <= MAX_DELAY
+    assert refused <= MAX_REFUSED_DELAY
+    assert fed <= MAX_DELAY
+    assert all_current
 
 
 @pytest.mark.parametrize("count", [7, 72])
-def test_none_takes_its_copy_for_old_in_calm_or_while_it_is_fed(count):
-    async def act(estate):
-        names = list(estate.seen)
-        calm = await estate.watch_oldest(names, 10)
-        turned = names[: count // 2]
-        for number, name in enumerate(turned):
-            await estate.turn_away(name, WAYS[number % len(WAYS)])
+def test_no_copy_counts_as_old_without_faults_or_while_it_is_fed(count):
+    async def scenario(fleet):
+        names = list(fleet.seen)
+        calm = await fleet.observe_max_age(names, 10)
+        refused = names[: count // 2]
+        for number, name in enumerate(refused):
+            await fleet.refuse_store(name, REFUSALS[number % len(REFUSALS)])
         await trio.sleep(4)
-        # For longer than the entries of those that are turned away last.
-        return calm, await estate.watch_oldest(turned, 32)
+        # Longer than the entries of the refused instances last.
+        return calm, await fleet.observe_max_age(refused, 32)
 
-    calm, turned = with_estate(count, act)
+    calm, refused = with_fleet(count, scenario)
     assert calm < MAX_CONFIGURATION_AGE
-    assert turned < MAX_CONFIGURATION_AGE
+    assert refused < MAX_CONFIGURATION_AGE
--- a/walkcart/platform/tests/test_late_parts.py
+++ b/walkcart/platform/tests/test_late_parts.py
@@ -1,4 +1,4 @@
-"""Late parts of a question are asked for in another region, all together."""
+"""Late parts of a question are requested together from another region."""
 
 import trio
 
@@ -11,18 +11,23 @@
 SHARDS = [f"shard-{number}" for number in range(6)]
 
 
-def with_few_a_message(monkeypatch, action):
-    """Run `action(world, sent)`; instances ask three shards each.
+def with_three_shards_per_message(monkeypatch, scenario):
+    """Run a scenario with at most three shards in each delegated question.
 
-    Each shard has a leaf in the north, "n-" and its number, and one in the south. Two
-    instances stand in the north, one in the south. `sent` gets who was asked for what.
+    Each shard has a leaf in the north, "n-" and its number, and one in the south, "s-"
+    and its number. Two instances are in the north, one is in the south.
+
+    Args:
+        monkeypatch: fixture of the test.
+        scenario: called with the platform and a list that collects the receiver and the
+            services of each delegated question; its result is returned.
     """
     monkeypatch.setattr(groups, "MAX_SERVICES", 3)
     monkeypatch.setattr(lateparts, "MAX_SERVICES", 3)
     sent = []
     send = PeerLinks.send
 
-    def note_sent(links, name, message):
+    def record_sent(links, name, message):
         if isinstance(message, DelegatedQuestion):
             sent.append((name, message.services))
         return send(links, name, message)
@@ -46,8 +51,8 @@
                 await world.ask("/all/x", "asker")
             for leaf in world.leafs.values():
                 leaf.arrived.clear()
-            monkeypatch.setattr(PeerLinks, "send", note_sent)
-            return await action(world, sent)
+            monkeypatch.setattr(PeerLinks, "send", record_sent)
+            return await scenario(world, sent)
 
     return run_mocked(run)
 
@@ -59,7 +64,7 @@
     ]
 
 
-def check_whole(reply):
+def check_complete(reply):
     assert reply.status == 200
     assert reply.header(b"x-missing-parts") is None
     stamps = reply.header(b"x-part-stamps").split(", ")
@@ -67,8 +72,8 @@
     assert reply.body == b"".join(bytes([65 + n]) * 16 for n in reversed(range(6)))
 
 
-def test_late_parts_of_all_gatherers_go_in_one_message(monkeypatch):
-    async def act(world, sent):
+def test_late_parts_of_all_gathering_instances_go_in_one_message(monkeypatch):
+    async def scenario(world, sent):
         near = (await ask_once(world, sent))[0][1]
         late = [near[0], next(name for name in SHARDS if name not in near)]
         for name in late:
@@ -77,12 +82,14 @@
         reply = await world.ask("/all/x", "asker")
         return reply, trio.current_time() - start, late, sent[1:], count_arrived(world)
 
-    reply, elapsed, late, sent, arrived = with_few_a_message(monkeypatch, act)
-    check_whole(reply)
+    reply, elapsed, late, sent, arrived = with_three_shards_per_message(
+        monkeypatch, scenario
+    )
+    check_complete(reply)
     assert elapsed < 0.2
     assert [name for name, _ in sent] == ["near", "far"]
     assert sorted(sent[1][1]) == sorted(late)
-    assert max(arrived) <= 2 + 1  # the question before came to each once
+    assert max(arrived) <= 2 + 1  # the previous question reached each shard once
 
 
 async def ask_once(world, sent):
@@ -90,49 +97,49 @@
     return list(sent)
 
 
-def test_a_single_late_part_is_asked_for_directly(monkeypatch):
-    async def act(world, sent):
+def test_single_late_part_is_requested_directly(monkeypatch):
+    async def scenario(world, sent):
         near = (await ask_once(world, sent))[0][1]
         world.leafs[near[0].replace("shard", "n")].faults.delay = 1.0
         reply = await world.ask("/all/x", "asker")
         return reply, [name for name, _ in sent]
 
-    reply, sent = with_few_a_message(monkeypatch, act)
-    check_whole(reply)
+    reply, sent = with_three_shards_per_message(monkeypatch, scenario)
+    check_complete(reply)
     assert sent == ["near", "near"]
 
 
-def test_an_instance_near_whose_leafs_are_all_slow_waits_for_them(monkeypatch):
-    """Another region is no faster then; nothing is asked twice."""
+def test_late_parts_are_awaited_when_all_leaves_are_slow(monkeypatch):
+    """Another region is no faster then, so no part is requested twice."""
 
-    async def act(world, sent):
+    async def scenario(world, sent):
         for leaf in world.leafs.values():
             leaf.faults.delay = 0.4
         reply = await world.ask("/all/x", "asker")
         return reply, count_arrived(world)
 
-    reply, arrived = with_few_a_message(monkeypatch, act)
+    reply, arrived = with_three_shards_per_message(monkeypatch, scenario)
     assert reply.status == 200
-    # It goes as soon as half of the parts are in.
+    # The answer is sent as soon as half of the parts have arrived.
     assert reply.header(b"x-missing-parts") in ("3", None)
     assert max(arrived) <= 2
 
 
-def test_a_dead_instance_in_the_other_region_costs_the_late_parts_only(monkeypatch):
-    async def act(world, sent):
+def test_dead_instance_in_the_other_region_costs_only_the_late_parts(monkeypatch):
+    async def scenario(world, sent):
         near = (await ask_once(world, sent))[0][1]
         for name in near[:2]:
             world.leafs[name.replace("shard", "n")].faults.delay = 1.0
         world.tenants["far"].scope.cancel()
         return await world.ask("/all/x", "asker")
 
-    reply = with_few_a_message(monkeypatch, act)
+    reply = with_three_shards_per_message(monkeypatch, scenario)
     assert reply.status == 200
     assert reply.header(b"x-missing-parts") in ("1", "2", None)
 
 
-def test_a_caller_that_leaves_ends_the_work_in_the_other_region(monkeypatch):
-    async def act(world, sent):
+def test_work_in_the_other_region_ends_when_the_caller_leaves(monkeypatch):
+    async def scenario(world, sent):
         near = (await ask_once(world, sent))[0][1]
         for name in near[:2]:
             for start in "ns":
@@ -143,4 +150,4 @@
         await trio.sleep(0.2)
         return sum(leaf.running for leaf in world.leafs.values())
 
-    assert with_few_a_message(monkeypatch, act) == 0
+    assert with_three_shards_per_message(monkeypatch, scenario) == 0
--- a/walkcart/platform/tests/test_leaf_replies.py
+++ b/walkcart/platform/tests/test_leaf_replies.py
@@ -1,4 +1,4 @@
-"""What replies of leafs mean, whatever they hold."""
+"""Interpretation of leaf replies with arbitrary contents."""
 
 from datetime import timedelta
 
@@ -37,18 +37,18 @@
 )
 
 
-def make_attempt(whole_part):
+def make_attempt(success_only):
     headers = ((b"x-request-id", b"id"),)
     request = HttpRequest("GET", "/", headers)
     return Attempt(
-        "a", 0, 1.0, caller_request=request, leaf_id="i", success_only=whole_part
+        "a", 0, 1.0, caller_request=request, leaf_id="i", success_only=success_only
     )
 
 
 @given(REPLIES, st.booleans())
 @example(HttpReply(503, ((b"x-not-executed", b"1"), (b"retry-after", b"-1"))), False)
-def test_a_reply_is_never_taken_for_more_than_it_says(reply, whole_part):
-    attempt = make_attempt(whole_part)
+def test_reply_is_never_taken_for_more_than_it_says(reply, success_only):
+    attempt = make_attempt(success_only)
     found = dict(reply.headers)
     status = PROTOCOL.read_status(found)
     assert status.load is None or status.load >= 0
@@ -56,7 +56,7 @@
     assert idle is None or idle >= 0
     match PROTOCOL.read_outcome(attempt, reply, found, 0.1):
         case Refused(retry_after=retry_after):
-            # Not run only by the leaf's own word.
+            # Only the leaf itself can say that the request did not run.
             assert reply.status == 421 or b"x-not-executed" in found
             assert retry_after is None or retry_after >= timedelta()
         case Replied(status=code, body=body):
@@ -64,13 +64,13 @@
             success = 200 <= code < 300
             assert not success or b"x-response-stamp" in found
             assert not success or b"content-encoding" not in found
-            assert success or not whole_part
+            assert success or not success_only
         case Failed(verdict):
             assert isinstance(verdict, MayHaveRun)
 
 
 @given(st.one_of(st.none(), st.binary(max_size=10)))
-def test_only_this_requests_id_or_none_is_ours(echoed):
+def test_reply_matches_by_its_request_id_or_without_one(echoed):
     found = {} if echoed is None else {b"x-request-id": echoed}
-    ours = PROTOCOL.is_reply_to(make_attempt(False), found)
-    assert ours == (echoed in (None, b"id"))
+    matches = PROTOCOL.is_reply_to(make_attempt(False), found)
+    assert matches == (echoed in (None, b"id"))
--- a/walkcart/platform/tests/test_limited_teams.py
+++ b/walkcart/platform/tests/test_limited_teams.py
@@ -1,4 +1,4 @@
-"""When a team's limit is asked, what its refusals become, and what is given back."""
+"""When a team's rate limit is checked, how it refuses, and what it refunds."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -29,30 +29,30 @@
 ]
 
 
-class NotedLimits:
-    """Says what it is told to and notes what it is asked."""
+class RecordingLimiter:
+    """A rate limiter that returns a set verdict and records its calls."""
 
     def __init__(self):
         self.verdict = None
-        self.taken = []
-        self.given_back = []
+        self.admitted = []
+        self.refunded = []
 
     async def admit(self, team, max_wait):
-        self.taken.append((team.name, team.limit.rate, round(max_wait, 1)))
+        self.admitted.append((team.name, team.limit.rate, round(max_wait, 1)))
         await trio.lowlevel.checkpoint()
         return self.verdict
 
     def refund(self, team, admitted_at):
         assert admitted_at <= trio.current_time()
-        self.given_back.append(team.name)
+        self.refunded.append(team.name)
 
 
-def with_limits(monkeypatch, act):
-    limits = NotedLimits()
+def with_limits(monkeypatch, scenario):
+    limiter = RecordingLimiter()
     init = RoutedHandler.__init__
 
     def limit(handler, tools):
-        init(handler, replace(tools, limits=limits))
+        init(handler, replace(tools, limits=limiter))
 
     monkeypatch.setattr(RoutedHandler, "__init__", limit)
 
@@ -62,13 +62,13 @@
             world.configure(*ROUTES, teams=TEAMS)
             await world.start_instance()
             await world.wait_ready()
-            return await act(world, limits)
+            return await scenario(world, limiter)
 
     return run_mocked(run)
 
 
-def test_each_request_of_a_limited_team_is_taken_once_and_of_no_other(monkeypatch):
-    async def act(world, limits):
+def test_limit_is_checked_once_for_each_request_of_limited_teams_only(monkeypatch):
+    async def scenario(world, limiter):
         world.leafs["p-0"].faults.refuse_tenths = 5
         for path, headers in (
             ("/one/x", LIMITED),
@@ -81,9 +81,9 @@
             ("/missing/x", LIMITED),
         ):
             await world.ask(path, headers=headers)
-        return limits.taken
+        return limiter.admitted
 
-    assert with_limits(monkeypatch, act) == [("limited", 5.0, 2.0)] * 3
+    assert with_limits(monkeypatch, scenario) == [("limited", 5.0, 2.0)] * 3
 
 
 @pytest.mark.parametrize(
@@ -93,38 +93,38 @@
         (Reason.LIMIT_UNKNOWN, 503, "query.limit_unknown"),
     ],
 )
-def test_what_a_limit_refuses_is_sent_nowhere_and_told_when_to_return(
+def test_rate_limited_request_reaches_no_leaf_and_gets_retry_after(
     monkeypatch, reason, status, metric
 ):
-    async def act(world, limits):
-        limits.verdict = NotRun(reason, "no", timedelta(seconds=0.25))
+    async def scenario(world, limiter):
+        limiter.verdict = NotRun(reason, "no", timedelta(seconds=0.25))
         reply = await world.ask("/one/x", headers=LIMITED)
         metrics = world.tenants["one"].tenant.kernel.find("metrics", Metrics)
         line = world.log.getvalue().splitlines()[-1]
         arrived = world.leafs["p-0"].arrived
-        return reply, arrived, metrics.read(metric), line, limits.given_back
+        return reply, arrived, metrics.read(metric), line, limiter.refunded
 
-    reply, arrived, count, line, given_back = with_limits(monkeypatch, act)
+    reply, arrived, count, line, refunded = with_limits(monkeypatch, scenario)
     assert reply.status == status
     assert reply.header(b"retry-after") == "0.250"
     assert arrived == []
     assert count == 1
-    assert given_back == []
+    assert refunded == []
     assert f'"reason": "{reason.value}"' in line
     assert '"team": "limited"' in line
 
 
-def test_what_no_leaf_ran_is_given_back_and_nothing_else(monkeypatch):
-    async def act(world, limits):
+def test_only_requests_that_no_leaf_ran_are_refunded(monkeypatch):
+    async def scenario(world, limiter):
         refused = await world.ask("/none/x", headers=LIMITED)
-        after = list(limits.given_back)
+        after = list(limiter.refunded)
         await world.ask("/one/x", headers=LIMITED)
         world.leafs["p-0"].faults.drop = True
         uncertain = await world.ask("/one/x", headers=LIMITED)
-        return refused.status, after, uncertain.status, limits.given_back
+        return refused.status, after, uncertain.status, limiter.refunded
 
-    refused, after, uncertain, given_back = with_limits(monkeypatch, act)
+    refused, after, uncertain, refunded = with_limits(monkeypatch, scenario)
     assert refused == 503
     assert after == ["limited"]
     assert uncertain in (502, 504)
-    assert given_back == after
+    assert refunded == after
--- a/walkcart/platform/tests/test_lost_answers.py
+++ b/walkcart/platform/tests/test_lost_answers.py
@@ -1,9 +1,9 @@
-"""Half of the leafs run requests and lose part of their answers by a reset.
+"""Half of the leaves run requests but reset the connection on part of the answers.
 
 The load: 40 shards with a leaf in each of three regions, 27 instances of which three
-gather, a question that does without two parts, and 0.4 of the answers lost at every
-second leaf. Without knowledge two leafs a shard bring 0.96 of the parts, and an equal
-part of the allowance of repeats is 3 in ten seconds for each instance.
+gather, questions that may lack two parts, and 0.4 of the answers lost at every second
+leaf. If leaves are chosen blindly, two leaves a shard yield 0.96 of the parts. An equal
+share of the repeat allowance is 3 in ten seconds for each instance.
 """
 
 from random import Random
@@ -18,24 +18,27 @@
 
 SHARDS = 40
 REGIONS = ("north", "south", "east")
-#: Seconds of the load, and questions in each of them.
-TIME = 4.0
+#: Duration of the load in seconds, and questions a second.
+DURATION = 4.0
 RATE = 16
 OBJECTIVE = 0.3
-MOST_ATTEMPTS = 2
-#: Repeats of all instances together beside a fifth of the requests: a third of what
-#: each question has where a fleet is larger and asked no more.
+MAX_ATTEMPTS = 2
+#: Repeats of all instances together beside a fifth of the requests: for each question a
+#: third of what a larger fleet has under the same load.
 ALLOWANCE = 108
 RATIO = 0.2
 
 
-def play_losses(share=0.4, askers=8, seed=1):
-    """Ask under load; return what came of the questions, and how leafs were asked.
+def run_with_losses(lost_share=0.4, askers=8, seed=1):
+    """Ask questions under load while half of the leaves lose answers.
 
     Args:
-        share: of the answers that lossy leafs lose.
-        askers: instances in each data centre that has no leafs.
-        seed: of the lots.
+        lost_share: share of the answers that lossy leaves lose.
+        askers: instances in each data centre that has no leaves.
+        seed: seed of the random choices.
+
+    Returns:
+        The status and the seconds of each question, and the arrivals by shard.
     """
     random = Random(seed)
 
@@ -63,7 +66,7 @@
                     minCoverage=0.95,
                     targetLatencyMs=round(OBJECTIVE * 1000),
                     timeoutMs=4000,
-                    maxAttempts=MOST_ATTEMPTS,
+                    maxAttempts=MAX_ATTEMPTS,
                 )
             )
             for name in instances:
@@ -72,28 +75,28 @@
             for name in instances:
                 await world.ask("/all/x", name)
             for leaf in random.sample(sorted(world.leafs), len(world.leafs) // 2):
-                world.leafs[leaf].faults.drop_rate = share
+                world.leafs[leaf].faults.drop_rate = lost_share
             for leaf in world.leafs.values():
                 leaf.arrived.clear()
-            ends = []
+            results = []
             async with trio.open_nursery() as nursery:
-                for _ in range(round(TIME * RATE)):
-                    nursery.start_soon(ask, world, random.choice(instances), ends)
+                for _ in range(round(DURATION * RATE)):
+                    nursery.start_soon(ask, world, random.choice(instances), results)
                     await trio.sleep(1 / RATE)
-            return ends, list_arrivals(world)
+            return results, list_arrivals(world)
 
     return run_mocked(run)
 
 
-async def ask(world, name, ends):
-    """Ask one question and note its status and its seconds."""
+async def ask(world, name, results):
+    """Ask one question and record its status and its duration in seconds."""
     start = trio.current_time()
     reply = await world.ask("/all/x", name, deadline_ms=4000)
-    ends.append((reply.status, trio.current_time() - start))
+    results.append((reply.status, trio.current_time() - start))
 
 
 def list_arrivals(world):
-    """Return for each shard which leafs were asked, in order, by question."""
+    """Return for each shard the regions asked in order, keyed by question."""
     arrivals = []
     for number in range(SHARDS):
         asked = {}
@@ -106,33 +109,33 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_lost_answers_are_asked_for_again_within_attempts_and_allowance(seed):
-    ends, arrivals = play_losses(seed=seed)
-    good = [time for status, time in ends if status == 200 and time <= OBJECTIVE]
-    assert len(good) >= 0.9 * len(ends)
+    results, arrivals = run_with_losses(seed=seed)
+    good = [time for status, time in results if status == 200 and time <= OBJECTIVE]
+    assert len(good) >= 0.9 * len(results)
     for asked in arrivals:
-        assert max(len(set(leafs)) for leafs in asked.values()) <= MOST_ATTEMPTS
-        most = MOST_ATTEMPTS * MAX_SENDS_PER_LEAF
-        assert max(len(leafs) for leafs in asked.values()) <= most
-        repeats = sum(len(leafs) - 1 for leafs in asked.values())
-        assert repeats <= RATIO * len(ends) + ALLOWANCE
+        assert max(len(set(regions)) for regions in asked.values()) <= MAX_ATTEMPTS
+        max_sends = MAX_ATTEMPTS * MAX_SENDS_PER_LEAF
+        assert max(len(regions) for regions in asked.values()) <= max_sends
+        repeats = sum(len(regions) - 1 for regions in asked.values())
+        assert repeats <= RATIO * len(results) + ALLOWANCE
 
 
-def test_a_question_ends_at_once_when_nothing_more_may_be_asked(monkeypatch):
-    """No repeat is left anywhere: what is lost stays away, and that is soon known."""
+def test_question_ends_at_once_when_no_repeat_is_left(monkeypatch):
+    """No repeats are left anywhere: lost parts stay missing, and that is soon known."""
 
     def deny(self, service, now, instances, vital=True):
         return False
 
     monkeypatch.setattr(RepeatBudget, "try_spend", deny)
     monkeypatch.setattr(RepeatBudget, "lend", deny)
-    ends, arrivals = play_losses(share=0.5, askers=2)
-    assert any(status != 200 for status, _ in ends)
-    assert max(time for _, time in ends) < 2 * OBJECTIVE
-    assert all(len(leafs) == 1 for asked in arrivals for leafs in asked.values())
+    results, arrivals = run_with_losses(lost_share=0.5, askers=2)
+    assert any(status != 200 for status, _ in results)
+    assert max(time for _, time in results) < 2 * OBJECTIVE
+    assert all(len(regions) == 1 for asked in arrivals for regions in asked.values())
 
 
 def with_one_leaf(**fields):
-    """Ask a service of one leaf, which loses half of its answers, 20 times."""
+    """Send 20 requests to a service whose only leaf loses half of its answers."""
 
     async def run():
         async with open_platform() as world:
@@ -148,13 +151,13 @@
     return run_mocked(run)
 
 
-def test_the_only_leaf_that_may_run_a_request_is_asked_again():
+def test_only_leaf_that_may_run_a_request_is_asked_again():
     statuses, ran = with_one_leaf(maxAttempts=1)
     assert statuses.count(200) == 20
     assert ran > 20
 
 
-def test_what_must_not_run_twice_is_not_asked_for_again():
+def test_non_idempotent_request_is_not_sent_again():
     statuses, ran = with_one_leaf(maxAttempts=3, routeType="non_idempotent")
     assert ran == 20
     assert 5 <= statuses.count(502) <= 15
--- a/walkcart/platform/tests/test_quarantined_requests.py
+++ b/walkcart/platform/tests/test_quarantined_requests.py
@@ -1,7 +1,7 @@
-"""What becomes of requests under which leafs end.
+"""Quarantine of requests that crash the leaves which run them.
 
-The story stands in `test_crashing_requests`; here are the paths that it can take. The
-troubles that must not be taken for it are in `test_innocent_requests`.
+`test_crashing_requests` describes the failure; the tests here cover its variants. The
+faults that must not be mistaken for it are in `test_innocent_requests`.
 """
 
 import trio
@@ -18,23 +18,23 @@
 from walkcart.platform.tests.platformworld import make_route
 
 
-def test_groups_that_are_gathered_in_other_regions_are_kept_from_leafs_too():
-    async def act(crashing):
+def test_groups_gathered_in_other_regions_are_kept_from_leaves_too():
+    async def scenario(crashing):
         for number in range(12):
             await crashing.world.ask(
                 CRASHING_TARGET, ("one", "two", "three")[number % 3]
             )
             await trio.sleep(2)
-        return crashing.late_tries(CRASHING_TARGET), len(crashing.ended)
+        return crashing.find_late_requests(CRASHING_TARGET), len(crashing.ended)
 
-    late, ended = run_with_crashes(act, places=PLACES)
+    late, ended = run_with_crashes(scenario, places=PLACES)
     assert len(late) <= 1
-    # One leaf of each shard, one more in each region, one that was asked by itself.
+    # One leaf of each shard, up to two more in each region, one asked directly.
     assert ended <= SHARDS + 2 * len(PLACES) + 1
 
 
-def test_the_caller_is_told_at_once_that_it_did_not_run_and_when_to_come_back():
-    async def act(crashing):
+def test_quarantined_request_is_refused_at_once_with_retry_after():
+    async def scenario(crashing):
         world = crashing.world
         for _ in range(3):
             await world.ask(CRASHING_TARGET, "one")
@@ -42,38 +42,38 @@
         arrived = len(crashing.arrivals)
         start = trio.current_time()
         reply = await world.ask(CRASHING_TARGET, "two")
-        took = trio.current_time() - start
+        elapsed = trio.current_time() - start
         lines = read_events(world, "request_unserved")
-        return reply, took, len(crashing.arrivals) - arrived, lines[-1]
+        return reply, elapsed, len(crashing.arrivals) - arrived, lines[-1]
 
-    reply, took, arrived, line = run_with_crashes(act)
+    reply, elapsed, arrived, line = run_with_crashes(scenario)
     assert reply.status == 503
     assert float(reply.header(b"retry-after")) > 60
-    assert took < 0.01
+    assert elapsed < 0.01
     assert arrived == 0
     assert line["reason"] == "quarantined"
 
 
-def test_other_questions_are_served_beside_it():
-    async def act(crashing):
+def test_other_questions_are_served_beside_a_crashing_one():
+    async def scenario(crashing):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask_bad, crashing)
+            nursery.start_soon(ask_crashing, crashing)
             await trio.sleep(8)
             return await ask_steadily(crashing, 10)
 
-    async def ask_bad(crashing):
+    async def ask_crashing(crashing):
         for number in range(8):
             await crashing.world.ask(
                 CRASHING_TARGET, ("one", "two", "three")[number % 3]
             )
             await trio.sleep(2)
 
-    statuses = run_with_crashes(act)
+    statuses = run_with_crashes(scenario)
     assert statuses.count(200) == len(statuses)
 
 
-def test_a_question_that_was_struck_by_chance_goes_to_one_leaf_and_is_freed():
-    async def act(crashing):
+def test_wrongly_suspected_question_is_tried_on_one_leaf_and_released():
+    async def scenario(crashing):
         world = crashing.world
         await world.ask("/all/same", "one")
         crashing.targets.add("/all/same")
@@ -87,16 +87,16 @@
         lifted = read_events(world, "quarantine_lifted")
         return reply.status, order, again, len(lifted)
 
-    status, order, again, lifted = run_with_crashes(act)
+    status, order, again, lifted = run_with_crashes(scenario)
     assert status == 200
-    # One leaf, and the others once that one has answered.
+    # One leaf gets the request first, the others once that one has answered.
     assert order[1] - order[0] >= 0.01
     assert again == 200
     assert lifted == 1
 
 
-def test_an_instance_that_was_cut_off_knows_soon_after():
-    async def act(crashing):
+def test_instance_that_was_cut_off_soon_learns_of_the_quarantine():
+    async def scenario(crashing):
         world = crashing.world
         for other in ("north-a", "south-a"):
             world.network.cut("east-a", other)
@@ -110,11 +110,11 @@
         status = (await world.ask(CRASHING_TARGET, "three")).status
         return status, len(crashing.arrivals) - arrived
 
-    assert run_with_crashes(act, places=PLACES) == (503, 0)
+    assert run_with_crashes(scenario, places=PLACES) == (503, 0)
 
 
-def test_it_is_known_after_all_instances_started_anew():
-    async def act(crashing):
+def test_quarantine_survives_the_restart_of_all_instances():
+    async def scenario(crashing):
         world = crashing.world
         for _ in range(3):
             await world.ask(CRASHING_TARGET, "one")
@@ -133,11 +133,11 @@
         ]
         return statuses, len(crashing.arrivals) - arrived
 
-    assert run_with_crashes(act) == ([503] * 3, 0)
+    assert run_with_crashes(scenario) == ([503] * 3, 0)
 
 
-def test_it_is_told_among_instances_while_the_store_is_away():
-    async def act(crashing):
+def test_quarantine_spreads_among_instances_while_the_store_is_unreachable():
+    async def scenario(crashing):
         world = crashing.world
         world.store.faults.silent = True
         for _ in range(3):
@@ -149,11 +149,11 @@
         keys = [key for key in world.store.rows if "/quarantine/" in key]
         return status, len(keys)
 
-    assert run_with_crashes(act) == (503, 1)
+    assert run_with_crashes(scenario) == (503, 1)
 
 
-def test_it_costs_the_store_two_calls_and_no_reading():
-    async def act(crashing):
+def test_quarantine_stores_one_key_and_reads_none():
+    async def scenario(crashing):
         world = crashing.world
         for _ in range(3):
             await world.ask(CRASHING_TARGET, "one")
@@ -162,13 +162,13 @@
         reads = [item for item in world.store.targets if "quarantine" in item]
         return calls, reads, world.store
 
-    _, reads, store = run_with_crashes(act)
+    _, reads, store = run_with_crashes(scenario)
     assert reads == []
     assert sum("/quarantine/" in key for key in store.rows) == 1
 
 
-def test_the_trial_of_a_caller_that_left_ends_with_it():
-    async def act(crashing):
+def test_trial_request_ends_when_its_caller_leaves():
+    async def scenario(crashing):
         world = crashing.world
         await world.ask(CRASHING_TARGET, "one")
         await trio.sleep(5)
@@ -182,11 +182,11 @@
         await trio.sleep(2)
         return (await world.ask(CRASHING_TARGET, "one")).status
 
-    assert run_with_crashes(act) == 200
+    assert run_with_crashes(scenario) == 200
 
 
-def test_a_request_that_must_not_repeat_ends_three_leafs_and_no_more():
-    async def act(crashing):
+def test_non_idempotent_request_crashes_at_most_three_leaves():
+    async def scenario(crashing):
         world = crashing.world
         names = [f"shard-{number}" for number in range(SHARDS)]
         world.configure(
@@ -201,15 +201,15 @@
             await trio.sleep(4)
         return statuses, len(crashing.ended)
 
-    statuses, ended = run_with_crashes(act, targets=("/one/bad",))
+    statuses, ended = run_with_crashes(scenario, targets=("/one/bad",))
     assert statuses == [502, 502, 502, 503, 503, 503]
     assert ended == 3
 
 
-def test_tries_at_all_instances_at_once_are_soon_over():
-    """Its callers repeat at once and often, wherever they are let in."""
+def test_concurrent_retries_at_all_instances_soon_reach_no_leaf():
+    """The callers retry at once and often, at every instance."""
 
-    async def act(crashing):
+    async def scenario(crashing):
         world = crashing.world
 
         async def repeat(name):
@@ -220,18 +220,20 @@
         async with trio.open_nursery() as nursery:
             for name in world.tenants:
                 nursery.start_soon(repeat, name)
-        return crashing.late_tries(CRASHING_TARGET, after=1.0), len(crashing.ended)
+        return crashing.find_late_requests(CRASHING_TARGET, after=1.0), len(
+            crashing.ended
+        )
 
-    late, ended = run_with_crashes(act, places=PLACES)
+    late, ended = run_with_crashes(scenario, places=PLACES)
     assert late == set()
-    # The first tries were under way at all instances before any knew.
+    # The first tries ran at all instances before any of them knew of the crashes.
     assert ended <= 2 * SHARDS
 
 
-def test_a_leaf_that_fails_part_of_its_requests_frees_no_request():
-    """Such a leaf replies with a failure before it begins."""
+def test_leaf_that_fails_some_requests_releases_no_quarantined_request():
+    """Such a leaf replies with an error before it begins the request."""
 
-    async def act(crashing):
+    async def scenario(crashing):
         world = crashing.world
         await world.ask("/one/bad", "one")
         await trio.sleep(4)
@@ -246,6 +248,6 @@
             await world.ask("/one/bad", name)
         return ended, len(crashing.ended), read_events(world, "quarantine_lifted")
 
-    ended, later, lifted = run_with_crashes(act, targets=("/one/bad",))
+    ended, later, lifted = run_with_crashes(scenario, targets=("/one/bad",))
     assert lifted == []
     assert later <= ended + 1
--- a/walkcart/platform/tests/test_reborn_leafs.py
+++ b/walkcart/platform/tests/test_reborn_leafs.py
@@ -1,4 +1,4 @@
-"""Leafs that start again under the id that they had, and know nothing of before."""
+"""Leaves that restart under the same id with no memory of their former life."""
 
 import trio
 
@@ -10,7 +10,7 @@
 BORN = 1_790_000_000_000
 
 
-def with_one_service(action):
+def with_one_service(scenario):
     async def run():
         async with open_platform() as world:
             await world.start_leaf("i-0", "service")
@@ -19,7 +19,7 @@
             await world.start_instance()
             await world.wait_ready()
             await trio.sleep(2)
-            return await action(world)
+            return await scenario(world)
 
     return run_mocked(run)
 
@@ -28,8 +28,8 @@
     return world.tenants["one"].tenant.kernel.find(name, kind)
 
 
-def test_a_leaf_that_started_again_elsewhere_is_asked_at_its_new_address():
-    async def act(world):
+def test_leaf_that_restarted_elsewhere_is_asked_at_its_new_address():
+    async def scenario(world):
         await world.restart_leaf("i-0", BORN)
         await trio.sleep(2)
         world.drain_leaf("i-1")
@@ -37,11 +37,11 @@
         statuses = [(await world.ask("/one/x")).status for _ in range(5)]
         return statuses, len(world.leafs["i-0"].ran)
 
-    assert with_one_service(act) == ([200] * 5, 5)
+    assert with_one_service(scenario) == ([200] * 5, 5)
 
 
-def test_what_was_learned_of_the_life_before_is_forgotten():
-    async def act(world):
+def test_statistics_of_the_former_life_are_dropped():
+    async def scenario(world):
         directory = find(world, "directory", LeafDirectory)
         before = directory.find("i-0")
         before.latency.observe(trio.current_time(), 50.0)
@@ -50,11 +50,11 @@
         after = directory.find("i-0")
         return before is after, after.latency.estimate(trio.current_time(), 1.0)
 
-    assert with_one_service(act) == (False, 1.0)
+    assert with_one_service(scenario) == (False, 1.0)
 
 
-def test_connections_to_the_life_before_are_left():
-    async def act(world):
+def test_connections_to_the_former_life_are_dropped():
+    async def scenario(world):
         for _ in range(6):
             await world.ask("/one/x")
         pool = find(world, "pool", LeafPool)
@@ -63,37 +63,37 @@
         await trio.sleep(3)
         return all(link.leaf is directory.find(id) for id, link in pool._links.items())
 
-    assert with_one_service(act)
+    assert with_one_service(scenario)
 
 
-def test_a_leaf_whose_address_was_anothers_for_a_while_is_used_after_its_start():
-    """A 421 of the life before says nothing of the one that came after it."""
+def test_replaced_leaf_is_used_again_after_its_restart():
+    """A 421 from the former life doesn't apply to the restarted leaf."""
 
-    async def act(world):
+    async def scenario(world):
         directory = find(world, "directory", LeafDirectory)
-        directory.forget(directory.find("i-0"))
-        forgotten = [leaf.id for leaf in directory.leaves_of("service")]
+        directory.mark_replaced(directory.find("i-0"))
+        remaining = [leaf.id for leaf in directory.leaves_of("service")]
         await world.restart_leaf("i-0", BORN)
         await trio.sleep(2)
-        return forgotten, sorted(leaf.id for leaf in directory.leaves_of("service"))
+        return remaining, sorted(leaf.id for leaf in directory.leaves_of("service"))
 
-    assert with_one_service(act) == (["i-1"], ["i-0", "i-1"])
+    assert with_one_service(scenario) == (["i-1"], ["i-0", "i-1"])
 
 
-def test_a_word_on_the_life_before_does_not_take_the_new_one_away():
-    async def act(world):
+def test_late_replacement_notice_keeps_the_restarted_leaf():
+    async def scenario(world):
         directory = find(world, "directory", LeafDirectory)
         before = directory.find("i-0")
         await world.restart_leaf("i-0", BORN)
         await trio.sleep(2)
-        directory.forget(before)
+        directory.mark_replaced(before)
         return sorted(leaf.id for leaf in directory.leaves_of("service"))
 
-    assert with_one_service(act) == ["i-0", "i-1"]
+    assert with_one_service(scenario) == ["i-0", "i-1"]
 
 
-def test_entries_of_other_writers_name_no_leaf_and_the_others_serve():
-    async def act(world):
+def test_foreign_entries_are_ignored_and_the_other_leaves_serve():
+    async def scenario(world):
         world.store.put("servers/odd", {**world.entries["i-0"], "state": "resting"})
         world.store.put("servers/list", [1, 2])
         await trio.sleep(2)
@@ -101,4 +101,4 @@
         directory = find(world, "directory", LeafDirectory)
         return statuses, sorted(leaf.id for leaf in directory.leaves_of("service"))
 
-    assert with_one_service(act) == ([200] * 5, ["i-0", "i-1"])
+    assert with_one_service(scenario) == ([200] * 5, ["i-0", "i-1"])
