--- a/walkcart/platform/tests/test_attempt_account.py
+++ b/walkcart/platform/tests/test_attempt_account.py
@@ -119,9 +119,9 @@
         return count_by_leaf(world)
 
     asked = with_two_regions(scenario, COPIES, targetLatencyMs=120, minCoverage=0.75)
-    for leaves in asked.values():
-        assert len(leaves) <= MAX_ATTEMPTS
-        assert sum(leaves.values()) <= MAX_ATTEMPTS * MAX_SENDS_PER_LEAF
+    for leafs in asked.values():
+        assert len(leafs) <= MAX_ATTEMPTS
+        assert sum(leafs.values()) <= MAX_ATTEMPTS * MAX_SENDS_PER_LEAF
 
 
 def count_by_leaf(world):
@@ -167,16 +167,16 @@
         for leaf in world.leafs.values():
             leaf.faults.delay = 0.3
         lose_acceptances(("helper", "second"), monkeypatch)
-        requested = []
+        taken = []
 
         def deny(self, service, now, instances, vital=True):
-            requested.append(service)
+            taken.append(service)
             return False
 
         monkeypatch.setattr(RepeatBudget, "try_spend", deny)
         await world.ask("/all/x", "asker")
         await trio.sleep(1)
-        return count_arrived(world), len(requested)
+        return count_arrived(world), len(taken)
 
     arrived, requested = with_two_regions(scenario, targetLatencyMs=100)
     assert arrived == [1, 1, 1, 1]
--- a/walkcart/platform/tests/test_changes_in_force.py
+++ b/walkcart/platform/tests/test_changes_in_force.py
@@ -78,16 +78,16 @@
 
 def test_slow_feeder_delays_no_other_instance():
     async def scenario(fleet):
-        slow = fleet.find_feeders()
-        for name in slow:
+        late = fleet.find_feeders()
+        for name in late:
             # Its feed is delayed by seconds; its requests to the store are short.
             fleet.links[name].outgoing.rate = 20_000
         await fleet.change_quickly(CHANGES)
         await trio.sleep(60)
-        return slow, fleet.find_max_delay(without=tuple(slow))
+        return late, fleet.find_max_delay(without=tuple(late))
 
-    slow, max_delay = with_fleet(ONE_DATA_CENTRE, scenario, DATA_CENTRES[:1])
-    assert len(slow) == 2
+    late, max_delay = with_fleet(ONE_DATA_CENTRE, scenario, DATA_CENTRES[:1])
+    assert len(late) == 2
     assert max_delay <= MAX_DELAY
 
 
@@ -176,14 +176,14 @@
 
 def test_second_feeder_takes_over_when_the_first_dies():
     async def scenario(fleet):
-        killed = fleet.find_feeders()[0]
-        fleet.world.tenants[killed].scope.cancel()
+        ended = fleet.find_feeders()[0]
+        fleet.world.tenants[ended].scope.cancel()
         before = len(fleet.world.store.calls)
         await trio.sleep(1)
         fleet.change()
         await trio.sleep(4)
         watches = [call for call in fleet.world.store.calls[before:] if "watch" in call]
-        return len(watches), fleet.find_max_delay(without=(killed,))
+        return len(watches), fleet.find_max_delay(without=(ended,))
 
     watches, max_delay = with_fleet(ONE_DATA_CENTRE, scenario, DATA_CENTRES[:1])
     assert max_delay <= MAX_DELAY
--- a/walkcart/platform/tests/test_documents.py
+++ b/walkcart/platform/tests/test_documents.py
@@ -243,5 +243,5 @@
 @given(st.lists(st.lists(st.binary(min_size=16, max_size=16), max_size=9), max_size=5))
 def test_merging_merged_parts_gives_the_same_result(parts):
     bodies = [b"".join(part) for part in parts]
-    merged = merge_records(bodies, 4)
-    assert merge_records([merge_records(bodies[:2], 4), *bodies[2:]], 4) == merged
+    once = merge_records(bodies, 4)
+    assert merge_records([merge_records(bodies[:2], 4), *bodies[2:]], 4) == once
--- a/walkcart/platform/tests/test_early_second_attempts.py
+++ b/walkcart/platform/tests/test_early_second_attempts.py
@@ -52,11 +52,11 @@
         make_slow(world, SHARDS[:2], "a")
         return [await ask_timed(world) for _ in range(10)]
 
-    results = run_scenario(scenario)
-    assert {status for status, _ in results} == {200}
+    asked = run_scenario(scenario)
+    assert {status for status, _ in asked} == {200}
     # Second attempts at the latest possible moment would gain nothing: the slow leaves
     # answer after 0.31 s, just before it.
-    assert max(elapsed for _, elapsed in results) < OBJECTIVE_MS / 1000 / 4
+    assert max(elapsed for _, elapsed in asked) < OBJECTIVE_MS / 1000 / 4
 
 
 def test_busy_leaf_gets_no_second_attempt_until_the_last_moment():
--- a/walkcart/platform/tests/test_failing_leafs.py
+++ b/walkcart/platform/tests/test_failing_leafs.py
@@ -14,12 +14,12 @@
 MAX_REPEATS = QUESTIONS * 0.2 + 54
 
 
-def run_load(refusing, min_coverage=1.0):
+def run_load(refusing, least_coverage=1.0):
     """Ask questions under load.
 
     Args:
         refusing: leaves that refuse six of ten requests, as pairs of shard and copy.
-        min_coverage: share of the shards that an answer must cover.
+        least_coverage: share of the shards that an answer must cover.
 
     Returns:
         The number of parts of each answer (0 without an answer), and the number of
@@ -33,7 +33,7 @@
                 for copy in range(2):
                     id = f"i-{shard}{copy}"
                     await world.start_leaf(id, names[shard])
-            route = {"fanoutServices": names, "topK": 3, "minCoverage": min_coverage}
+            route = {"fanoutServices": names, "topK": 3, "minCoverage": least_coverage}
             world.configure(make_route("all", "/all/", **route))
             await world.start_instance("one")
             await world.wait_ready("one")
@@ -73,6 +73,6 @@
 def test_repeats_go_to_shards_that_answers_depend_on():
     """All leaves of four shards refuse, and an answer may lack two shards."""
     refusing = [(shard, copy) for shard in range(4) for copy in range(2)]
-    parts, arrived = run_load(refusing, min_coverage=0.8)
+    parts, arrived = run_load(refusing, least_coverage=0.8)
     assert sum(1 for count in parts if count) >= 0.97 * QUESTIONS
     assert all(count <= QUESTIONS + MAX_REPEATS for count in arrived)
--- a/walkcart/platform/tests/test_home_regions.py
+++ b/walkcart/platform/tests/test_home_regions.py
@@ -168,8 +168,8 @@
         await trio.sleep(MAX_DELAY)
         again = await world.ask("/all/x", "north-a")
         lines = world.log.getvalue().splitlines()
-        warnings = [line for line in lines if "route_region_unknown" in line]
-        return served.status, refused.status, again.status, len(warnings)
+        told = [line for line in lines if "route_region_unknown" in line]
+        return served.status, refused.status, again.status, len(told)
 
     routes = (
         make_single_route(allowedRegions=[]),
--- a/walkcart/platform/tests/test_key_changes.py
+++ b/walkcart/platform/tests/test_key_changes.py
@@ -129,7 +129,7 @@
         delays = []
         for seen in self.seen.values():
             for version, at in self.acknowledged.items():
-                times = [when for in_force, when in seen.items() if in_force >= version]
+                times = [when for held, when in seen.items() if held >= version]
                 delays.append(min(times, default=float("inf")) - at)
         return max(delays)
 
--- a/walkcart/platform/tests/test_limited_teams.py
+++ b/walkcart/platform/tests/test_limited_teams.py
@@ -34,11 +34,11 @@
 
     def __init__(self):
         self.verdict = None
-        self.admitted = []
+        self.taken = []
         self.refunded = []
 
     async def admit(self, team, max_wait):
-        self.admitted.append((team.name, team.limit.rate, round(max_wait, 1)))
+        self.taken.append((team.name, team.limit.rate, round(max_wait, 1)))
         await trio.lowlevel.checkpoint()
         return self.verdict
 
@@ -48,11 +48,11 @@
 
 
 def with_limits(monkeypatch, scenario):
-    limiter = RecordingLimiter()
+    limits = RecordingLimiter()
     init = RoutedHandler.__init__
 
     def limit(handler, tools):
-        init(handler, replace(tools, limits=limiter))
+        init(handler, replace(tools, limits=limits))
 
     monkeypatch.setattr(RoutedHandler, "__init__", limit)
 
@@ -62,13 +62,13 @@
             world.configure(*ROUTES, teams=TEAMS)
             await world.start_instance()
             await world.wait_ready()
-            return await scenario(world, limiter)
+            return await scenario(world, limits)
 
     return run_mocked(run)
 
 
 def test_limit_is_checked_once_for_each_request_of_limited_teams_only(monkeypatch):
-    async def scenario(world, limiter):
+    async def scenario(world, limits):
         world.leafs["p-0"].faults.refuse_tenths = 5
         for path, headers in (
             ("/one/x", LIMITED),
@@ -81,7 +81,7 @@
             ("/missing/x", LIMITED),
         ):
             await world.ask(path, headers=headers)
-        return limiter.admitted
+        return limits.taken
 
     assert with_limits(monkeypatch, scenario) == [("limited", 5.0, 2.0)] * 3
 
@@ -96,13 +96,13 @@
 def test_rate_limited_request_reaches_no_leaf_and_gets_retry_after(
     monkeypatch, reason, status, metric
 ):
-    async def scenario(world, limiter):
-        limiter.verdict = NotRun(reason, "no", timedelta(seconds=0.25))
+    async def scenario(world, limits):
+        limits.verdict = NotRun(reason, "no", timedelta(seconds=0.25))
         reply = await world.ask("/one/x", headers=LIMITED)
         metrics = world.tenants["one"].tenant.kernel.find("metrics", Metrics)
         line = world.log.getvalue().splitlines()[-1]
         arrived = world.leafs["p-0"].arrived
-        return reply, arrived, metrics.read(metric), line, limiter.refunded
+        return reply, arrived, metrics.read(metric), line, limits.refunded
 
     reply, arrived, count, line, refunded = with_limits(monkeypatch, scenario)
     assert reply.status == status
@@ -115,13 +115,13 @@
 
 
 def test_only_requests_that_no_leaf_ran_are_refunded(monkeypatch):
-    async def scenario(world, limiter):
+    async def scenario(world, limits):
         refused = await world.ask("/none/x", headers=LIMITED)
-        after = list(limiter.refunded)
+        after = list(limits.refunded)
         await world.ask("/one/x", headers=LIMITED)
         world.leafs["p-0"].faults.drop = True
         uncertain = await world.ask("/one/x", headers=LIMITED)
-        return refused.status, after, uncertain.status, limiter.refunded
+        return refused.status, after, uncertain.status, limits.refunded
 
     refused, after, uncertain, refunded = with_limits(monkeypatch, scenario)
     assert refused == 503
--- a/walkcart/platform/tests/test_lost_answers.py
+++ b/walkcart/platform/tests/test_lost_answers.py
@@ -29,11 +29,11 @@
 RATIO = 0.2
 
 
-def run_with_losses(lost_share=0.4, askers=8, seed=1):
+def run_with_losses(share=0.4, askers=8, seed=1):
     """Ask questions under load while half of the leaves lose answers.
 
     Args:
-        lost_share: share of the answers that lossy leaves lose.
+        share: share of the answers that lossy leaves lose.
         askers: instances in each data centre that has no leaves.
         seed: seed of the random choices.
 
@@ -75,7 +75,7 @@
             for name in instances:
                 await world.ask("/all/x", name)
             for leaf in random.sample(sorted(world.leafs), len(world.leafs) // 2):
-                world.leafs[leaf].faults.drop_rate = lost_share
+                world.leafs[leaf].faults.drop_rate = share
             for leaf in world.leafs.values():
                 leaf.arrived.clear()
             results = []
@@ -113,10 +113,10 @@
     good = [time for status, time in results if status == 200 and time <= OBJECTIVE]
     assert len(good) >= 0.9 * len(results)
     for asked in arrivals:
-        assert max(len(set(regions)) for regions in asked.values()) <= MAX_ATTEMPTS
+        assert max(len(set(leafs)) for leafs in asked.values()) <= MAX_ATTEMPTS
         max_sends = MAX_ATTEMPTS * MAX_SENDS_PER_LEAF
-        assert max(len(regions) for regions in asked.values()) <= max_sends
-        repeats = sum(len(regions) - 1 for regions in asked.values())
+        assert max(len(leafs) for leafs in asked.values()) <= max_sends
+        repeats = sum(len(leafs) - 1 for leafs in asked.values())
         assert repeats <= RATIO * len(results) + ALLOWANCE
 
 
@@ -128,10 +128,10 @@
 
     monkeypatch.setattr(RepeatBudget, "try_spend", deny)
     monkeypatch.setattr(RepeatBudget, "lend", deny)
-    results, arrivals = run_with_losses(lost_share=0.5, askers=2)
+    results, arrivals = run_with_losses(share=0.5, askers=2)
     assert any(status != 200 for status, _ in results)
     assert max(time for _, time in results) < 2 * OBJECTIVE
-    assert all(len(regions) == 1 for asked in arrivals for regions in asked.values())
+    assert all(len(leafs) == 1 for asked in arrivals for leafs in asked.values())
 
 
 def with_one_leaf(**fields):
