--- a/walkcart/platform/tests/test_changes_in_force.py
+++ b/walkcart/platform/tests/test_changes_in_force.py
@@ -91,7 +91,7 @@
     assert max_delay <= MAX_DELAY
 
 
-def test_draining_leaves_get_no_work_in_time_beside_quick_changes():
+def test_draining_leaves_soon_get_no_work_beside_quick_changes():
     async def scenario(fleet):
         await fleet.store_leaves(LEAVES)
         await trio.sleep(5)
--- a/walkcart/platform/tests/test_cold_leafs.py
+++ b/walkcart/platform/tests/test_cold_leafs.py
@@ -26,11 +26,14 @@
 
 
 def find_peak_rate(leaf, since=0.0):
+    """Return the most requests that arrived at a leaf in any second after `since`."""
     times = [at for at in getattr(leaf, "times", []) if at >= since]
     return max((sum(a <= b <= a + 1.0 for b in times) for a in times), default=0)
 
 
 def with_many_instances(scenario, data_centres=DATA_CENTRES):
+    """Run `scenario(world)` with nine instances in three data centres."""
+
     async def run():
         async with open_platform() as world:
             for service in (*SHARDS, "single"):
@@ -82,6 +85,7 @@
 
 
 def mark_cold(world, id, left_ms):
+    """Store in the entry of a leaf that it stays cold for `left_ms` milliseconds."""
     entry = world.entries[id]
     entry["seq"] += 1
     entry["warmupLeftMs"] = left_ms
--- a/walkcart/platform/tests/test_crashing_requests.py
+++ b/walkcart/platform/tests/test_crashing_requests.py
@@ -74,7 +74,7 @@
 
     late, ended = run_scenario(scenario)
     assert len(late) <= MAX_LATE
-    # One leaf of each shard and a few more, but not the second leaf of each shard.
+    # One leaf of each shard and a few more: not each second leaf, and not repeatedly.
     assert ended <= SHARDS + 4
 
 
--- a/walkcart/platform/tests/test_crowded_leafs.py
+++ b/walkcart/platform/tests/test_crowded_leafs.py
@@ -66,6 +66,8 @@
 
 
 def run_load(slow):
+    """Return the result of `ask_at_once` with a slow leaf or a usual one."""
+
     async def run():
         async with open_platform() as world:
             leaf = await start_world(world)
--- a/walkcart/platform/tests/test_key_changes.py
+++ b/walkcart/platform/tests/test_key_changes.py
@@ -150,6 +150,8 @@
 
 
 def with_fleet(count, scenario):
+    """Run `scenario(fleet)` with `count` instances and return its result."""
+
     async def run():
         async with open_platform() as world:
             await world.start_leaf("p-0", "plain")
@@ -161,6 +163,7 @@
 
 
 async def change_often(fleet):
+    """Change the keys every 0.4 s, then wait until the changes have spread."""
     for _ in range(CHANGES):
         fleet.change()
         await trio.sleep(0.4)
--- a/walkcart/platform/tests/test_limited_teams.py
+++ b/walkcart/platform/tests/test_limited_teams.py
@@ -48,6 +48,7 @@
 
 
 def with_limits(monkeypatch, scenario):
+    """Run `scenario(world, limits)` with a recording limiter at the instance."""
     limits = RecordingLimiter()
     init = RoutedHandler.__init__
 
--- a/walkcart/platform/tests/test_reborn_leafs.py
+++ b/walkcart/platform/tests/test_reborn_leafs.py
@@ -11,6 +11,8 @@
 
 
 def with_one_service(scenario):
+    """Run `scenario(world)` with one instance and a service of two leaves."""
+
     async def run():
         async with open_platform() as world:
             await world.start_leaf("i-0", "service")
