--- a/walkcart/platform/tests/test_limited_teams.py
+++ b/walkcart/platform/tests/test_limited_teams.py
@@ -1,4 +1,4 @@
-"""When a team's limit is asked, what its refusals become, and what is given back."""
+"""When a team's rate limit is checked, how it refuses, and what it refunds."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -29,13 +29,13 @@
 ]
 
 
-class NotedLimits:
-    """Says what it is told to and notes what it is asked."""
+class RecordingLimiter:
+    """A rate limiter that returns a set verdict and records its calls."""
 
     def __init__(self):
         self.verdict = None
         self.taken = []
-        self.given_back = []
+        self.refunded = []
 
     async def admit(self, team, max_wait):
         self.taken.append((team.name, team.limit.rate, round(max_wait, 1)))
@@ -44,11 +44,12 @@
 
     def refund(self, team, admitted_at):
         assert admitted_at <= trio.current_time()
-        self.given_back.append(team.name)
+        self.refunded.append(team.name)
 
 
-def with_limits(monkeypatch, act):
-    limits = NotedLimits()
+def with_limits(monkeypatch, scenario):
+    """Run `scenario(world, limits)` with a recording limiter at the instance."""
+    limits = RecordingLimiter()
     init = RoutedHandler.__init__
 
     def limit(handler, tools):
@@ -62,13 +63,13 @@
             world.configure(*ROUTES, teams=TEAMS)
             await world.start_instance()
             await world.wait_ready()
-            return await act(world, limits)
+            return await scenario(world, limits)
 
     return run_mocked(run)
 
 
-def test_each_request_of_a_limited_team_is_taken_once_and_of_no_other(monkeypatch):
-    async def act(world, limits):
+def test_limit_is_checked_once_for_each_request_of_limited_teams_only(monkeypatch):
+    async def scenario(world, limits):
         world.leafs["p-0"].faults.refuse_tenths = 5
         for path, headers in (
             ("/one/x", LIMITED),
@@ -83,7 +84,7 @@
             await world.ask(path, headers=headers)
         return limits.taken
 
-    assert with_limits(monkeypatch, act) == [("limited", 5.0, 2.0)] * 3
+    assert with_limits(monkeypatch, scenario) == [("limited", 5.0, 2.0)] * 3
 
 
 @pytest.mark.parametrize(
@@ -93,38 +94,38 @@
         (Reason.LIMIT_UNKNOWN, 503, "query.limit_unknown"),
     ],
 )
-def test_what_a_limit_refuses_is_sent_nowhere_and_told_when_to_return(
+def test_rate_limited_request_reaches_no_leaf_and_gets_retry_after(
     monkeypatch, reason, status, metric
 ):
-    async def act(world, limits):
+    async def scenario(world, limits):
         limits.verdict = NotRun(reason, "no", timedelta(seconds=0.25))
         reply = await world.ask("/one/x", headers=LIMITED)
         metrics = world.tenants["one"].tenant.kernel.find("metrics", Metrics)
         line = world.log.getvalue().splitlines()[-1]
         arrived = world.leafs["p-0"].arrived
-        return reply, arrived, metrics.read(metric), line, limits.given_back
+        return reply, arrived, metrics.read(metric), line, limits.refunded
 
-    reply, arrived, count, line, given_back = with_limits(monkeypatch, act)
+    reply, arrived, count, line, refunded = with_limits(monkeypatch, scenario)
     assert reply.status == status
     assert reply.header(b"retry-after") == "0.250"
     assert arrived == []
     assert count == 1
-    assert given_back == []
+    assert refunded == []
     assert f'"reason": "{reason.value}"' in line
     assert '"team": "limited"' in line
 
 
-def test_what_no_leaf_ran_is_given_back_and_nothing_else(monkeypatch):
-    async def act(world, limits):
+def test_only_requests_that_no_leaf_ran_are_refunded(monkeypatch):
+    async def scenario(world, limits):
         refused = await world.ask("/none/x", headers=LIMITED)
-        after = list(limits.given_back)
+        after = list(limits.refunded)
         await world.ask("/one/x", headers=LIMITED)
         world.leafs["p-0"].faults.drop = True
         uncertain = await world.ask("/one/x", headers=LIMITED)
-        return refused.status, after, uncertain.status, limits.given_back
+        return refused.status, after, uncertain.status, limits.refunded
 
-    refused, after, uncertain, given_back = with_limits(monkeypatch, act)
+    refused, after, uncertain, refunded = with_limits(monkeypatch, scenario)
     assert refused == 503
     assert after == ["limited"]
     assert uncertain in (502, 504)
-    assert given_back == after
+    assert refunded == after
