--- a/walkcart/platform/__init__.py
+++ b/walkcart/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: translation between its wire and the product's own types.
+"""Translates between the wire protocol of the users' platform and the product's types.
 
-Nothing is decided here. Each name of the wire is read once, into a type whose fields
-say what they hold, and no such name is used outside of this package.
+Nothing is decided here. Each wire name is read once, into a type with descriptive field
+names, and no wire name is used outside this package.
 """
--- a/walkcart/platform/apikeys.py
+++ b/walkcart/platform/apikeys.py
@@ -1,4 +1,4 @@
-"""API keys on callers' requests.
+"""Reads API keys from callers' requests.
 
 Examples:
     >>> found = read_credential(((b"authorization", b"bearer secret"),))
@@ -14,33 +14,36 @@
 from walkcart.platform.headers import AUTHORIZATION
 from walkcart.wire.http import Headers
 
-#: The scheme of API keys (RFC 6750); case makes no difference.
+#: Authentication scheme of API keys (RFC 6750), compared without regard to case.
 SCHEME = b"bearer"
-#: Bytes of a key at the most: some ten times those of keys in use, so that a caller
-#: can't have an instance digest whole heads for nothing.
+#: Maximum length of a key in bytes: some ten times that of keys in use. The bound keeps
+#: a caller from making an instance digest a whole request head.
 MOST_KEY_BYTES = 512
-#: First and last of the visible characters of ASCII: a key has no others.
-_VISIBLE = (0x21, 0x7E)
+#: First and last visible ASCII character; a key consists of visible characters only.
+_VISIBLE_ASCII = (0x21, 0x7E)
 
 
 def read_credential(headers: Headers) -> bytes | None:
-    """Return the digest of the API key among headers; None without exactly one.
+    """Return the digest of the API key in the headers.
 
     Args:
-        headers: names in small letters.
+        headers: headers with names in lower case.
+
+    Returns:
+        The digest, or None unless there is exactly one well-formed key.
     """
     values = [value for name, value in headers if name == AUTHORIZATION]
     if len(values) != 1:
         return None
     scheme, _, key = values[0].strip().partition(b" ")
     key = key.strip(b" ")
-    if scheme.lower() != SCHEME or not _may_be_key(key):
+    if scheme.lower() != SCHEME or not _is_well_formed_key(key):
         return None
     return digest_key(key)
 
 
-def _may_be_key(key: bytes) -> bool:
-    first, last = _VISIBLE
+def _is_well_formed_key(key: bytes) -> bool:
+    first, last = _VISIBLE_ASCII
     if not 0 < len(key) <= MOST_KEY_BYTES:
         return False
     return first <= min(key) and max(key) <= last
--- a/walkcart/platform/callerprotocol.py
+++ b/walkcart/platform/callerprotocol.py
@@ -1,4 +1,4 @@
-"""What callers speak on the platform."""
+"""The platform's protocol for callers: reads requests and renders replies."""
 
 from __future__ import annotations
 
@@ -28,38 +28,39 @@
 from walkcart.wire.server import Fault
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Set anew for each leaf, whatever the caller sent.
-_SET_HERE = frozenset({DEADLINE_MS, EXPECTED_LEAF})
-#: Said by this instance alone where requests need keys, or by nobody.
-_OF_CALLERS = frozenset({AUTHORIZATION, TEAM})
+#: Headers that are set for each leaf; the caller's values are dropped.
+_SET_PER_LEAF = frozenset({DEADLINE_MS, EXPECTED_LEAF})
+#: Headers of the caller that aren't forwarded where requests need keys: only this
+#: instance names the team.
+_CALLER_CREDENTIALS = frozenset({AUTHORIZATION, TEAM})
 _TRACEPARENT = b"traceparent"
-_OCTETS = (b"content-type", b"application/octet-stream")
-_NEEDS_KEY = (CHALLENGE, b"Bearer")
-
-#: Statuses that promise that the request did not run and won't.
-_PROMISES = frozenset({408, 421, 429, 503})
-_NO_KEY = 401
-_NO_ROUTE = 404
-_ABOVE_LIMIT = 429
+_CONTENT_TYPE = (b"content-type", b"application/octet-stream")
+_CHALLENGE_HEADER = (CHALLENGE, b"Bearer")
+
+#: Statuses that promise that the request has not run and will not run.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+_UNAUTHORIZED = 401
+_NOT_FOUND = 404
+_TOO_MANY_REQUESTS = 429
 _BAD_GATEWAY = 502
-_NOT_RUN = 503
-_TIMED_OUT = 504
+_UNAVAILABLE = 503
+_GATEWAY_TIMEOUT = 504
 
 
 class PlatformCallerProtocol:
-    """Reads callers' requests and makes their answers."""
+    """Parses callers' requests and renders the replies to them."""
 
     def read_request(self, request: HttpRequest) -> CallerRequest:
-        """Return what a request means; it goes to leafs without this hop's headers."""
+        """Parse a request; the forwarded copy lacks the headers of this hop."""
         milliseconds = read_number(request.header(DEADLINE_MS))
-        patience = None
+        timeout = None
         if milliseconds is not None:
-            patience = timedelta(milliseconds=min(milliseconds, 10**9))
-        headers = strip_hop_headers(request.headers, _SET_HERE)
+            timeout = timedelta(milliseconds=min(milliseconds, 10**9))
+        headers = strip_hop_headers(request.headers, _SET_PER_LEAF)
         return CallerRequest(
             id=request.header(REQUEST_ID) or "",
             host=request.header(b"host") or "",
-            timeout=patience,
+            timeout=timeout,
             forwarded=HttpRequest(
                 request.method, request.target, headers, request.body
             ),
@@ -68,82 +69,87 @@
         )
 
     def attach_team(self, request: HttpRequest, team: str) -> HttpRequest:
-        """Return a request with its team's name and without the key.
+        """Return the request with the name of its team and without the API key.
 
         Args:
-            request: that was to be forwarded.
-            team: whose key came along; empty on a public route without one.
+            request: the request to forward.
+            team: the team that the key belongs to; empty on a public route without a
+                key.
         """
-        kept = (item for item in request.headers if item[0].lower() not in _OF_CALLERS)
+        kept = (
+            item
+            for item in request.headers
+            if item[0].lower() not in _CALLER_CREDENTIALS
+        )
         named = ((TEAM, team.encode()),) if team else ()
         headers = (*kept, *named)
         return HttpRequest(request.method, request.target, headers, request.body)
 
     def render_merged(self, answer: RoutedAnswer, top: int) -> HttpReply:
-        """Return the greatest records of the parts, with the parts' stamps."""
+        """Render a merged answer: the greatest records and the stamps of the parts."""
         merged = merge_parts(answer, top)
-        headers = [_OCTETS, (PART_STAMPS, b", ".join(merged.proofs))]
+        headers = [_CONTENT_TYPE, (PART_STAMPS, b", ".join(merged.proofs))]
         if merged.missing:
             headers.append((MISSING_PARTS, b"%d" % len(merged.missing)))
         return HttpReply(200, tuple(headers), merged.body)
 
     def render_single(self, answer: RoutedAnswer) -> HttpReply:
-        """Return the leaf's answer unchanged."""
+        """Render the answer of a single leaf, unchanged."""
         _, reply = answer.replies[0]
-        return _pass_on(reply)
+        return _forward_reply(reply)
 
     def render_failure(self, failure: RoutedFailure) -> HttpReply:
-        """Return a leaf's failure unchanged, or why there is no answer."""
+        """Render a leaf's failure reply unchanged, or the status of the verdict."""
         if failure.reply is not None:
-            return _pass_on(failure.reply)
+            return _forward_reply(failure.reply)
         match failure.verdict:
             case NotRun(reason=Reason.NO_ROUTE):
-                return HttpReply(_NO_ROUTE)
+                return HttpReply(_NOT_FOUND)
             case NotRun(reason=Reason.UNAUTHENTICATED):
-                return HttpReply(_NO_KEY, (_NEEDS_KEY,))
+                return HttpReply(_UNAUTHORIZED, (_CHALLENGE_HEADER,))
             case NotRun(reason=Reason.RATE_LIMITED, retry_after=retry_after):
-                return HttpReply(_ABOVE_LIMIT, (_tell_return(retry_after),))
+                return HttpReply(_TOO_MANY_REQUESTS, (_make_retry_after(retry_after),))
             case NotRun(retry_after=retry_after):
-                return HttpReply(_NOT_RUN, (_tell_return(retry_after),))
+                return HttpReply(_UNAVAILABLE, (_make_retry_after(retry_after),))
             case MayHaveRun(reason=Reason.DEADLINE):
-                return HttpReply(_TIMED_OUT)
+                return HttpReply(_GATEWAY_TIMEOUT)
             case MayHaveRun():
                 return HttpReply(_BAD_GATEWAY)
 
     def render_fault(self, fault: Fault) -> HttpReply:
-        """Return the answer to bytes that are no request."""
+        """Render the reply to bytes that aren't a valid request."""
         return HttpReply(fault.value)
 
 
 def merge_parts(answer: RoutedAnswer, top: int) -> MergedAnswer:
-    """Return the greatest records of the parts, with the parts' stamps."""
+    """Merge the parts of an answer: the greatest `top` records and all stamps."""
     bodies = [reply.body for _, reply in answer.replies]
     bodies += [part.body for part in answer.merged]
-    proofs = tuple(_stamp_of(reply) for _, reply in answer.replies)
+    proofs = tuple(_get_stamp(reply) for _, reply in answer.replies)
     proofs += tuple(proof for part in answer.merged for proof in part.proofs)
     return MergedAnswer(
         merge_records(bodies, top), proofs, answer.missing, answer.sent, answer.repeats
     )
 
 
-def _tell_return(retry_after: timedelta | None) -> tuple[bytes, bytes]:
-    """Return the header that says when asking again makes sense."""
+def _make_retry_after(retry_after: timedelta | None) -> tuple[bytes, bytes]:
+    """Return the header with the seconds after which a retry makes sense."""
     seconds = retry_after.total_seconds() if retry_after else 0.0
     return (RETRY_AFTER, b"%.3f" % seconds)
 
 
-def _stamp_of(reply: Replied) -> bytes:
+def _get_stamp(reply: Replied) -> bytes:
     stamp = find_header(reply.headers, STAMP)
     assert stamp is not None
     return stamp.encode("latin-1")
 
 
-def _pass_on(reply: Replied) -> HttpReply:
-    """Return a leaf's answer, unless its status would promise what isn't so.
+def _forward_reply(reply: Replied) -> HttpReply:
+    """Return a leaf's reply, or 502 if its status would be a false promise.
 
-    A leaf that has not run a request says so in a header, and such an answer never
-    comes here: the status alone proves nothing, but callers would trust it.
+    A leaf that has not run a request says so in a header, and such a reply never gets
+    here. The status alone proves nothing, but callers would trust it.
     """
-    if reply.status in _PROMISES:
+    if reply.status in _NOT_RUN_STATUSES:
         return HttpReply(_BAD_GATEWAY)
     return HttpReply(reply.status, reply.headers, reply.body)
--- a/walkcart/platform/documents.py
+++ b/walkcart/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operators' configuration and the leafs' entries, as they lie in the store."""
+"""Reads the operators' configuration and the leaves' entries from the store."""
 
 from __future__ import annotations
 
@@ -26,24 +26,25 @@
 from walkcart.platform.teamdocuments import StoredTeam, read_regions, read_teams
 from walkcart.store.items import Item
 
-#: Start of all that operators store; followed as one, so that what an instance starts
-#: with, or is fed, holds evacuations together with the configuration.
+#: Prefix of all keys that operators store. It is followed as a whole, so that the state
+#: that an instance reads at the start, or gets from another instance, holds evacuations
+#: together with the configuration.
 OPERATOR_PREFIX = "op/"
-#: The key of the configuration.
+#: Key of the configuration.
 CONFIGURATION_KEY = "op/config"
-#: Start of the keys of evacuated data centres; the rest is the data centre's name.
+#: Prefix of the keys of evacuated data centres; the data centre's name follows.
 _EVACUATION_PREFIX = "op/evacuate/"
-#: Start of the keys of the leafs' entries; the rest is the id.
+#: Prefix of the keys of the leaves' entries; the leaf's id follows.
 LEAF_PREFIX = "servers/"
 
-#: Route types: requests that may run more than once, and those that may not.
+#: Type of routes whose requests may run more than once; those of others may not.
 _IDEMPOTENT = "idempotent"
-#: State of a leaf that is about to end.
+#: State of a leaf that is about to stop.
 _DRAINING = "draining"
 
 
 class _SplitPart(msgspec.Struct):
-    """A service of a split, named in one of two ways."""
+    """A service of a traffic split, named by either of two fields."""
 
     weight: float
     backend: str = ""
@@ -55,35 +56,35 @@
     host: str
     path_prefix: str
     route_type: str
-    # Longest time that a request is held, in ms.
+    # Maximum time for which a request is held, in ms.
     timeout_ms: float
-    # Time within which an answer earns its full value, in ms.
+    # Latency objective of an answer, in ms: later ones don't earn their full value.
     target_latency_ms: float = 0.0
-    # Leafs that one request may be sent to; for each shard where there are shards.
+    # Maximum number of leaves that one request is sent to, per shard if sharded.
     max_attempts: int = 1
-    # Rank: 0 is the most urgent.
+    # Priority: 0 is the most urgent.
     priority: int = 0
-    # One of three: a service, a split over services, or the shards of an index.
+    # Target, one of three: a service, a split over services, or shards of an index.
     backend: str = ""
     traffic_split: list[_SplitPart] = []
     fanout_services: list[str] = []
-    # Records of the merged answer.
+    # Number of records in a merged answer.
     top_k: int = msgspec.field(default=0, name="topK")
-    # Least share of the shards that an answer must hold.
+    # Minimum fraction of the shards that an answer must contain.
     min_coverage: float = 0.0
-    # The only regions that requests may be served in; empty means everywhere.
+    # Regions in which requests may be served; empty means all.
     allowed_regions: list[str] = []
-    # Whether its requests need no key.
+    # Whether requests are served without a key.
     public: bool = False
 
 
 class _Service(msgspec.Struct, rename="camel"):
     name: str
-    # Connections that one leaf takes from all callers together.
+    # Maximum connections that one leaf accepts from all its clients together.
     max_conns: int = 8
     # How long a leaf stays cold after a start or an evacuation, in seconds.
     warmup_s: float = 0.0
-    # Requests a second that a cold leaf bears; 0 where no bound is set.
+    # Requests per second that a cold leaf can serve; 0 means no limit.
     warmup_per_s: float = 0.0
 
 
@@ -99,27 +100,27 @@
     routes: list[_Route] = []
     services: list[_Service] = []
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    # Whose keys requests need; without the list they need none.
+    # Teams whose keys are accepted; without the list requests need no key.
     tenants: list[StoredTeam] | None = None
 
 
 class _LeafEntry(msgspec.Struct, rename="camel"):
-    """What a leaf stores; what lacks a field, or has one of another type, is none's."""
+    """A leaf's entry; one with a missing field or a wrong type is unreadable."""
 
-    # The service that the leaf belongs to.
+    # Service that the leaf belongs to.
     backend: str
     address: str
-    # The data centre that it stands in.
+    # Data centre of the leaf.
     zone: str
-    # Of its software.
+    # Version of the leaf's software.
     version: str
     slots: int
     state: Literal["ready", "draining"]
-    # How much longer it is slow after its start, in ms.
+    # Remaining time for which the leaf is slow after its start, in ms.
     warmup_left_ms: float
-    # Counts how often it was written.
+    # Number of times that the entry was written.
     seq: int
-    # When this life of the leaf began, in Unix milliseconds; 0 where leafs don't say.
+    # Start of this process life in Unix milliseconds; 0 where leaves don't report it.
     born: int = 0
 
 
@@ -128,10 +129,10 @@
 
 
 def read_configuration(value: bytes) -> RoutingDocument:
-    """Return the routing document that a stored configuration stands for.
+    """Parse a stored configuration into a routing document.
 
     Raises:
-        msgspec.MsgspecError: it can't be read.
+        msgspec.MsgspecError: the value isn't a valid configuration.
     """
     stored = _CONFIGURATION.decode(value)
     limits = stored.limits
@@ -190,7 +191,7 @@
 
 
 def read_evacuated(keys: Iterable[str]) -> frozenset[str]:
-    """Return the data centres that are evacuated, by the keys that operators stored.
+    """Return the evacuated data centres among the keys that operators stored.
 
     Examples:
         >>> sorted(read_evacuated(["op/config", "op/evacuate/north-a"]))
@@ -204,15 +205,15 @@
 
 
 def leaf_entry_differs(old: bytes, new: bytes) -> bool:
-    """Return whether a leaf's entry says anything new that is acted on.
+    """Return whether a leaf's new entry differs in anything that instances act on.
 
-    Leafs write theirs anew all the time; that they are still alive, and that less of
-    the time is left for which they are cold, changes nothing for who has the entry
-    already. That they became cold again does.
+    Leaves rewrite their entries all the time. That a leaf is still alive, or that less
+    of its cold time remains, changes nothing for a reader that has the entry already.
+    That the leaf became cold again does.
     """
     before, after = _decode_leaf_entry(old), _decode_leaf_entry(new)
     if before is None or after is None:
-        # One that can't be read is logged by who reads it, once.
+        # LeafEntries logs an unreadable entry, once.
         return before is not after
     if 0 < after.warmup_left_ms >= before.warmup_left_ms:
         return True
@@ -229,11 +230,11 @@
 
 
 class LeafEntries:
-    """The leafs' entries as they were read last, for reading only what changed.
+    """Decoded entries of leaves; a change decodes only the changed entries.
 
     Args:
         regions: region by data centre.
-        events: where unreadable entries are logged.
+        events: log for unreadable entries.
     """
 
     def __init__(self, regions: Mapping[str, str], events: EventLog) -> None:
@@ -244,20 +245,20 @@
     def read(
         self, items: Mapping[str, Item], changed: Collection[str]
     ) -> Iterable[LeafEntry]:
-        """Return all leafs whose entries can be read; log the others.
+        """Return all leaves with readable entries; log the unreadable ones.
 
         Args:
             items: stored entries by key.
-            changed: keys of those that came, changed or went since the last call.
+            changed: keys that were added, changed or removed since the last call.
         """
         for key in changed:
             self._entries.pop(key, None)
             item = items.get(key)
             if item is not None:
-                self._read_one(key, item.value)
+                self._update_entry(key, item.value)
         return self._entries.values()
 
-    def _read_one(self, key: str, value: bytes) -> None:
+    def _update_entry(self, key: str, value: bytes) -> None:
         try:
             stored = _LEAF_ENTRY.decode(value)
         except msgspec.MsgspecError as error:
--- a/walkcart/platform/headers.py
+++ b/walkcart/platform/headers.py
@@ -1,41 +1,41 @@
-"""Headers of the platform's requests and answers."""
+"""Names of the headers in the platform's requests and replies."""
 
 from __future__ import annotations
 
 from walkcart.wire.http import Headers, find_header
 
-#: Names one request of a caller; leafs echo it.
+#: Identifies one request of a caller; leaves echo it.
 REQUEST_ID = b"x-request-id"
-#: Milliseconds that the sender will wait for the answer.
+#: Milliseconds for which the sender waits for the reply.
 DEADLINE_MS = b"x-deadline-ms"
-#: A leaf's proof that the answer is its own; passed on unchanged.
+#: A leaf's proof that the reply is its own; forwarded unchanged.
 STAMP = b"x-response-stamp"
-#: The life of a leaf that a request is meant for; any other one answers 421.
+#: Process life of the leaf that a request is meant for; any other life replies 421.
 EXPECTED_LEAF = b"x-expect-instance"
-#: Of the leaf that answers: requests running, requests waiting, slots, and how long
-#: work takes there now as a share of the usual, in percent.
+#: Load of the replying leaf: running requests, waiting requests, slots, and the current
+#: duration of its work in percent of the usual one.
 LOAD = b"x-server-load"
-#: Milliseconds for which the leaf that answers is cold still.
+#: Milliseconds for which the replying leaf is still cold.
 COLD_MS = b"x-warmup-ms"
-#: On a refusal: the leaf has not run the request and won't.
+#: Marks a refusal: the leaf has not run the request and won't.
 NOT_RUN = b"x-not-executed"
-#: Stamps of the replies that a merged answer holds.
+#: Stamps of the leaves' replies that a merged answer contains.
 PART_STAMPS = b"x-part-stamps"
-#: Number of shards that a merged answer lacks.
+#: Number of shards missing from a merged answer.
 MISSING_PARTS = b"x-missing-parts"
-#: Seconds, with fractions, until asking again makes sense.
+#: Seconds, with a fraction, after which a retry makes sense.
 RETRY_AFTER = b"retry-after"
-#: Name of the team that asks, for leafs and other instances.
+#: Name of the team that sent the request, for leaves and other instances.
 TEAM = b"x-tenant"
-#: Holds a caller's API key.
+#: Contains a caller's API key.
 AUTHORIZATION = b"authorization"
-#: How a caller that is refused for want of a key may show one.
+#: Tells a caller that was refused for lack of a key how to send one.
 CHALLENGE = b"www-authenticate"
 KEEP_ALIVE = b"keep-alive"
 CONTENT_ENCODING = b"content-encoding"
 
-#: Headers that belong to one connection (RFC 9110, 7.6.1), and the framing, which
-#: each connection sets itself.
+#: Headers that belong to one connection (RFC 9110, 7.6.1), and those of the framing,
+#: which each connection sets itself.
 _HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -54,11 +54,11 @@
 
 
 def strip_hop_headers(headers: Headers, also: frozenset[bytes]) -> Headers:
-    """Return the headers that go on to the next hop.
+    """Return the headers that are forwarded to the next hop.
 
     Args:
-        headers: names in small letters.
-        also: further names that don't.
+        headers: headers with names in lower case.
+        also: further names to drop.
     """
     named = find_header(headers, b"connection") or ""
     dropped = {part.strip().lower().encode("latin-1") for part in named.split(",")}
--- a/walkcart/platform/leafprotocol.py
+++ b/walkcart/platform/leafprotocol.py
@@ -1,4 +1,4 @@
-"""What leafs speak on the platform."""
+"""The platform's protocol for leaves: forwards requests and reads replies."""
 
 from __future__ import annotations
 
@@ -23,20 +23,25 @@
 from walkcart.wire.http import HttpReply, HttpRequest, find_header
 from walkcart.wire.verdicts import MayHaveRun, Reason
 
-#: Another life has the address; the request was not run.
+#: Status of a leaf whose address another life has taken over; the request was not run.
 _MISDIRECTED = 421
 _TIMEOUT_PARAMETER = b"timeout="
-#: Headers that a leaf says about itself, not about the request.
-_OF_THE_LEAF = frozenset({LOAD, COLD_MS})
+#: Headers in which a leaf describes itself, not the request.
+_LEAF_STATUS_HEADERS = frozenset({LOAD, COLD_MS})
 
 
 class PlatformLeafProtocol:
-    """Passes callers' requests to leafs unchanged and reads what comes back."""
+    """Forwards callers' requests to leaves unchanged and reads the replies."""
 
     skips_stray_replies = True
 
     def encode(self, attempt: Attempt, remaining: float) -> HttpRequest:
-        """Return the caller's request with this leaf's name and the time left."""
+        """Return the caller's request with the leaf's id and the remaining time.
+
+        Args:
+            attempt: the attempt to encode.
+            remaining: time left for the request, in seconds.
+        """
         assert attempt.caller_request is not None
         headers = (
             *attempt.caller_request.headers,
@@ -47,7 +52,7 @@
         return HttpRequest(routed.method, routed.target, headers, routed.body)
 
     def is_reply_to(self, attempt: Attempt, found: HeaderMap) -> bool:
-        """Return whether a reply echoes the id of this request, or none at all."""
+        """Return whether a reply echoes the id of this request, or no id at all."""
         assert attempt.caller_request is not None
         echoed = found.get(REQUEST_ID)
         if echoed is None:
@@ -57,7 +62,7 @@
         )
 
     def read_status(self, found: HeaderMap) -> LeafStatus:
-        """Return what the leaf says of its load, its pace and of being cold."""
+        """Read a leaf's load, its pace and how long it stays cold from its headers."""
         figures = [
             read_number(part.strip()) for part in found.get(LOAD, b"").split(b",")
         ]
@@ -78,7 +83,14 @@
     def read_outcome(
         self, attempt: Attempt, reply: HttpReply, found: HeaderMap, elapsed: float
     ) -> Outcome:
-        """Return what a reply means: run or not, and of use or not."""
+        """Classify a reply: whether the request was run, and whether it is usable.
+
+        Args:
+            attempt: the attempt that the reply belongs to.
+            reply: the reply.
+            found: its headers by name.
+            elapsed: seconds from sending to the reply.
+        """
         if reply.status == _MISDIRECTED:
             return Refused(Reason.LEAF_REPLACED)
         if NOT_RUN in found:
@@ -90,13 +102,13 @@
         if attempt.success_only and not success:
             detail = f"the leaf answered {reply.status}"
             return Failed(MayHaveRun(Reason.LEAF_FAILED, detail))
-        headers = strip_hop_headers(reply.headers, _OF_THE_LEAF)
+        headers = strip_hop_headers(reply.headers, _LEAF_STATUS_HEADERS)
         return Replied(
             attempt.pin, False, reply.status, reply.body, elapsed, headers=headers
         )
 
     def read_idle_timeout(self, found: HeaderMap) -> float | None:
-        """Return the seconds for which the leaf keeps an idle connection."""
+        """Return the seconds for which the leaf keeps an idle connection open."""
         for part in found.get(KEEP_ALIVE, b"").split(b","):
             part = part.strip()
             if part.startswith(_TIMEOUT_PARAMETER):
@@ -105,16 +117,16 @@
         return None
 
     def make_status_request(self) -> HttpRequest | None:
-        """Return None: leafs tell their load on replies, and checks cost."""
+        """Return None: leaves report their load on replies, and a check would cost."""
         return None
 
     def make_cancel_request(self, attempt_id: str) -> HttpRequest | None:
-        """Return None: leafs drop a request when its connection closes."""
+        """Return None: leaves drop a request when its connection closes."""
         return None
 
 
 def _read_retry_after(found: HeaderMap) -> timedelta | None:
-    """Return when to come back; None where the leaf gave no time that can be."""
+    """Return the wait until a retry, or None if the leaf gave no valid time."""
     try:
         wait = timedelta(seconds=float(found[RETRY_AFTER]))
     except (KeyError, ValueError, OverflowError):
--- a/walkcart/platform/records.py
+++ b/walkcart/platform/records.py
@@ -1,15 +1,17 @@
-"""The merge of the shards' records: 16 bytes each, the greatest first."""
+"""Merges the records of several shards: 16 bytes each, in descending order."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-#: Bytes of one record; a shorter rest of a body is none.
+#: Length of one record in bytes; a shorter remainder of a body is ignored.
 RECORD_SIZE = 16
 
 
 def merge_records(bodies: Iterable[bytes], top: int) -> bytes:
-    """Return the greatest `top` records of all bodies, falling; equal ones all count.
+    """Return the greatest `top` records of all bodies in descending order.
+
+    Equal records aren't merged into one: each counts.
 
     Examples:
         >>> merge_records([b"a" * 16 + b"c" * 16 + b"rest", b"b" * 16], 2) == (
--- a/walkcart/platform/settings.py
+++ b/walkcart/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays on each machine.
+"""Reads the settings file that the platform puts on each machine.
 
 Examples:
     >>> parse_duration_ms(250)
@@ -18,51 +18,51 @@
 from walkcart.routing.coldleaves import ColdBound
 from walkcart.routing.quotas import QuotaBounds
 
-#: The variable that holds the file's path.
+#: Environment variable with the path of the file.
 FILE_VARIABLE = "WALKCART_NODE_FILE"
 
 
 class BadSettings(ValueError):
-    """The file can't be read, or lacks something; its text says what."""
+    """The settings file can't be read or is invalid; the message says why."""
 
 
 class _Listen(msgspec.Struct):
-    """Addresses that the machine must serve."""
+    """Addresses on which the instance must listen."""
 
-    # Where callers come in.
+    # Address for callers.
     front: str
-    # Where the balancer asks whether the instance wants connections.
+    # Address at which the balancer checks whether the instance accepts connections.
     ready: str
 
 
 class _Bounds(msgspec.Struct, rename="camel"):
-    """Figures of the rules, as far as the product needs them."""
+    """Limits set by the platform's rules, as far as the product needs them."""
 
-    # Repeats that a service may get, as a share of its requests in the window.
+    # Repeats that a service may get, as a fraction of its requests in the window.
     retry_budget_ratio: float = 0.2
     # Length of that window, in seconds.
     retry_window_s: float = 10.0
-    # Repeats on top of that share, of all instances together.
+    # Repeats beyond that fraction, for all instances together.
     budget_slack: float = 0.0
-    # Requests that a cold leaf gets in one second, of all instances together: its
-    # service's rate times the first, plus the second.
+    # Limit of the requests that a cold leaf gets in one second from all instances
+    # together: the service's rate times the tolerance, plus the slack.
     warmup_tolerance: float = 1.0
     warmup_slack: float = 0.0
-    # Window in which teams' rate limits hold, in seconds, and by how much they may be
-    # passed in it: a share of the limit, and requests on top.
+    # Window of teams' rate limits, in seconds, and by how much a limit may be exceeded
+    # in it: a fraction of the limit, plus a number of requests.
     quota_window_s: float = 5.0
     quota_tolerance: float = 0.1
     quota_slack: float = 0.0
-    # From SIGTERM to SIGKILL, in seconds.
+    # Time between SIGTERM and SIGKILL, in seconds.
     grace_s: float = 6.0
 
 
 class _Limits(msgspec.Struct, rename="camel"):
-    """What the machine has."""
+    """Resources of the machine."""
 
-    # Share of a core that the process gets.
+    # Fraction of a core that the process gets.
     cpu_share: float = 1.0
-    # How many times as fast as usual that core is, in spite of its name.
+    # Speed of that core relative to the usual one; despite its name, not a count.
     cores: float = 1.0
 
 
@@ -70,20 +70,20 @@
     """The shared store."""
 
     address: str
-    # Calls that change something, a second, of all instances together.
+    # Writing calls per second, for all instances together.
     writes_per_s: float = 100.0
     reads_per_s: float = 500.0
 
 
 class _File(msgspec.Struct, rename="camel"):
-    """The file; fields that aren't named here are left alone."""
+    """The settings file; fields that aren't declared here are ignored."""
 
     node_name: str
     ip: str
-    # The data centre that the machine stands in.
+    # Data centre of the machine.
     zone: str
     region: str
-    # First and last port that instances may use among themselves.
+    # First and last port for connections between instances.
     port_range: tuple[int, int]
     listen: _Listen
     platform: _Store
@@ -95,26 +95,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """What an instance is told about its machine.
+    """Settings of an instance and its machine.
 
     Args:
-        instance: its name.
-        host: IP number of the machine.
-        data_centre: where it stands.
-        region: of that data centre.
-        regions: region of every data centre.
-        callers: address that callers reach.
-        readiness: address that the balancer asks.
-        peer_ports: first and last port for instances among themselves.
+        instance: name of the instance.
+        host: IP address of the machine.
+        data_centre: data centre of the machine.
+        region: region of that data centre.
+        regions: region of each data centre.
+        callers: address for callers.
+        readiness: address of the balancer's readiness check.
+        peer_ports: first and last port for connections between instances.
         store: address of the shared store.
-        store_rate: calls a second that the store takes of all instances together.
-        repeat_ratio: repeats that a service may get for each request.
-        repeat_window: time over which that holds.
-        repeat_allowance: repeats on top, of all instances together.
+        store_rate: calls per second that the store allows all instances together.
+        repeat_ratio: repeats that a service may get per request.
+        repeat_window: window over which that ratio holds.
+        repeat_allowance: repeats beyond the ratio, for all instances together.
         grace: time from the signal to stop until the process is killed.
-        cores: of the machine, in cores of the usual speed.
-        cold_bound: what cold leafs may get.
-        quota_bounds: by how much teams' rate limits may be passed.
+        cores: CPU capacity, in cores of the usual speed.
+        cold_bound: limits on the requests to cold leaves.
+        quota_bounds: by how much teams' rate limits may be exceeded.
     """
 
     instance: str
@@ -137,7 +137,7 @@
 
 
 def parse_duration_ms(milliseconds: float) -> timedelta:
-    """Return the time that a number of milliseconds stands for."""
+    """Convert milliseconds to a timedelta."""
     return timedelta(milliseconds=milliseconds)
 
 
@@ -145,19 +145,19 @@
     """Read the settings file.
 
     Raises:
-        BadSettings: it can't be read, or a field is missing or of another type.
+        BadSettings: the file can't be read, or a field is missing or of a wrong type.
     """
     try:
         content = tomllib.loads(path.read_text(encoding="utf-8"))
         file = msgspec.convert(content, _File)
-        return _translate(file)
+        return _make_settings(file)
     except (OSError, UnicodeDecodeError) as error:
         raise BadSettings(f"the settings file can't be read: {error}") from error
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, BadValue) as error:
         raise BadSettings(f"the settings file is wrong: {error}") from error
 
 
-def _translate(file: _File) -> PlatformSettings:
+def _make_settings(file: _File) -> PlatformSettings:
     return PlatformSettings(
         instance=file.node_name,
         host=file.ip,
--- a/walkcart/platform/store.py
+++ b/walkcart/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store, as the product's shared store."""
+"""Client of the platform's key-value store, which is the product's shared store."""
 
 from __future__ import annotations
 
@@ -36,27 +36,27 @@
 _NOT_FOUND = 404
 _HISTORY_GONE = 410
 _CONDITION_FAILED = 412
-#: Too many calls, or not served now: in both cases nothing was done.
-_NOT_DONE = frozenset({429, 503})
+#: Too many calls, or unavailable: in both cases nothing was done.
+_NOT_EXECUTED = frozenset({429, 503})
 
 _JSON_HEADERS = ((b"content-type", b"application/json"),)
 
 
 class _Item(msgspec.Struct, rename="camel"):
-    # The key; the name comes from elsewhere on the platform.
+    # Key of the item; the wire name is borrowed from elsewhere on the platform.
     tls_key: str
     revision: int
-    # Standard base64 on the wire; decoded by the codec.
+    # Standard base64 on the wire, decoded by msgspec.
     value: bytes = b""
-    # Only in a watch: the key was removed.
+    # Set in watches only: the key was removed.
     deleted: bool = False
-    # 0 for none.
+    # Id of the lease, or 0.
     lease: int = 0
 
 
 class _Page(msgspec.Struct, rename="camel"):
     items: list[_Item]
-    # Revision of the whole store when the page was read.
+    # Revision of the whole store at the time of the read.
     as_of: int
     # Whether more pages follow.
     truncated: bool = False
@@ -79,7 +79,7 @@
 
 
 class _Transaction(msgspec.Struct, rename="camel"):
-    # Rows of a key and the revision that it must have.
+    # Keys and the revision that each must have.
     expected_revision: list[_Condition]
     puts: list[_Put]
     # Keys to remove.
@@ -94,14 +94,14 @@
     items: list[_Item]
 
 
-class _LeaseWish(msgspec.Struct, rename="camel"):
+class _LeaseRequest(msgspec.Struct, rename="camel"):
     ttl_ms: int
 
 
 class _Lease(msgspec.Struct, rename="camel"):
-    # In force, which may differ from what was asked for.
+    # Granted time to live, which may differ from the requested one.
     ttl_ms: int
-    # Missing in the answer to a renewal.
+    # Absent in the reply to a renewal.
     lease: int = 0
 
 
@@ -109,31 +109,37 @@
 
 
 class PlatformStore:
-    """Calls the platform's store.
+    """Client of the platform's store.
 
     Args:
-        calls: exchange the requests.
+        calls: sends the requests and reports failures.
     """
 
     def __init__(self, calls: StoreCalls) -> None:
         self._calls = calls
 
     async def list_items(self, prefix: str, after: str, fresh: bool) -> Page:
-        """Return the page of `prefix` that follows the key `after`."""
+        """Read one page of the items under a prefix.
+
+        Args:
+            prefix: start of the keys to read.
+            after: key after which the page begins; empty for the first page.
+            fresh: whether the read must not be stale.
+        """
         query = {"pathPrefix": prefix}
         if after:
             query["after"] = after
         if not fresh:
             query["serializable"] = "1"
         reply = await self._get(_RANGE, query)
-        page = self._read(reply, _Page)
-        items = tuple(_read_item(row) for row in page.items)
+        page = self._decode_success(reply, _Page)
+        items = tuple(_read_item(item) for item in page.items)
         return Page(items, page.as_of, not page.truncated)
 
     async def watch(
         self, prefix: str, after: int, wait: timedelta
     ) -> Changes | HistoryLost:
-        """Wait up to `wait` for changes of `prefix` after a revision."""
+        """Wait up to `wait` for changes under `prefix` after the revision `after`."""
         milliseconds = int(wait.total_seconds() * 1000)
         query = {
             "pathPrefix": prefix,
@@ -143,14 +149,14 @@
         reply = await self._get(_WATCH, query, wait)
         if reply.status == _HISTORY_GONE:
             return HistoryLost()
-        found = self._read(reply, _Events)
-        changes = tuple(_read_change(row) for row in found.events)
+        found = self._decode_success(reply, _Events)
+        changes = tuple(_read_change(item) for item in found.events)
         return Changes(changes, found.as_of)
 
     async def commit(
         self, transaction: Transaction
     ) -> Committed | Rejected | LeaseOver:
-        """Make changes that depend on conditions."""
+        """Commit a transaction if its conditions hold."""
         body = _Transaction(
             [_Condition(key, revision) for key, revision in transaction.expected],
             [_Put(put.key, put.value, put.lease) for put in transaction.puts],
@@ -160,26 +166,26 @@
         if reply.status == _NOT_FOUND:
             return LeaseOver()
         if reply.status == _CONDITION_FAILED:
-            rows = self._decode(reply, _Items).items
-            return Rejected(tuple(_read_item(row) for row in rows))
-        return Committed(self._read(reply, _Revision).revision)
+            items = self._decode(reply, _Items).items
+            return Rejected(tuple(_read_item(item) for item in items))
+        return Committed(self._decode_success(reply, _Revision).revision)
 
     async def grant_lease(self, time_to_live: timedelta) -> Lease:
-        """Return a new lease."""
-        wish = _LeaseWish(int(time_to_live.total_seconds() * 1000))
-        granted = self._read(await self._post(_GRANT, wish), _Lease)
+        """Request a new lease."""
+        body = _LeaseRequest(int(time_to_live.total_seconds() * 1000))
+        granted = self._decode_success(await self._post(_GRANT, body), _Lease)
         return Lease(granted.lease, parse_duration_ms(granted.ttl_ms))
 
     async def renew_lease(self, lease: Lease) -> Lease | LeaseOver:
-        """Begin the time of a lease anew."""
+        """Restart the time to live of a lease."""
         reply = await self._call(HttpRequest("POST", f"{_RENEW}{lease.id}"))
         if reply.status == _NOT_FOUND:
             return LeaseOver()
-        renewed = self._read(reply, _Lease)
+        renewed = self._decode_success(reply, _Lease)
         return Lease(lease.id, parse_duration_ms(renewed.ttl_ms))
 
     async def end_lease(self, lease: Lease) -> None:
-        """End a lease; one that is over already is as good."""
+        """End a lease; it is no error if the lease has ended already."""
         await self._call(HttpRequest("DELETE", f"{_END}{lease.id}"))
 
     async def _get(
@@ -195,15 +201,15 @@
         self, request: HttpRequest, wait: timedelta = timedelta()
     ) -> HttpReply:
         reply = await self._calls.call(request, wait)
-        if reply.status in _NOT_DONE:
+        if reply.status in _NOT_EXECUTED:
             raise self._calls.fail(f"status {reply.status}", False)
         if reply.status >= 500:
             raise self._calls.fail(f"status {reply.status}", True)
         self._calls.note_success()
         return reply
 
-    def _read(self, reply: HttpReply, kind: type[T]) -> T:
-        """Return the body of a reply that must be a success."""
+    def _decode_success(self, reply: HttpReply, kind: type[T]) -> T:
+        """Decode the body of a reply; reject any status but 200."""
         if reply.status != _OK:
             raise self._calls.reject(f"status {reply.status}")
         return self._decode(reply, kind)
@@ -215,14 +221,14 @@
             raise self._calls.reject(str(error)[:200]) from error
 
 
-def _read_change(row: _Item) -> Change:
-    if row.deleted:
-        return Removal(row.tls_key, row.revision)
-    return _read_item(row)
+def _read_change(item: _Item) -> Change:
+    if item.deleted:
+        return Removal(item.tls_key, item.revision)
+    return _read_item(item)
 
 
-def _read_item(row: _Item) -> Item:
-    return Item(row.tls_key, row.value, row.revision, row.lease)
+def _read_item(item: _Item) -> Item:
+    return Item(item.tls_key, item.value, item.revision, item.lease)
 
 
 __all__ = ["PlatformStore", "StoreUnavailable"]
--- a/walkcart/platform/teamdocuments.py
+++ b/walkcart/platform/teamdocuments.py
@@ -1,4 +1,4 @@
-"""Teams as they lie in the stored configuration."""
+"""Reads the teams of the stored configuration."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 from walkcart.intent.teams import RateLimit, Team, digest_key
 from walkcart.routing.eligibility import ALL_REGIONS, Regions
 
-#: Names that a header can hold: something to see at both ends, nothing that controls.
+#: Pattern of names that fit into a header: visible characters at both ends, and no
+#: control characters.
 _NAME = r"^[^\x00-\x20\x7f]([^\x00-\x1f\x7f]*[^\x00-\x20\x7f])?\Z"
 
 
 class StoredTeam(msgspec.Struct, rename="camel"):
-    """A team as operators store it."""
+    """A team in the form in which operators store it."""
 
     name: Annotated[str, msgspec.Meta(pattern=_NAME)]
     api_keys: list[str] = []
-    # Rank, before that of a route: 0 is the most urgent.
+    # Priority, which overrides that of a route: 0 is the most urgent.
     priority: int | None = None
-    # Requests a second over all instances; 0 where there is no limit.
+    # Requests per second over all instances; 0 means no limit.
     rate_per_s: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     burst: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     allowed_regions: list[str] = []
 
     def __repr__(self) -> str:
-        """Return the name alone: keys are shown nowhere."""
+        """Return the name only, so that keys are never printed."""
         return f"StoredTeam({self.name!r})"
 
 
 def read_teams(teams: list[StoredTeam] | None) -> tuple[Team, ...] | None:
-    """Return the teams; an empty list stays one, by which no key is known."""
+    """Return the teams; None means that no keys are needed, [] that none is known."""
     return None if teams is None else tuple(_read_team(team) for team in teams)
 
 
@@ -47,5 +48,5 @@
 
 
 def read_regions(names: list[str]) -> Regions:
-    """Return the regions that a list of them stands for; empty means everywhere."""
+    """Return the regions of a list of names; an empty list means all regions."""
     return Regions(frozenset(names)) if names else ALL_REGIONS
