--- a/walkcart/platform/store.py
+++ b/walkcart/platform/store.py
@@ -166,8 +166,8 @@
         if reply.status == _NOT_FOUND:
             return LeaseOver()
         if reply.status == _CONDITION_FAILED:
-            items = self._decode(reply, _Items).items
-            return Rejected(tuple(_read_item(item) for item in items))
+            rows = self._decode(reply, _Items).items
+            return Rejected(tuple(_read_item(item) for item in rows))
         return Committed(self._decode_success(reply, _Revision).revision)
 
     async def grant_lease(self, time_to_live: timedelta) -> Lease:
