--- a/walkcart/platform/tests/changesinforce.py
+++ b/walkcart/platform/tests/changesinforce.py
@@ -1,4 +1,4 @@
-"""Many instances on small machines, and when each has each change in force."""
+"""A fleet on small machines that measures when each change is in force."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 )
 from walkcart.standins.machinelinks import MachineLink
 
-#: Bytes a second of the smallest machines' links: 10 Mbit/s.
+#: Bandwidth of the smallest machines' links, in bytes per second: 10 Mbit/s.
 SMALL_LINK = 1_250_000
-#: Shards of the index in use and of the next one: with their services a configuration
-#: has 24 KB, as on the largest deployment.
+#: Shards of the current index and of the next one: with their services a configuration
+#: has 24 KB, as in the largest deployment.
 SHARDS = 90
 LATER_SHARDS = 135
-#: Seconds between two changes in quick succession.
-QUICK = 1 / 6
+#: Interval of changes in quick succession, in seconds.
+QUICK_INTERVAL = 1 / 6
 DATA_CENTRES = tuple(REGIONS)
-#: Site of the store.
+#: Network site of the store.
 STORE = "store"
-#: Seconds until an instance that ended runs again.
+#: Delay before a stopped instance is started again, in seconds.
 RESTART_TIME = 0.5
-#: Seconds that a slowed machine takes for whatever comes in: its calls of the store
-#: just make their time limit of a second.
+#: Lag of a slowed machine's incoming traffic, in seconds: its calls to the store just
+#: meet their timeout of a second.
 SLOW_LAG = 0.4
-#: A connection to the store that was quiet for so many seconds isn't the one by which
-#: the lease is renewed.
+#: Seconds after which an unused connection to the store can't be the one that renews
+#: the lease.
 QUIET_TIME = 3.0
 
 
 def name_site(name: str) -> str:
-    """Return the network's name of an instance's machine."""
+    """Return the name of the network site of an instance's machine."""
     return f"machine of {name}"
 
 
@@ -49,9 +49,9 @@
     """Instances, each on a machine of its own, and the times of changes.
 
     Args:
-        world: around them.
-        links: of the machines, by instance.
-        acknowledged: time by version.
+        world: store, network and leaves around the instances.
+        links: links of the machines, by instance.
+        acknowledged: time at which the store acknowledged each version.
         seen: by instance, the times and versions that came into force.
     """
 
@@ -59,7 +59,7 @@
     links: dict[str, MachineLink] = field(default_factory=dict)
     acknowledged: dict[int, float] = field(default_factory=dict)
     seen: dict[str, list[tuple[float, int]]] = field(default_factory=dict)
-    #: Since when each instance was free of trouble of its own.
+    #: Since when each instance has had no fault of its own.
     free_since: dict[str, float] = field(default_factory=dict)
     _added: int = 0
 
@@ -73,13 +73,13 @@
         seen = self.seen[name] = []
         keeper = running.tenant.kernel.find("keeper", RouteKeeper)
 
-        def note(table) -> None:
+        def record(table) -> None:
             seen.append((trio.current_time(), table.document.version))
 
-        keeper.on_change(note)
+        keeper.on_change(record)
 
     async def start_many(self, count: int, data_centres: tuple[str, ...]) -> None:
-        """Configure, start instances in each data centre in turn, let them settle."""
+        """Configure, start instances in the data centres in turn, let them settle."""
         self.change()
         for number in range(count):
             place = data_centres[number % len(data_centres)]
@@ -87,7 +87,7 @@
         await trio.sleep(40)
 
     def change(self) -> None:
-        """Add a route; the store's answer is the acknowledgement."""
+        """Add a route; the store's reply is the acknowledgement."""
         shards = [f"shard-{number:03}" for number in range(SHARDS)]
         later = [f"later-{number:03}" for number in range(LATER_SHARDS)]
         more = [
@@ -104,19 +104,19 @@
         self.acknowledged[version] = trio.current_time()
 
     async def change_quickly(self, count: int) -> None:
-        """Change one time after the other."""
+        """Make several changes in quick succession."""
         for _ in range(count):
             self.change()
-            await trio.sleep(QUICK)
+            await trio.sleep(QUICK_INTERVAL)
 
     async def store_leafs(self, count: int) -> None:
-        """Store the entries of leafs, a few at a time as they start."""
+        """Store leaves' entries one after the other, as when leaves start."""
         for number in range(count):
             self._store_leaf(number, "ready")
             await trio.sleep(0.01)
 
     def drain_leafs(self, count: int) -> None:
-        """Announce that leafs are about to end."""
+        """Mark leaves as about to stop."""
         for number in range(count):
             self._store_leaf(number, "draining")
 
@@ -134,7 +134,11 @@
         self.world.store.put(f"servers/leaf-{number:04}", entry)
 
     async def wait_until_drained(self) -> float:
-        """Return the seconds until no instance gives a leaf of the shards new work."""
+        """Wait until no instance sends a leaf of the first shard new work.
+
+        Returns:
+            The time that this took, in seconds.
+        """
         start = trio.current_time()
         directories = [
             running.tenant.kernel.find("directory", LeafDirectory)
@@ -153,7 +157,7 @@
         ]
 
     def restart(self, name: str) -> None:
-        """End an instance at once and start it again."""
+        """Kill an instance and start it again after a delay."""
         running = self.world.tenants[name]
         running.scope.cancel()
         self.free_since[name] = float("inf")
@@ -165,7 +169,7 @@
         await self.start(name, data_centre, lag)
 
     async def cut(self, name: str, others: Iterable[str], duration: float) -> None:
-        """Cut an instance off from others, or from the store, for some seconds."""
+        """Cut an instance off from others, or the store, for `duration` seconds."""
         self.free_since[name] = float("inf")
         sites = [name_site(other) if other != STORE else STORE for other in others]
         for site in sites:
@@ -176,7 +180,7 @@
         self.free_since[name] = trio.current_time()
 
     async def slow_down(self, name: str, duration: float) -> None:
-        """Let an instance's machine take long for whatever comes in."""
+        """Delay incoming traffic of an instance's machine for `duration` seconds."""
         link = self.links[name]
         self.free_since[name] = float("inf")
         link.incoming.lag, lag = SLOW_LAG, link.incoming.lag
@@ -185,7 +189,7 @@
         self.free_since[name] = trio.current_time()
 
     def silence_watches(self) -> int:
-        """Let the connections of all waiting watches go silent; return how many."""
+        """Silence the connections of all waiting watches; return their number."""
         now = trio.current_time()
         streams = self.world.network.find_streams(self.world.store_address)
         waiting = [stream for stream in streams if stream.used_at < now - QUIET_TIME]
@@ -194,15 +198,16 @@
         return len(waiting)
 
     def count_peer_bytes(self, name: str) -> float:
-        """Return the bytes that an instance has exchanged with others."""
+        """Return the number of bytes that an instance has exchanged with others."""
         kernel = self.world.tenants[name].tenant.kernel
         return kernel.find("metrics", Metrics).read("peer.bytes")
 
     def measure_delays(self, name: str) -> list[float]:
-        """Return the seconds from each acknowledgement to force at an instance.
+        """Return the delays of all changes at an instance, in seconds.
 
-        A version counts as in force from when it or a later one is, and as acknowledged
-        not before the instance was free of trouble of its own.
+        A delay begins with the acknowledgement, but not before the instance has been
+        without a fault of its own; it ends when that version or a later one is in
+        force.
         """
         since = self.free_since[name]
         delays = []
@@ -213,7 +218,7 @@
         return delays
 
     def find_worst(self, without: tuple[str, ...] = ()) -> float:
-        """Return the longest delay of any change at any instance, in seconds."""
+        """Return the maximum delay of any change at any instance, in seconds."""
         return max(
             max(self.measure_delays(name)) for name in self.seen if name not in without
         )
--- a/walkcart/platform/tests/crashingplay.py
+++ b/walkcart/platform/tests/crashingplay.py
@@ -1,4 +1,4 @@
-"""What the tests of requests under which leafs end play on."""
+"""The platform that the tests of leaf-crashing requests run on."""
 
 import json
 
@@ -15,7 +15,14 @@
 
 
 def play(act, instances=("one", "two", "three"), places=("north-a",), targets=(BAD,)):
-    """Play with instances before shards and one service of four leafs."""
+    """Run `act(crashing)` on a platform with shards and one service of four leaves.
+
+    Args:
+        act: async function that gets the `CrashingWorld`.
+        instances: names of the instances.
+        places: data centres of the instances and leaves, in turn.
+        targets: targets of the requests that crash the leaf that runs them.
+    """
 
     async def run():
         async with open_platform() as world:
@@ -36,13 +43,13 @@
 
 
 def read_events(world, name):
-    """Return the lines of one event."""
+    """Return the log lines of one event."""
     lines = (json.loads(line) for line in world.log.getvalue().splitlines())
     return [line for line in lines if line["event"] == name]
 
 
 async def ask_steadily(crashing, seconds, path="/all/good", interval=0.05):
-    """Ask different questions at all instances; return the statuses."""
+    """Send different requests to all instances at an interval; return the statuses."""
     world = crashing.world
     statuses = []
 
@@ -50,7 +57,7 @@
         try:
             statuses.append((await world.ask(f"{path}-{number}", name)).status)
         except (OSError, ExchangeFailed):
-            # The instance was killed.
+            # The instance was killed meanwhile.
             statuses.append(0)
 
     names = list(world.tenants)
--- a/walkcart/platform/tests/crashingworld.py
+++ b/walkcart/platform/tests/crashingworld.py
@@ -1,4 +1,4 @@
-"""Leafs that end when they begin some requests, and what reached leafs."""
+"""Leaves that crash when they begin certain requests, and a record of arrivals."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 from walkcart.platform.tests.leafstandin import PlatformLeafStandin
 from walkcart.platform.tests.platformworld import PlatformWorld, make_route
 
-#: Seconds that a leaf runs such a request until it ends.
+#: Time for which a leaf runs such a request before it crashes, in seconds.
 CRASH_TIME = 0.01
-#: Seconds until a leaf that ended is back.
+#: Time until a crashed leaf is back, in seconds.
 BACK_TIME = 3.0
-#: Seconds until the entry of a leaf that ended has lapsed.
+#: Time until the entry of a crashed leaf has expired, in seconds.
 LAPSE_TIME = 3.6
-#: Seconds within which all instances know; the platform's bound for its smallest sites.
+#: Time within which all instances know of a quarantine, in seconds: the platform's
+#: bound for its smallest sites.
 CONTACT_TIME = 4.0
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A request that reached a leaf."""
+    """A request that reached a leaf, or that a leaf crashed under."""
 
     at: float
     request: str
@@ -33,12 +34,14 @@
 
 @dataclass(slots=True)
 class CrashingWorld:
-    """A platform whose leafs end under some requests, and start again.
+    """A platform whose leaves crash under certain requests and start again.
 
     Args:
         world: the platform.
-        targets: of the requests that end the leafs which run them.
-        fast: whether leafs that ended start again at once.
+        targets: targets of the requests that crash the leaf that runs them.
+        ended: the crashes so far.
+        arrivals: the requests that reached leaves so far.
+        back_time: time until a crashed leaf is back, in seconds.
     """
 
     world: PlatformWorld
@@ -46,12 +49,12 @@
     ended: list[Arrival] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     back_time: float = BACK_TIME
-    _lives: count = field(default_factory=count)
+    _next_id: count = field(default_factory=count)
 
     async def start_shards(
         self, shards: int, copies: int = 2, places: tuple[str, ...] = ("north-a",)
     ) -> list[str]:
-        """Start leafs; return the names of the shards."""
+        """Start the leaves of some shards; return the names of the shards."""
         names = [f"shard-{number}" for number in range(shards)]
         for number, name in enumerate(names):
             for copy in range(copies):
@@ -61,42 +64,42 @@
 
     async def start_leaf(self, service: str, place: str = "north-a") -> str:
         """Start one leaf of a service; return its id."""
-        id = f"i-{next(self._lives)}"
+        id = f"i-{next(self._next_id)}"
         leaf = CrashingLeaf(id, self)
         await self.world.run_leaf(leaf, service, place)
         return id
 
     def note_arrival(self, request: str, target: str, leaf: str) -> None:
-        """Note that a request reached a leaf."""
+        """Record that a request reached a leaf."""
         self.arrivals.append(Arrival(trio.current_time(), request, target, leaf))
 
     def crash(self, id: str, request: str = "", target: str = "") -> None:
-        """End a leaf without a word; it is back under another id after a while."""
+        """Stop a leaf without notice; it comes back later under another id."""
         self.ended.append(Arrival(trio.current_time(), request, target, id))
         self.world.servers[id].stop()
-        self.world.nursery.start_soon(self._lapse, id)
-        self.world.nursery.start_soon(self._revive, id)
+        self.world.nursery.start_soon(self._expire_entry, id)
+        self.world.nursery.start_soon(self._restart, id)
 
-    async def _lapse(self, id: str) -> None:
+    async def _expire_entry(self, id: str) -> None:
         await trio.sleep(LAPSE_TIME)
         self.world.store.remove(f"servers/{id}")
 
-    async def _revive(self, id: str) -> None:
+    async def _restart(self, id: str) -> None:
         await trio.sleep(self.back_time)
         entry = self.world.entries[id]
         await self.start_leaf(entry["backend"], entry["zone"])
 
     def leafs_alive(self) -> list[str]:
-        """Return the ids of the leafs that run."""
+        """Return the ids of the running leaves."""
         ended = {item.leaf for item in self.ended}
         return [id for id in self.world.leafs if id not in ended]
 
     def late_tries(self, target: str, after: float = CONTACT_TIME) -> set[str]:
-        """Return the callers' tries that reached leafs though that was to be known.
+        """Return the callers' requests that reached leaves later than allowed.
 
         Args:
-            target: of the request.
-            after: seconds after the third leaf ended under it.
+            target: target of the request.
+            after: seconds after the third crash under it from when it should be known.
         """
         ends = [item.at for item in self.ended if item.target == target]
         if len(ends) < 3:
@@ -110,23 +113,23 @@
 
 
 class CrashingLeaf(PlatformLeafStandin):
-    """A leaf that ends when it begins some requests."""
+    """A leaf that crashes when it begins certain requests."""
 
-    def __init__(self, id: str, around: CrashingWorld, **details: Any) -> None:
+    def __init__(self, id: str, crashing: CrashingWorld, **details: Any) -> None:
         super().__init__(id, records=id.encode().ljust(16), **details)
-        self._around = around
+        self._crashing = crashing
 
     async def begin(self, id: str, target: str) -> None:
-        """Run a request up to where it may end the leaf."""
-        self._around.note_arrival(id, target, self.id)
-        if target in self._around.targets:
+        """Record the arrival of a request, and crash if its target says so."""
+        self._crashing.note_arrival(id, target, self.id)
+        if target in self._crashing.targets:
             await trio.sleep(CRASH_TIME)
-            self._around.crash(self.id, id, target)
+            self._crashing.crash(self.id, id, target)
             await trio.sleep_forever()
 
 
 def make_sharded_route(names: list[str], **fields: Any) -> dict[str, Any]:
-    """Return a route over shards of which an answer may lack a few."""
+    """Return a route over shards whose answers may lack a few of them."""
     return make_route(
         "all",
         "/all/",
--- a/walkcart/platform/tests/garbledlinks.py
+++ b/walkcart/platform/tests/garbledlinks.py
@@ -1,4 +1,4 @@
-"""Envelopes between instances that come twice, late, garbled, or from strangers.
+"""Envelopes between instances that are duplicated, late, garbled or forged.
 
 python -m walkcart.platform.tests.garbledlinks --seed 1 --seeds 50
 """
@@ -18,27 +18,28 @@
 from walkcart.wire.codec import decode_envelope, encode_envelope
 from walkcart.wire.http import ExchangeFailed
 
-PLACES = ("north-a", "south-a", "east-a")
+DATA_CENTRES = ("north-a", "south-a", "east-a")
 INSTANCES = ("one", "two", "three")
 SHARDS = 9
-#: Leafs of a shard that may run a question, by the route.
-MOST_ATTEMPTS = 2
+#: Leaves of a shard that may run a request, by the route.
+MAX_ATTEMPTS = 2
+#: Duration of a run, in seconds.
 SECONDS = 6.0
-#: Seconds between two questions.
-GAP = 0.02
-#: Shares of the envelopes that come twice, that are garbled, and that come again under
-#: the name of another instance.
-TWICE, GARBLED, FOREIGN = 0.15, 0.05, 0.05
-#: Longest delay of what comes again, in seconds.
-LATEST = 0.5
+#: Interval of requests, in seconds.
+INTERVAL = 0.02
+#: Fractions of the envelopes that are delivered twice, garbled, and delivered again
+#: under the name of another instance.
+DUPLICATED, GARBLED, FORGED = 0.15, 0.05, 0.05
+#: Maximum delay of a repeated envelope, in seconds.
+MAX_DELAY = 0.5
 
 
-class Spoiler:
-    """Spoils envelopes on their way.
+class FaultInjector:
+    """Injects faults into the envelopes of a network.
 
     Args:
-        world: whose network carries them.
-        random: decides which.
+        world: the platform whose network is changed.
+        random: decides which envelopes are affected.
     """
 
     def __init__(self, world: PlatformWorld, random: Random) -> None:
@@ -49,15 +50,15 @@
         world.network.deliver = self.deliver  # type: ignore[method-assign]
 
     def deliver(self, site: str, address: Any, data: bytes, *left: float) -> None:
-        """Bring an envelope on its way, spoiled or not, and perhaps more of it."""
-        drawn = self._random.random()
-        if drawn < GARBLED:
+        """Deliver an envelope, perhaps garbled, and perhaps a second copy of it."""
+        draw = self._random.random()
+        if draw < GARBLED:
             self.spoiled += 1
             data = self._garble(data)
-        elif drawn < GARBLED + TWICE:
+        elif draw < GARBLED + DUPLICATED:
             self._repeat(site, address, data)
-        elif drawn < GARBLED + TWICE + FOREIGN:
-            self._repeat(site, address, self._rename(data))
+        elif draw < GARBLED + DUPLICATED + FORGED:
+            self._repeat(site, address, self._forge_sender(data))
         self._deliver(site, address, data, *left)
 
     def _garble(self, data: bytes) -> bytes:
@@ -67,7 +68,7 @@
         end = self._random.choice([len(spoiled), self._random.randrange(len(spoiled))])
         return bytes(spoiled[:end])
 
-    def _rename(self, data: bytes) -> bytes:
+    def _forge_sender(self, data: bytes) -> bytes:
         name = self._random.choice([*INSTANCES, "nobody"])
         return encode_envelope(
             msgspec.structs.replace(decode_envelope(data), sender=name)
@@ -75,30 +76,30 @@
 
     def _repeat(self, site: str, address: Any, data: bytes) -> None:
         self.spoiled += 1
-        delay = self._random.uniform(0.0, LATEST)
+        delay = self._random.uniform(0.0, MAX_DELAY)
 
-        async def bring() -> None:
+        async def deliver_later() -> None:
             await trio.sleep(delay)
             self._deliver(site, address, data)
 
-        self._world.nursery.start_soon(bring)
+        self._world.nursery.start_soon(deliver_later)
 
 
 def play(seed: int) -> dict[str, int]:
-    """Ask through spoiled links; return what is to be checked, by name."""
+    """Send requests over faulty links; return the counts to check, by name."""
     return run_mocked(_play, seed)
 
 
 async def _play(seed: int) -> dict[str, int]:
     async with open_platform() as world:
         leafs = CrashingWorld(world)
-        names = await leafs.start_shards(SHARDS, places=PLACES)
-        world.configure(make_sharded_route(names, maxAttempts=MOST_ATTEMPTS))
-        for name, place in zip(INSTANCES, PLACES, strict=True):
+        names = await leafs.start_shards(SHARDS, places=DATA_CENTRES)
+        world.configure(make_sharded_route(names, maxAttempts=MAX_ATTEMPTS))
+        for name, place in zip(INSTANCES, DATA_CENTRES, strict=True):
             await world.start_instance(name, place)
             await world.wait_ready(name)
         await trio.sleep(3)
-        spoiler = Spoiler(world, Random(seed))
+        injector = FaultInjector(world, Random(seed))
         counts = {"answered": 0, "failed": 0, "wrong": 0, "unanswered": 0}
 
         async def ask(number: int) -> None:
@@ -118,25 +119,25 @@
                 counts["wrong"] += 1
 
         async with trio.open_nursery() as nursery:
-            for number in range(int(SECONDS / GAP)):
+            for number in range(int(SECONDS / INTERVAL)):
                 nursery.start_soon(ask, number)
-                await trio.sleep(GAP)
-        counts["spoiled"] = spoiler.spoiled
+                await trio.sleep(INTERVAL)
+        counts["spoiled"] = injector.spoiled
         counts["over_attempts"] = _count_over_attempts(world, leafs)
         return counts
 
 
 def _count_over_attempts(world: PlatformWorld, leafs: CrashingWorld) -> int:
-    """Return the questions that ran on more leafs of a shard than allowed."""
+    """Return the number of requests that ran on more leaves of a shard than allowed."""
     ran: dict[tuple[str, str], int] = {}
     for item in leafs.arrivals:
         key = (item.request, world.entries[item.leaf]["backend"])
         ran[key] = ran.get(key, 0) + 1
-    return sum(1 for count in ran.values() if count > MOST_ATTEMPTS)
+    return sum(1 for count in ran.values() if count > MAX_ATTEMPTS)
 
 
 def check(counts: dict[str, int]) -> list[str]:
-    """Return what doesn't hold."""
+    """Return the counts that should be zero and aren't."""
     return [
         f"{name}: {counts[name]}"
         for name in ("wrong", "unanswered", "over_attempts")
@@ -145,7 +146,7 @@
 
 
 def main() -> None:
-    """Play several seeds and print what each came to."""
+    """Run several seeds and print the result of each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=10)
--- a/walkcart/platform/tests/leafstandin.py
+++ b/walkcart/platform/tests/leafstandin.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's leafs."""
+"""A stand-in for the platform's leaves."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(slots=True)
 class PlatformLeafFaults:
-    """What goes wrong; all off at first.
+    """Faults of a leaf; all are off by default.
 
     Args:
-        delay: seconds added to each request.
-        refuse: every request is turned away, not run.
-        refuse_tenths: of ten requests so many are turned away, spread evenly.
-        status: of every answer, if not 0.
-        fail_first: status of every answer, which is given before anything is run.
-        drop: every request is run and its connection closed without an answer.
-        drop_share: share of the requests of which that is true, by lots.
-        other_id: echoes the id of another request.
-        unstamped: answers lack their stamp.
+        delay: seconds added to the time of each request.
+        refuse: refuse every request without running it.
+        refuse_tenths: number of requests in ten to refuse, spread evenly.
+        status: status of every reply, if not 0.
+        fail_first: status of every reply, sent without running the request, if not 0.
+        drop: run every request, then close the connection without a reply.
+        drop_share: fraction of the requests, chosen at random, that are dropped so.
+        other_id: echo the id of another request.
+        unstamped: omit the stamp of replies.
     """
 
     delay: float = 0.0
@@ -40,12 +40,18 @@
 
 @dataclass(slots=True, eq=False)
 class PlatformLeafStandin:
-    """Runs requests and says what it ran.
+    """Serves requests and records which of them arrived, ran and finished.
 
     Args:
-        id: of its process life.
-        work: seconds that a request takes.
-        records: body of every answer; 16 bytes a record.
+        id: id of the leaf's process life.
+        work: time that a request takes, in seconds.
+        records: body of every reply; 16 bytes per record.
+        faults: faults to inject.
+        arrived: all requests that arrived.
+        ran: ids of the requests that began to run.
+        finished: ids of the requests that ran to the end.
+        running: number of requests that are running.
+        lots: random numbers for the faults, seeded with the id.
     """
 
     id: str
@@ -59,22 +65,22 @@
     lots: Random = field(init=False)
 
     def __post_init__(self) -> None:
-        """Draw the same lots in each run."""
+        """Seed the random numbers, so that each test run has the same faults."""
         self.lots = Random(self.id)
 
     def make_server(self) -> StandinServer:
-        """Return the server of this leaf."""
+        """Return a server for this leaf."""
         server = StandinServer(self.handle)
         server.http.cancel_on_disconnect = True
         return server
 
     def _is_refused(self) -> bool:
-        """Return whether the request that arrived last is one of those turned away."""
+        """Return whether the request that arrived last is to be refused."""
         tenths = self.faults.refuse_tenths
         return len(self.arrived) * tenths // 10 > (len(self.arrived) - 1) * tenths // 10
 
     async def begin(self, id: str, target: str) -> None:
-        """Begin to run a request; overridden where that may end the leaf."""
+        """Begin to run a request; overridden by leaves that crash here."""
 
     async def handle(self, request: HttpRequest) -> HttpReply | None:
         """Serve one request."""
--- a/walkcart/platform/tests/platformworld.py
+++ b/walkcart/platform/tests/platformworld.py
@@ -1,4 +1,4 @@
-"""Instances on a platform in memory: store, leafs, callers."""
+"""Instances on a platform in memory, with its store, leaves and callers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class RunningTenant:
-    """An instance and the means to end it."""
+    """A running instance and the scope that stops it."""
 
     tenant: Tenant
     settings: PlatformSettings
@@ -46,11 +46,19 @@
 
 @dataclass(slots=True, eq=False)
 class PlatformWorld:
-    """Everything around the instances.
+    """The platform in memory: network, store, leaves and instances.
 
     Args:
-        nursery: where all of it runs.
-        log: where instances write their lines.
+        nursery: runs all of it.
+        log: output of the instances' event logs.
+        network: network in memory that connects everything.
+        store: the platform's store.
+        leafs: leaves by id.
+        servers: servers of the leaves, by id.
+        entries: stored entries of the leaves, by id.
+        tenants: running instances by name.
+        store_address: address of the store.
+        version: version of the configuration that was stored last.
     """
 
     nursery: trio.Nursery
@@ -63,7 +71,8 @@
     tenants: dict[str, RunningTenant] = field(default_factory=dict)
     store_address: HostPort = HostPort("127.0.0.1", 0)
     version: int = 0
-    #: Repeats to a service that all instances together may make beside a fifth.
+    #: Repeats to a service that all instances together may make beyond a fifth of its
+    #: requests.
     repeat_allowance: float = 54.0
     _requests: int = 0
 
@@ -107,7 +116,13 @@
         self.store.put(f"servers/{id}", self.entries[id])
 
     async def restart_leaf(self, id: str, born: int, **details: Any) -> None:
-        """End a leaf without a word and start it again under its id."""
+        """Stop a leaf without notice and start it again under the same id.
+
+        Args:
+            id: id of the leaf.
+            born: start of the new process life, in Unix milliseconds.
+            details: further arguments of the new `PlatformLeafStandin`.
+        """
         entry = self.entries[id]
         self.servers[id].stop()
         await self.start_leaf(id, entry["backend"], entry["zone"], **details)
@@ -115,7 +130,7 @@
         self.store.put(f"servers/{id}", self.entries[id])
 
     def drain_leaf(self, id: str) -> None:
-        """Announce that a leaf is about to end."""
+        """Mark a leaf as about to stop."""
         self.entries[id]["state"] = "draining"
         self.store.put(f"servers/{id}", self.entries[id])
 
@@ -143,30 +158,30 @@
         """Start an instance, or start it again.
 
         Args:
-            name: of the instance.
-            data_centre: where it stands.
-            site_name: of the network, for cuts; that of the data centre if empty.
-            link: of its machine; without one its rate has no limit.
+            name: name of the instance.
+            data_centre: data centre of the instance.
+            site_name: network site, for cuts; that of the data centre if empty.
+            link: link of its machine; without one its bandwidth is unlimited.
         """
         settings = make_settings(
             name, data_centre, self.store_address, self.repeat_allowance
         )
         site = self.network.at(site_name or data_centre, link)
-        around = TenantSurroundings(
+        surroundings = TenantSurroundings(
             site, site.transport(), TrioClock(), Random(7), self.log
         )
-        tenant = await assemble_tenant(settings, around)
+        tenant = await assemble_tenant(settings, surroundings)
         scope = await self.nursery.start(_run_tenant, tenant)
         self.tenants[name] = RunningTenant(tenant, settings, scope)
         return self.tenants[name]
 
     async def wait_ready(self, name: str = "one") -> None:
-        """Wait until an instance wants connections."""
+        """Wait until an instance reports that it is ready."""
         while (await self.ask_ready(name)).status != 200:
             await trio.sleep(0.05)
 
     async def ask_ready(self, name: str = "one") -> HttpReply:
-        """Ask as the balancer does."""
+        """Check the readiness of an instance as the balancer does."""
         address = self.tenants[name].settings.readiness
         return await self._exchange(address, HttpRequest("GET", "/api/ready"))
 
@@ -179,7 +194,7 @@
         deadline_ms: int = 2000,
         headers: tuple[tuple[bytes, bytes], ...] = (),
     ) -> HttpReply:
-        """Send a request as a caller does, on a connection of its own."""
+        """Send a request as a caller does, on a new connection."""
         self._requests += 1
         request = HttpRequest(
             method,
@@ -207,7 +222,7 @@
 def make_settings(
     name: str, data_centre: str, store: HostPort, repeat_allowance: float = 54.0
 ) -> PlatformSettings:
-    """Return the settings of an instance; ports follow from its name."""
+    """Return the settings of an instance; its ports are derived from its name."""
     number = sum(n * 100 * b + b for n, b in enumerate(name.encode())) % 1000
     return PlatformSettings(
         instance=name,
@@ -231,12 +246,12 @@
 def make_configuration(
     version: int, routes: list[dict[str, Any]], **limits: int
 ) -> dict[str, Any]:
-    """Return a configuration as operators store it.
+    """Return a configuration in the form in which operators store it.
 
     Args:
-        version: of the configuration.
-        routes: as `make_route` makes them.
-        limits: of callers; ``warmupS`` and ``warmupPerS`` are of all services.
+        version: version of the configuration.
+        routes: routes made by `make_route`.
+        limits: limits of callers; ``warmupS`` and ``warmupPerS`` apply to all services.
     """
     cold = ("warmupS", "warmupPerS")
     details = {name: limits.pop(name) for name in cold if name in limits}
@@ -266,7 +281,7 @@
 
 
 def make_route(name: str, prefix: str, **fields: Any) -> dict[str, Any]:
-    """Return a route as operators store it."""
+    """Return a route in the form in which operators store it."""
     return {
         "name": name,
         "host": HOST,
@@ -281,18 +296,18 @@
 
 
 def make_team(name: str, *keys: str, **fields: Any) -> dict[str, Any]:
-    """Return a team as operators store it."""
+    """Return a team in the form in which operators store it."""
     return {"name": name, "apiKeys": list(keys), **fields}
 
 
 def show_key(key: str) -> tuple[tuple[bytes, bytes], ...]:
-    """Return the header by which a caller shows its key."""
+    """Return the headers with which a caller sends its key."""
     return ((b"authorization", f"Bearer {key}".encode()),)
 
 
 @asynccontextmanager
 async def open_platform():
-    """Open a world with a running store."""
+    """Open a `PlatformWorld` with a running store."""
     async with trio.open_nursery() as nursery:
         world = PlatformWorld(nursery)
         await world.start_store()
--- a/walkcart/platform/tests/storestandin.py
+++ b/walkcart/platform/tests/storestandin.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store: items, watches, transactions, leases, faults."""
+"""A stand-in for the platform's store: items, watches, transactions, leases."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 from walkcart.standins.serving import StandinServer, reply_json
 from walkcart.wire.http import HttpReply, HttpRequest
 
-#: Items of one page; small, so that tests see several.
-PAGE = 50
-#: Bytes of the values that one watch returns, as encoded; the rest come with the next.
-#: Seen on the platform: a watch from an old revision doesn't bring the newest.
+#: Maximum number of items of a page; small, so that tests read several pages.
+PAGE_SIZE = 50
+#: Maximum size of the encoded values that one watch returns, in bytes; the next watch
+#: returns the rest. The platform's store does so too: a watch from an old revision
+#: doesn't return the newest changes.
 WATCH_BYTES = 1 << 20
-#: Changes that one watch returns; seen on the platform, too.
+#: Maximum number of changes that one watch returns, as on the platform.
 WATCH_EVENTS = 500
 
 
 @dataclass(slots=True)
 class PlatformStoreFaults:
-    """What goes wrong; all off at first.
+    """Faults of the store; all are off by default.
 
     Args:
-        silent: calls are held and never answered.
-        refusal: status that every call gets; 0 for none.
-        lose_writes: writes take effect and are never answered.
-        stale_by: revisions by which reads that may be stale are behind.
+        silent: never reply to any call.
+        refusal: status of the reply to every call, if not 0.
+        lose_writes: let transactions take effect, but never reply to them.
+        stale_by: number of revisions by which reads that may be stale lag behind.
     """
 
     silent: bool = False
@@ -48,11 +49,18 @@
 
 @dataclass(slots=True, eq=False)
 class PlatformStoreStandin:
-    """Holds items; serves the calls of the store's page."""
+    """Holds items in memory and serves the calls of the store's interface.
+
+    Args:
+        faults: faults to inject.
+        calls: method and path of each call.
+        targets: method and target of each call, with the query.
+        rows: stored items by key.
+        revision: revision of the whole store.
+    """
 
     faults: PlatformStoreFaults = field(default_factory=PlatformStoreFaults)
     calls: list[str] = field(default_factory=list)
-    #: The same with their queries.
     targets: list[str] = field(default_factory=list)
     rows: dict[str, _Row] = field(default_factory=dict)
     revision: int = 0
@@ -63,15 +71,15 @@
     _changed: trio.Event = field(default_factory=trio.Event)
 
     def make_server(self) -> StandinServer:
-        """Return the server of this store."""
+        """Return a server for this store."""
         return StandinServer(self.handle)
 
     def put(self, key: str, content: Any, lease: int = 0) -> None:
-        """Store JSON as the operator or a leaf does."""
+        """Store a value, as JSON unless it is bytes, as an operator or a leaf does."""
         value = content if isinstance(content, bytes) else msgspec.json.encode(content)
         self.revision += 1
         self.rows[key] = _Row(value, self.revision, lease)
-        self._record(key)
+        self._append_history(key)
 
     def remove(self, key: str) -> None:
         """Remove a key."""
@@ -80,13 +88,13 @@
         self._history.append(
             {"tlsKey": key, "revision": self.revision, "deleted": True}
         )
-        self._wake()
+        self._wake_watches()
 
     def compact(self) -> None:
-        """Forget the history; waiting watches are cut."""
+        """Drop the history; waiting watches end with status 410."""
         self._history.clear()
         self._compacted = self.revision
-        self._wake()
+        self._wake_watches()
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Serve one call."""
@@ -131,9 +139,9 @@
             for key, row in self.rows.items()
             if key.startswith(prefix) and key > after and row.revision <= limit
         )
-        items = [self._describe(key) for key in keys[:PAGE]]
+        items = [self._describe(key) for key in keys[:PAGE_SIZE]]
         return reply_json(
-            {"items": items, "truncated": len(keys) > PAGE, "asOf": self.revision}
+            {"items": items, "truncated": len(keys) > PAGE_SIZE, "asOf": self.revision}
         )
 
     async def _watch(self, query: dict[str, str]) -> HttpReply:
@@ -148,12 +156,12 @@
                     if event["revision"] > after and event["tlsKey"].startswith(prefix)
                 ]
                 if events:
-                    return reply_json(self._fill_reply(events))
+                    return reply_json(self._limit_events(events))
                 changed = self._changed
                 await changed.wait()
         return reply_json({"events": [], "asOf": self.revision})
 
-    def _fill_reply(self, events: list[dict[str, Any]]) -> dict[str, Any]:
+    def _limit_events(self, events: list[dict[str, Any]]) -> dict[str, Any]:
         size = 0
         for number, event in enumerate(events):
             size += len(event.get("value", ""))
@@ -213,10 +221,10 @@
             "lease": row.lease,
         }
 
-    def _record(self, key: str) -> None:
+    def _append_history(self, key: str) -> None:
         self._history.append(self._describe(key))
-        self._wake()
+        self._wake_watches()
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
--- a/walkcart/platform/tests/teamworld.py
+++ b/walkcart/platform/tests/teamworld.py
@@ -1,4 +1,4 @@
-"""Leafs and instances in three regions, with teams, and what leafs were told."""
+"""Leaves and instances in three regions with teams, and what the leaves received."""
 
 import trio
 
@@ -13,9 +13,9 @@
 
 DATA_CENTRES = ("north-a", "south-a", "east-a")
 SHARDS = [f"shard-{number}" for number in range(6)]
-#: Shards without a leaf in the first region: others gather them for it.
+#: Shards without a leaf in the first region: other instances gather them for it.
 FAR = [f"far-{number}" for number in range(8)]
-#: Seconds within which a change of the configuration is in force.
+#: Maximum time until a change of the configuration is in force, in seconds.
 IN_FORCE = 1.0
 RIDERS, FITTERS = "riders-secret-key", "fitters-secret-key"
 TEAMS = [make_team("riders", RIDERS), make_team("fitters", FITTERS)]
@@ -34,15 +34,15 @@
     make_route("open", "/open/", backend="single", public=True),
 ]
 PATHS = ("/one/x", "/once/x", "/split/x", "/all/x")
-CLAIMS = (
+FORGED_TEAM_HEADERS = (
     (b"X-Tenant", b"clerks"),
     (b"x-tenant", b"clerks"),
     (b"connection", b"X-Tenant"),
 )
 
 
-def with_teams(act, teams=TEAMS, instances=DATA_CENTRES):
-    """Run `act(world)` with leafs of each service and an instance in each region."""
+def with_teams(action, teams=TEAMS, instances=DATA_CENTRES):
+    """Run `action(world)` with leaves of each service, an instance in each region."""
 
     async def run():
         async with open_platform() as world:
@@ -57,7 +57,7 @@
             for data_centre in instances:
                 await world.wait_ready(data_centre)
             await trio.sleep(10)
-            return await act(world)
+            return await action(world)
 
     return run_mocked(run)
 
@@ -66,8 +66,8 @@
     return [request for leaf in world.leafs.values() for request in leaf.arrived]
 
 
-def list_named(requests):
-    """Return what each request says of its team, and whether it holds a key."""
+def list_team_headers(requests):
+    """Return the team headers of each request, and whether it contains a key."""
     return {
         (
             tuple(value for name, value in request.headers if name == b"x-tenant"),
@@ -77,8 +77,8 @@
     }
 
 
-def trouble_leafs(world):
-    """Have leafs fail in the ways that make for repeats, hedges and late parts."""
+def inject_leaf_faults(world):
+    """Inject the leaf faults that cause repeats, hedges and late parts."""
     for id, leaf in world.leafs.items():
         leaf.faults.drop = id.startswith("shard-0")
         leaf.faults.refuse = id.startswith("shard-1") and id.endswith("south-a")
@@ -86,21 +86,21 @@
         leaf.faults.status = 500 if id.startswith("shard-3-e") else 0
 
 
-def watch_messages(monkeypatch):
-    """Return a list of all messages that instances send each other."""
+def record_messages(monkeypatch):
+    """Return a list that collects all messages between instances."""
     sent = []
     send = PeerLinks.send
 
-    def note(links, name, message):
+    def record(links, name, message):
         sent.append(message)
         return send(links, name, message)
 
-    monkeypatch.setattr(PeerLinks, "send", note)
+    monkeypatch.setattr(PeerLinks, "send", record)
     return sent
 
 
 async def ask_all(world, key, path="/one/x"):
-    """Return the statuses that a key gets at each instance."""
+    """Return the status that each instance replies to a request with a key."""
     return [
         (await world.ask(path, name, headers=show_key(key))).status
         for name in DATA_CENTRES
--- a/walkcart/platform/tests/test_team_changes.py
+++ b/walkcart/platform/tests/test_team_changes.py
@@ -13,7 +13,7 @@
     TEAMS,
     ask_all,
     list_arrived,
-    list_named,
+    list_team_headers,
     with_teams,
 )
 
@@ -50,7 +50,7 @@
         assert await ask_all(world, RIDERS, "/all/x") == [200] * 3
         return list_arrived(world)
 
-    assert list_named(with_teams(act)) == {((b"fitters",), False)}
+    assert list_team_headers(with_teams(act)) == {((b"fitters",), False)}
 
 
 @pytest.mark.parametrize(
--- a/walkcart/platform/tests/test_teams.py
+++ b/walkcart/platform/tests/test_teams.py
@@ -8,18 +8,18 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.platform.tests.platformworld import REGIONS, make_team, show_key
 from walkcart.platform.tests.teamworld import (
-    CLAIMS,
     DATA_CENTRES,
     FITTERS,
+    FORGED_TEAM_HEADERS,
     IN_FORCE,
     PATHS,
     RIDERS,
     ROUTES,
     TEAMS,
+    inject_leaf_faults,
     list_arrived,
-    list_named,
-    trouble_leafs,
-    watch_messages,
+    list_team_headers,
+    record_messages,
     with_teams,
 )
 from walkcart.wire.delegations import DelegatedQuestion
@@ -29,30 +29,32 @@
 
 
 def test_every_way_of_a_request_names_its_team_and_holds_no_key(monkeypatch):
-    sent = watch_messages(monkeypatch)
+    sent = record_messages(monkeypatch)
 
     async def act(world):
         for troubled in (False, True):
             if troubled:
-                trouble_leafs(world)
+                inject_leaf_faults(world)
             for path in PATHS:
                 for name in DATA_CENTRES * 3:
-                    await world.ask(path, name, headers=CLAIMS + show_key(RIDERS))
+                    await world.ask(
+                        path, name, headers=FORGED_TEAM_HEADERS + show_key(RIDERS)
+                    )
         return list_arrived(world)
 
     arrived = with_teams(act)
     assert len(arrived) > 150
-    assert list_named(arrived) == {((b"riders",), False)}
+    assert list_team_headers(arrived) == {((b"riders",), False)}
     questions = [item for item in sent if isinstance(item, DelegatedQuestion)]
     assert questions
-    assert list_named(questions) == {((b"riders",), False)}
+    assert list_team_headers(questions) == {((b"riders",), False)}
 
 
 def test_no_key_is_in_anything_that_an_instance_puts_out(monkeypatch):
-    sent = watch_messages(monkeypatch)
+    sent = record_messages(monkeypatch)
 
     async def act(world):
-        trouble_leafs(world)
+        inject_leaf_faults(world)
         for key in (RIDERS, FITTERS, "unknown-secret-key"):
             for path in (*PATHS, "/open/x", "/none/x"):
                 for name in DATA_CENTRES:
@@ -96,7 +98,7 @@
 
 
 def test_without_teams_requests_pass_as_they_came(monkeypatch):
-    sent = watch_messages(monkeypatch)
+    sent = record_messages(monkeypatch)
     headers = ((b"x-tenant", b"clerks"), *show_key(RIDERS), (b"accept", b"*/*"))
 
     async def act(world):
@@ -159,9 +161,9 @@
 @pytest.mark.parametrize(
     ("headers", "told"),
     [
-        (CLAIMS, ()),
-        (CLAIMS + show_key("unknown"), ()),
-        (CLAIMS + show_key(FITTERS), (b"fitters",)),
+        (FORGED_TEAM_HEADERS, ()),
+        (FORGED_TEAM_HEADERS + show_key("unknown"), ()),
+        (FORGED_TEAM_HEADERS + show_key(FITTERS), (b"fitters",)),
     ],
 )
 def test_a_public_route_takes_all_and_tells_the_team_of_a_known_key(headers, told):
@@ -173,7 +175,7 @@
 
     statuses, arrived = with_teams(act)
     assert statuses == {200}
-    assert list_named(arrived) == {(told, False)}
+    assert list_team_headers(arrived) == {(told, False)}
 
 
 def test_an_empty_list_of_teams_lets_nobody_in_but_on_public_routes():
@@ -189,7 +191,7 @@
     teams = [make_team("riders", RIDERS, allowedRegions=["south"]), TEAMS[1]]
 
     async def act(world):
-        trouble_leafs(world)
+        inject_leaf_faults(world)
         statuses = set()
         for path in PATHS:
             for name in DATA_CENTRES * 2:
