--- a/walkcart/platform/tests/soak.py
+++ b/walkcart/platform/tests/soak.py
@@ -1,13 +1,14 @@
-"""A randomised soak of the real program on the platform's stand-ins.
+"""A randomised soak test of the real program on stand-ins of the platform.
 
-Daemons run as processes of their own, with settings files as the platform lays them.
-The soak holds the store, the leafs, the callers and loopback proxies between them; it
-stops, pauses, kills and restarts daemons by signals and troubles connections, store,
-leafs and configuration, in series that overlap. It checks what callers and leafs see.
+The daemons run as separate processes, with settings files like the platform's. The
+soak process contains the store, the leaves, the callers and loopback proxies between
+them. It stops, pauses, kills and restarts daemons by signals, and injects faults into
+connections, store, leaves and configuration, in overlapping series. It checks what
+callers and leaves see.
 
     python -m walkcart.platform.tests.soak --seed 1 --seeds 5 --minutes 0.5
 
-The machine's timing decides too, so a seed doesn't repeat a run exactly.
+The timing of the machine matters too, so a seed doesn't reproduce a run exactly.
 """
 
 from __future__ import annotations
@@ -26,33 +27,37 @@
 
 from walkcart.platform.tests.platformworld import make_route
 from walkcart.platform.tests.soakcalls import SoakCallers
-from walkcart.platform.tests.soakestate import SoakEstate
-from walkcart.platform.tests.soakteams import MOVING, TEAMS, SoakTeams
+from walkcart.platform.tests.soakenvironment import SoakEnvironment
+from walkcart.platform.tests.soakteams import SHARED_KEY, TEAMS, SoakTeams
 
-#: Daemons of a run and the data centres that they stand in, in turn.
+#: Number of daemons, and their data centres in turn.
 DAEMONS = 4
 DATA_CENTRES = ("north-a", "south-a")
-FAULT_GAP = (0.2, 1.2)
+#: Bounds of the random interval between faults, in seconds.
+FAULT_INTERVAL = (0.2, 1.2)
+#: Time between the last fault and the final checks, in seconds.
 SETTLE_SECONDS = 8.0
+#: Maximum time until all daemons are ready, in seconds.
 START_SECONDS = 20.0
+#: Maximum time for a daemon to exit after a signal, in seconds.
 STOP_SECONDS = 12.0
 
 
 class Daemons:
-    """The processes under test, by name."""
+    """The daemon processes under test."""
 
-    def __init__(self, folder: Path, estate: SoakEstate) -> None:
+    def __init__(self, folder: Path, environment: SoakEnvironment) -> None:
         self._folder = folder
-        self._estate = estate
+        self._environment = environment
         self.running: dict[str, subprocess.Popen] = {}
         self._log_starts: dict[str, int] = {}
 
     def start(self, name: str) -> None:
-        """Start a daemon; its settings lie in a file of its own."""
+        """Write the settings file of a daemon and start the daemon."""
         path = self._folder / f"{name}.toml"
-        path.write_text(self._estate.make_settings(name), encoding="utf-8")
+        path.write_text(self._environment.make_settings(name), encoding="utf-8")
         environment = {**os.environ, "WALKCART_NODE_FILE": str(path)}
-        with self._log_of(name).open("a") as log:
+        with self._find_log(name).open("a") as log:
             self._log_starts[name] = log.tell()
             self.running[name] = subprocess.Popen(
                 [sys.executable, "-m", "walkcart.daemon.platform"],
@@ -61,24 +66,24 @@
                 stderr=log,
             )
 
-    def _log_of(self, name: str) -> Path:
+    def _find_log(self, name: str) -> Path:
         return self._folder / f"{name}.log"
 
-    def took_requests(self, name: str) -> bool:
-        """Return whether the last life of a daemon got as far as taking requests."""
-        text = self._log_of(name).read_text(encoding="utf-8", errors="replace")
+    def has_begun_serving(self, name: str) -> bool:
+        """Return whether a daemon has begun to serve requests since its last start."""
+        text = self._find_log(name).read_text(encoding="utf-8", errors="replace")
         return '"event": "started"' in text[self._log_starts[name] :]
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to a daemon if it runs."""
         if name in self.running:
             self.running[name].send_signal(number)
 
     async def end(self, name: str, number: int) -> int:
-        """Send a signal and wait for the end; return the exit code."""
+        """Send a signal and wait for the exit; return the exit code."""
         process = self.running.pop(name)
         process.send_signal(number)
-        # Another series may have paused it, and can't wake it any longer.
+        # Another fault series may have paused the daemon and can no longer resume it.
         process.send_signal(signal.SIGCONT)
         try:
             return await trio.to_thread.run_sync(
@@ -87,12 +92,12 @@
         except subprocess.TimeoutExpired:
             return -signal.SIGALRM
         finally:
-            # Also when the run ends meanwhile: nothing that it started outlives it.
+            # Also when the run is cancelled: no process that it started may outlive it.
             process.kill()
             process.wait()
 
     def kill_all(self) -> None:
-        """End what this soak started."""
+        """Kill all daemons that this soak started."""
         for process in self.running.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -101,37 +106,37 @@
 
 
 class Soak:
-    """One run."""
+    """One run of the soak test."""
 
     def __init__(self, seed: int, folder: Path, nursery: trio.Nursery) -> None:
         self._random = Random(seed)
-        # Half of the seeds have teams: without them nothing may differ.
+        # Half of the seeds have teams: nothing may differ without them.
         teams = SoakTeams(self._random) if seed % 2 == 0 else None
-        self.estate = SoakEstate(nursery, self._random, teams)
-        self.daemons = Daemons(folder, self.estate)
-        self.callers = SoakCallers(self.estate, self._random)
+        self.environment = SoakEnvironment(nursery, self._random, teams)
+        self.daemons = Daemons(folder, self.environment)
+        self.callers = SoakCallers(self.environment, self._random)
         self.faults: Counter[str] = Counter()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
     async def run(self, seconds: float) -> None:
-        """Start everything, trouble it, let it settle, and check."""
+        """Start everything, inject faults for `seconds`, let it settle, and check."""
         names = [f"daemon-{number}" for number in range(DAEMONS)]
-        await self.estate.start(names, DATA_CENTRES)
+        await self.environment.start(names, DATA_CENTRES)
         for name in names:
             self.daemons.start(name)
         await self._wait_ready(names)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.callers.run)
             with trio.move_on_after(seconds):
-                async with trio.open_nursery() as troubles:
+                async with trio.open_nursery() as faults:
                     for _ in range(2):
-                        troubles.start_soon(self._bring_faults, names)
+                        faults.start_soon(self._inject_faults, names)
             self._end_faults(names)
             await trio.sleep(SETTLE_SECONDS)
             nursery.cancel_scope.cancel()
         await self._check_end(names)
-        self.broken += self.callers.broken
-        self.broken += self.estate.check_runs(self.callers.told_not_run)
+        self.violations += self.callers.violations
+        self.violations += self.environment.check_runs(self.callers.reported_not_run)
 
     async def _wait_ready(self, names: list[str]) -> None:
         with trio.move_on_after(START_SECONDS):
@@ -139,9 +144,9 @@
                 while not await self.callers.is_ready(name):
                     await trio.sleep(0.1)
 
-    async def _bring_faults(self, names: list[str]) -> None:
+    async def _inject_faults(self, names: list[str]) -> None:
         while True:
-            await trio.sleep(self._random.uniform(*FAULT_GAP))
+            await trio.sleep(self._random.uniform(*FAULT_INTERVAL))
             kind = self._random.choice(
                 (
                     *("kill", "pause", "stop", "store", "leaf", "link", "route"),
@@ -149,46 +154,48 @@
                 )
             )
             self.faults[kind] += 1
-            await self._bring_one(kind, names)
+            await self._inject_fault(kind, names)
 
-    async def _bring_one(self, kind: str, names: list[str]) -> None:
+    async def _inject_fault(self, kind: str, names: list[str]) -> None:
         name = self._random.choice(names)
-        span = self._random.uniform(0.2, 3.0)
+        duration = self._random.uniform(0.2, 3.0)
         match kind:
             case "kill" if name in self.daemons.running:
                 await self.daemons.end(name, signal.SIGKILL)
-                await trio.sleep(span / 4)
+                await trio.sleep(duration / 4)
                 self.daemons.start(name)
             case "stop" if name in self.daemons.running:
                 code = await self.daemons.end(name, signal.SIGTERM)
-                # Before it takes requests a signal may end it as it ends any process.
-                early = code == -signal.SIGTERM and not self.daemons.took_requests(name)
+                # Until a daemon serves requests, the signal may kill it as any process.
+                early = code == -signal.SIGTERM and not self.daemons.has_begun_serving(
+                    name
+                )
                 if code not in (0, -signal.SIGKILL) and not early:
-                    self.broken.append(f"{name} ended a planned stop with {code}")
+                    self.violations.append(f"{name} ended a planned stop with {code}")
                 self.daemons.start(name)
             case "pause":
                 self.daemons.signal(name, signal.SIGSTOP)
-                await trio.sleep(span)
+                await trio.sleep(duration)
                 self.daemons.signal(name, signal.SIGCONT)
             case "herd":
                 await self._kill_all(names)
-                await trio.sleep(span)
+                await trio.sleep(duration)
             case "store":
-                await self.estate.trouble_store(span)
+                await self.environment.disturb_store(duration)
             case "leaf":
-                await self.estate.trouble_leaf(span)
+                await self.environment.disturb_leaf(duration)
             case "link":
-                await self.estate.trouble_link(span)
+                await self.environment.disturb_link(duration)
             case "evacuate":
-                await self.estate.evacuate(span)
-            case "keys" if self.estate.teams is not None:
-                self.estate.teams.move_key()
-                self.estate.change_routes()
+                await self.environment.evacuate(duration)
+            case "keys" if self.environment.teams is not None:
+                self.environment.teams.reassign_key()
+                self.environment.change_routes()
             case "route":
-                self.estate.change_routes()
+                self.environment.change_routes()
 
     async def _kill_all(self, names: list[str]) -> None:
-        """Kill all that run, and start these again; another series may end some."""
+        """Kill all running daemons and restart those; other series may stop some."""
         killed = []
         for name in names:
             if name in self.daemons.running:
@@ -198,53 +205,56 @@
             self.daemons.start(name)
 
     def _end_faults(self, names: list[str]) -> None:
-        """Bring back what the end of the faults left paused, ended or troubled."""
-        self.estate.heal()
+        """Undo the faults that the end of the series left in place."""
+        self.environment.clear_faults()
         for name in names:
             if name in self.daemons.running:
                 self.daemons.signal(name, signal.SIGCONT)
                 if self.daemons.running[name].poll() is not None:
-                    self.broken.append(f"{name} ended by itself")
+                    self.violations.append(f"{name} ended by itself")
                     self.daemons.start(name)
             else:
                 self.daemons.start(name)
 
     async def _check_end(self, names: list[str]) -> None:
-        """Every daemon serves, whole, by the newest configuration."""
-        self.estate.configure(make_route("last", "/last/", backend="plain"))
+        """Check that each daemon serves requests by the newest configuration."""
+        self.environment.configure(make_route("last", "/last/", backend="plain"))
         await trio.sleep(3)
         for name in names:
             status = await self.callers.ask_status(name, "/last/x")
             if status != 200:
-                self.broken.append(f"after the end {name} answered {status}")
+                self.violations.append(f"after the end {name} answered {status}")
         await self._check_keys(names)
         await self._check_evacuation(names)
 
     async def _check_keys(self, names: list[str]) -> None:
-        """A key that was taken away opens nothing, and opens all once it is back."""
-        teams = self.estate.teams
+        """Check that a removed key is refused, and that it works once it is back."""
+        teams = self.environment.teams
         if teams is None:
             return
         for holder, expected in ((None, 401), (TEAMS[1], 200)):
             teams.holder = holder
-            self.estate.configure(make_route("last", "/last/", backend="plain"))
+            self.environment.configure(make_route("last", "/last/", backend="plain"))
             await trio.sleep(3)
             for name in names:
-                status = await self.callers.ask_status(name, "/last/x", MOVING)
+                status = await self.callers.ask_status(name, "/last/x", SHARED_KEY)
                 if status != expected:
-                    self.broken.append(f"key of {holder} at {name}: {status}")
+                    self.violations.append(f"key of {holder} at {name}: {status}")
 
     async def _check_evacuation(self, names: list[str]) -> None:
-        """Nothing goes to an evacuated data centre, now that all are in touch."""
+        """Check that no request goes to an evacuated data centre.
+
+        All daemons are connected by now, so all know of the evacuation.
+        """
         place = DATA_CENTRES[0]
-        self.estate.store.put(f"op/evacuate/{place}", {})
+        self.environment.store.put(f"op/evacuate/{place}", {})
         await trio.sleep(3)
-        before = self.estate.count_arrived(place)
+        before = self.environment.count_arrivals(place)
         for name in names * 3:
             await self.callers.ask_status(name, "/last/x")
-        arrived = self.estate.count_arrived(place) - before
+        arrived = self.environment.count_arrivals(place) - before
         if arrived:
-            self.broken.append(f"{arrived} requests went to evacuated {place}")
+            self.violations.append(f"{arrived} requests went to evacuated {place}")
 
 
 def run_seed(seed: int, minutes: float) -> bool:
@@ -263,22 +273,22 @@
             return soak
 
         soak = trio.run(run)
-        told = "BROKEN" if soak.broken else "held"
-        print(f"seed {seed}: {told}; {minutes:g} minutes; {dict(soak.faults)}")
-        print(f"  answers: {dict(sorted(soak.callers.seen.items()))}")
-        for line in soak.broken[:10]:
+        outcome = "BROKEN" if soak.violations else "held"
+        print(f"seed {seed}: {outcome}; {minutes:g} minutes; {dict(soak.faults)}")
+        print(f"  answers: {dict(sorted(soak.callers.outcomes.items()))}")
+        for line in soak.violations[:10]:
             print(f"  {line}")
-        if soak.broken:
-            keep = Path("out") / f"soak-{seed}"
-            keep.mkdir(parents=True, exist_ok=True)
+        if soak.violations:
+            log_folder = Path("out") / f"soak-{seed}"
+            log_folder.mkdir(parents=True, exist_ok=True)
             for path in folder.glob("*.log"):
-                (keep / path.name).write_bytes(path.read_bytes())
-            print(f"  logs: {keep}")
-        return not soak.broken
+                (log_folder / path.name).write_bytes(path.read_bytes())
+            print(f"  logs: {log_folder}")
+        return not soak.violations
 
 
 def main() -> None:
-    """Run the seeds that the arguments name."""
+    """Run the seeds given by the arguments."""
     parser = argparse.ArgumentParser(description="soak the daemon on stand-ins")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1)
--- a/walkcart/platform/tests/soakcalls.py
+++ b/walkcart/platform/tests/soakcalls.py
@@ -1,4 +1,4 @@
-"""The callers of a soak, and what they check of each answer."""
+"""The callers of a soak test and their checks of each reply."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from walkcart.kernel.settings import HostPort
 from walkcart.platform.records import merge_records
 from walkcart.platform.tests.platformworld import HOST
-from walkcart.platform.tests.soakestate import (
-    LEAST_COVERAGE,
+from walkcart.platform.tests.soakenvironment import (
+    MIN_COVERAGE,
     SHARDS,
     TOP,
-    SoakEstate,
+    SoakEnvironment,
 )
 from walkcart.platform.tests.soakteams import TEAMS, key_of
 from walkcart.wire.http import (
@@ -26,53 +26,57 @@
 )
 from walkcart.wire.network import TcpNetwork
 
+#: Number of callers.
 CALLERS = 6
-GAP = 0.03
+#: Time between two requests of a caller, in seconds.
+INTERVAL = 0.03
 BODY_LIMIT = 1 << 20
-PATIENCE_MS = 2000
-#: Seconds past its patience after which a caller gives up: a paused daemon.
-GIVE_UP = 6.0
-#: Statuses that promise that the request did not run.
-PROMISES = frozenset({408, 421, 429, 503})
+#: Deadline of each request, in milliseconds.
+DEADLINE_MS = 2000
+#: Time after which a caller gives up, in seconds. It is longer than the deadline, as a
+#: daemon may be paused.
+CALL_TIMEOUT = 6.0
+#: Statuses that promise that the request has not run.
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class SoakCallers:
-    """Ask the daemons all the time, over connections that they keep.
+    """Callers that send requests to the daemons all the time, over open connections.
 
     Args:
-        estate: knows daemons and leafs.
-        random: chooses what is asked of whom.
+        environment: knows the daemons and leaves.
+        random: chooses requests and daemons.
     """
 
-    def __init__(self, estate: SoakEstate, random: Random) -> None:
-        self._estate = estate
+    def __init__(self, environment: SoakEnvironment, random: Random) -> None:
+        self._environment = environment
         self._random = random
         self._number = 0
-        self.seen: Counter[str] = Counter()
-        self.broken: list[str] = []
-        self.told_not_run: set[str] = set()
+        self.outcomes: Counter[str] = Counter()
+        self.violations: list[str] = []
+        self.reported_not_run: set[str] = set()
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send requests until cancelled."""
         async with trio.open_nursery() as nursery:
             for _ in range(CALLERS):
-                nursery.start_soon(self._call)
+                nursery.start_soon(self._run_caller)
 
     async def is_ready(self, name: str) -> bool:
-        """Return whether a daemon wants connections."""
-        address = HostPort("127.0.0.1", self._estate.ports_of(name) + 1)
+        """Return whether a daemon reports that it is ready."""
+        address = HostPort("127.0.0.1", self._environment.first_port_of(name) + 1)
         reply = await self._exchange_once(address, HttpRequest("GET", "/api/ready"))
         return reply is not None and reply.status == 200
 
     async def ask_status(self, name: str, path: str, key: str = "") -> int:
-        """Return the status of one request; 0 without an answer.
+        """Return the status of the reply to one request, or 0 without a reply.
 
         Args:
-            name: of the daemon.
-            path: to ask for.
-            key: to show where there are teams; by default one that stays.
+            name: name of the daemon.
+            path: path of the request.
+            key: key to send if there are teams; by default one that is always valid.
         """
-        address = HostPort("127.0.0.1", self._estate.ports_of(name))
+        address = HostPort("127.0.0.1", self._environment.first_port_of(name))
         request = self._make_request("one", path, key or key_of(TEAMS[0]))
         reply = await self._exchange_once(address, request)
         return reply.status if reply else 0
@@ -80,7 +84,7 @@
     async def _exchange_once(
         self, address: HostPort, request: HttpRequest
     ) -> HttpReply | None:
-        with trio.move_on_after(GIVE_UP):
+        with trio.move_on_after(CALL_TIMEOUT):
             try:
                 stream = await TcpNetwork().connect(address)
                 connection = HttpConnection(stream, HOST, BODY_LIMIT)
@@ -99,82 +103,87 @@
         headers: Headers = (
             (b"host", HOST.encode()),
             (b"x-request-id", id.encode()),
-            (b"x-deadline-ms", b"%d" % PATIENCE_MS),
+            (b"x-deadline-ms", b"%d" % DEADLINE_MS),
         )
-        teams = self._estate.teams
+        teams = self._environment.teams
         if teams is not None:
-            headers += teams.show(id, key) if key else teams.choose_key(id)
+            headers += teams.make_headers(id, key) if key else teams.choose_headers(id)
         method = "POST" if kind == "once" else "GET"
         return HttpRequest(method, path, headers)
 
-    async def _call(self) -> None:
-        """Ask one daemon over one connection until it ends, then another."""
+    async def _run_caller(self) -> None:
+        """Send requests to one daemon until the connection ends, then to another."""
         while True:
-            name = self._random.choice(sorted(self._estate.store_proxies))
-            address = HostPort("127.0.0.1", self._estate.ports_of(name))
+            name = self._random.choice(sorted(self._environment.store_proxies))
+            address = HostPort("127.0.0.1", self._environment.first_port_of(name))
             try:
                 stream = await TcpNetwork().connect(address)
             except OSError:
-                self.seen["no connection"] += 1
-                await trio.sleep(GAP * 5)
+                self.outcomes["no connection"] += 1
+                await trio.sleep(INTERVAL * 5)
                 continue
             connection = HttpConnection(stream, HOST, BODY_LIMIT)
             try:
-                while await self._ask(connection) and connection.prepare_next():
-                    await trio.sleep(GAP)
+                while await self._send_one(connection) and connection.prepare_next():
+                    await trio.sleep(INTERVAL)
             finally:
                 with trio.CancelScope(shield=True):
                     await connection.close()
 
-    async def _ask(self, connection: HttpConnection) -> bool:
-        """Ask once; return whether an answer came."""
+    async def _send_one(self, connection: HttpConnection) -> bool:
+        """Send one request; return whether a reply arrived."""
         kind = self._random.choice(["all", "all", "one", "once", "home"])
         request = self._make_request(kind, f"/{kind}/x")
-        with trio.move_on_after(GIVE_UP):
+        with trio.move_on_after(CALL_TIMEOUT):
             try:
                 reply = await connection.exchange(request)
             except ExchangeFailed:
-                self.seen[f"{kind} cut"] += 1
+                self.outcomes[f"{kind} cut"] += 1
                 return False
-            self.seen[f"{kind} {reply.status}"] += 1
-            self._check(kind, request.header(b"x-request-id") or "", reply)
+            self.outcomes[f"{kind} {reply.status}"] += 1
+            self._check_reply(kind, request.header(b"x-request-id") or "", reply)
             return True
-        self.seen[f"{kind} given up"] += 1
+        self.outcomes[f"{kind} given up"] += 1
         return False
 
-    def _check(self, kind: str, id: str, reply: HttpReply) -> None:
-        if kind == "once" and reply.status in PROMISES:
-            self.told_not_run.add(id)
+    def _check_reply(self, kind: str, id: str, reply: HttpReply) -> None:
+        if kind == "once" and reply.status in NOT_RUN_STATUSES:
+            self.reported_not_run.add(id)
         if reply.status != 200:
             return
-        if self._estate.teams is not None and self._estate.teams.is_stranger(id):
-            self.broken.append(f"{id}: answered without a key that anybody has")
+        if (
+            self._environment.teams is not None
+            and self._environment.teams.has_unknown_key(id)
+        ):
+            self.violations.append(f"{id}: answered without a key that anybody has")
         if kind == "all":
-            self._check_merged(id, reply)
+            self._check_merged_reply(id, reply)
             return
         stamp = reply.header(b"x-response-stamp") or ""
         leaf = self._find_leaf(stamp, id)
-        if leaf is None or reply.body != self._estate.leafs[leaf].records:
-            self.broken.append(f"{id}: not the answer of a leaf: {stamp}")
+        if leaf is None or reply.body != self._environment.leafs[leaf].records:
+            self.violations.append(f"{id}: not the answer of a leaf: {stamp}")
 
-    def _check_merged(self, id: str, reply: HttpReply) -> None:
+    def _check_merged_reply(self, id: str, reply: HttpReply) -> None:
         stamps = (reply.header(b"x-part-stamps") or "").split(", ")
         missing = int(reply.header(b"x-missing-parts") or 0)
         found = [self._find_leaf(stamp, id) for stamp in stamps]
         leaves = [leaf for leaf in found if leaf is not None]
         shards = {leaf.split("-")[0] for leaf in leaves}
         if len(leaves) != len(stamps) or len(shards) != len(stamps):
-            self.broken.append(f"{id}: stamps of others, or two of one shard: {stamps}")
-        elif len(shards) + missing != SHARDS or len(shards) < LEAST_COVERAGE * SHARDS:
-            self.broken.append(f"{id}: {len(shards)} parts and {missing} missing")
+            self.violations.append(
+                f"{id}: stamps of others, or two of one shard: {stamps}"
+            )
+        elif len(shards) + missing != SHARDS or len(shards) < MIN_COVERAGE * SHARDS:
+            self.violations.append(f"{id}: {len(shards)} parts and {missing} missing")
         else:
-            bodies = [self._estate.leafs[leaf].records for leaf in leaves]
+            bodies = [self._environment.leafs[leaf].records for leaf in leaves]
             if reply.body != merge_records(bodies, TOP):
-                self.broken.append(f"{id}: not the greatest records of its parts")
+                self.violations.append(f"{id}: not the greatest records of its parts")
 
     def _find_leaf(self, stamp: str, id: str) -> str | None:
-        """Return the leaf that gave this stamp to this request, or None."""
-        for name in self._estate.leafs:
+        """Return the id of the leaf that stamped the reply to this request, or None."""
+        for name in self._environment.leafs:
             if stamp == f"stamp-{name}-{id}":
                 return name
         return None
--- a/walkcart/platform/tests/soakestate.py
+++ b/walkcart/platform/tests/soakenvironment.py
@@ -1,4 +1,4 @@
-"""What surrounds the daemons of a soak: store, leafs, proxies, their troubles."""
+"""The environment of a soak test's daemons: store, leaves and proxies, with faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     make_configuration,
     make_route,
 )
-from walkcart.platform.tests.soakproxy import Proxy, Trouble
+from walkcart.platform.tests.soakproxy import Proxy, ProxyFault
 from walkcart.platform.tests.soakteams import SoakTeams
 from walkcart.platform.tests.storestandin import (
     PlatformStoreFaults,
@@ -27,27 +27,34 @@
 )
 from walkcart.wire.network import TcpNetwork
 
+#: Number of shards.
 SHARDS = 5
+#: Records of a merged answer, and the minimum fraction of shards that it contains.
 TOP = 4
-LEAST_COVERAGE = 0.6
+MIN_COVERAGE = 0.6
 LOOPBACK = HostPort("127.0.0.1", 0)
-#: The one region that requests of the route "home" may be served in.
+#: The only region in which requests of the route "home" may be served.
 HOME_REGION = "south"
-#: Requests a second that a cold leaf bears; callers ask each for some 40.
+#: Requests per second that a cold leaf can serve; callers send each leaf some 40.
 COLD_RATE = 5
-#: First port for the daemons' own addresses, of which each takes four, and the runs
-#: that find room below the ports that the machine gives out by itself.
+#: The daemons' listening ports are a block of consecutive ports, four for each daemon.
+#: These are the first port, the number of blocks that fit below the ephemeral ports of
+#: the machine, and the number of ports in a block.
 FIRST_PORT = 23000
-PORT_RUNS = 120
-PORTS = 64
+PORT_BLOCKS = 120
+BLOCK_PORTS = 64
 
 
-def find_port_run(random: Random) -> int:
-    """Return the first of some ports that are all free now."""
-    starts = [FIRST_PORT + PORTS * number for number in range(PORT_RUNS)]
+def find_port_block(random: Random) -> int:
+    """Return the first port of a block of ports that are all free now.
+
+    Raises:
+        OSError: no block is free.
+    """
+    starts = [FIRST_PORT + BLOCK_PORTS * number for number in range(PORT_BLOCKS)]
     random.shuffle(starts)
     for start in starts:
-        if all(_is_free(port) for port in range(start, start + PORTS)):
+        if all(_is_free(port) for port in range(start, start + BLOCK_PORTS)):
             return start
     raise OSError("no run of free ports")
 
@@ -61,13 +68,13 @@
         return True
 
 
-class SoakEstate:
-    """Store, leafs and proxies in this process.
+class SoakEnvironment:
+    """Store, leaves and proxies in this process.
 
     Args:
-        nursery: where they run.
-        random: chooses troubles.
-        teams: whose keys requests need; None where they need none.
+        nursery: runs all of them.
+        random: chooses faults.
+        teams: teams whose keys requests need; None if they need no key.
     """
 
     def __init__(
@@ -77,17 +84,17 @@
         self._nursery = nursery
         self._random = random
         self._version = 0
-        self._index = 0
+        self._changes = 0
         self.store = PlatformStoreStandin()
         self.leafs: dict[str, PlatformLeafStandin] = {}
         self.leaf_places: dict[str, str] = {}
         self.leaf_proxies: dict[str, Proxy] = {}
         self.store_proxies: dict[str, Proxy] = {}
         self.places: dict[str, str] = {}
-        self.first_port = find_port_run(random)
+        self.first_port = find_port_block(random)
 
     async def start(self, names: list[str], data_centres: tuple[str, ...]) -> None:
-        """Start everything for daemons of these names."""
+        """Start store, leaves and proxies for daemons of these names."""
         address = await self._nursery.start(
             self.store.make_server().run, TcpNetwork(), LOOPBACK
         )
@@ -129,13 +136,13 @@
             },
         )
 
-    def ports_of(self, name: str) -> int:
+    def first_port_of(self, name: str) -> int:
         """Return the first port of a daemon."""
         return self.first_port + 4 * sorted(self.store_proxies).index(name)
 
     def make_settings(self, name: str) -> str:
-        """Return a daemon's settings file."""
-        port = self.ports_of(name)
+        """Return the text of a daemon's settings file."""
+        port = self.first_port_of(name)
         place = self.places[name]
         zones = "\n".join(f'{zone} = "{region}"' for zone, region in REGIONS.items())
         return (
@@ -150,41 +157,41 @@
         )
 
     def change_routes(self) -> None:
-        """Store a new version; the routes of the callers stay."""
+        """Store a new version of the configuration that keeps the callers' routes."""
         shards = [f"shard-{number}" for number in range(SHARDS)]
-        self._index += 1
+        self._changes += 1
         self.configure(
             make_route(
                 "all",
                 "/all/",
                 fanoutServices=shards,
                 topK=TOP,
-                minCoverage=LEAST_COVERAGE,
-                timeoutMs=1500 + self._index,
+                minCoverage=MIN_COVERAGE,
+                timeoutMs=1500 + self._changes,
             )
         )
 
-    async def evacuate(self, span: float) -> None:
-        """Evacuate a data centre for a while; its leafs are cold afterwards."""
+    async def evacuate(self, duration: float) -> None:
+        """Evacuate a data centre for a while; its leaves are cold afterwards."""
         place = self._random.choice(sorted(set(self.places.values())))
         self.store.put(f"op/evacuate/{place}", {})
-        await trio.sleep(span)
-        self.take_back(place)
+        await trio.sleep(duration)
+        self.end_evacuation(place)
 
-    def take_back(self, place: str) -> None:
-        """End the evacuation of a data centre, if it stands."""
+    def end_evacuation(self, place: str) -> None:
+        """End the evacuation of a data centre if there is one."""
         if f"op/evacuate/{place}" in self.store.rows:
             self.store.remove(f"op/evacuate/{place}")
 
-    def count_arrived(self, place: str) -> int:
-        """Return the requests that the leafs of a data centre have had."""
+    def count_arrivals(self, place: str) -> int:
+        """Return the number of requests that reached the leaves of a data centre."""
         return sum(len(self.leafs[id].arrived) for id in self._find_leafs(place))
 
     def _find_leafs(self, place: str) -> list[str]:
         return [id for id, where in self.leaf_places.items() if where == place]
 
     def configure(self, *routes: dict[str, Any]) -> None:
-        """Store a new version with these routes and those to single leafs."""
+        """Store a new version with these routes and those to single leaves."""
         self._version += 1
         single = (
             make_route("one", "/one/", backend="plain"),
@@ -198,8 +205,8 @@
             content["tenants"] = self.teams.describe()
         self.store.put("op/config", content)
 
-    async def trouble_store(self, span: float) -> None:
-        """Have the store fail for a while, for all or for one daemon."""
+    async def disturb_store(self, duration: float) -> None:
+        """Make the store fail for a while, for all daemons or for one."""
         match self._random.randrange(4):
             case 0:
                 self.store.faults.refusal = self._random.choice([429, 503])
@@ -209,14 +216,14 @@
                 self.store.compact()
             case _:
                 proxy = self._random.choice(list(self.store_proxies.values()))
-                proxy.set_trouble(self._random.choice(list(Trouble)[1:]))
-        await trio.sleep(span)
+                proxy.set_fault(self._random.choice(list(ProxyFault)[1:]))
+        await trio.sleep(duration)
         self.store.faults = PlatformStoreFaults()
         for proxy in self.store_proxies.values():
-            proxy.set_trouble(Trouble.NONE)
+            proxy.set_fault(ProxyFault.NONE)
 
-    async def trouble_leaf(self, span: float) -> None:
-        """Have one leaf misbehave for a while."""
+    async def disturb_leaf(self, duration: float) -> None:
+        """Make one leaf misbehave for a while."""
         leaf = self._random.choice(list(self.leafs.values()))
         match self._random.randrange(5):
             case 0:
@@ -229,43 +236,49 @@
                 leaf.faults.drop = True
             case _:
                 leaf.faults.other_id = True
-        await trio.sleep(span)
+        await trio.sleep(duration)
         leaf.faults = PlatformLeafFaults()
 
-    async def trouble_link(self, span: float) -> None:
-        """Have the way to one leaf misbehave for a while."""
+    async def disturb_link(self, duration: float) -> None:
+        """Make the connections to one leaf misbehave for a while."""
         proxy = self._random.choice(list(self.leaf_proxies.values()))
-        proxy.set_trouble(self._random.choice(list(Trouble)[1:]))
-        await trio.sleep(span)
-        proxy.set_trouble(Trouble.NONE)
+        proxy.set_fault(self._random.choice(list(ProxyFault)[1:]))
+        await trio.sleep(duration)
+        proxy.set_fault(ProxyFault.NONE)
 
-    def heal(self) -> None:
-        """End all troubles."""
+    def clear_faults(self) -> None:
+        """End all faults and evacuations."""
         self.store.faults = PlatformStoreFaults()
         for place in set(self.places.values()):
-            self.take_back(place)
+            self.end_evacuation(place)
         for leaf in self.leafs.values():
             leaf.faults = PlatformLeafFaults()
         for proxy in (*self.store_proxies.values(), *self.leaf_proxies.values()):
-            proxy.set_trouble(Trouble.NONE)
+            proxy.set_fault(ProxyFault.NONE)
 
-    def check_runs(self, told_not_run: set[str]) -> list[str]:
-        """Return what the leafs' records say against the promises."""
+    def check_runs(self, reported_not_run: set[str]) -> list[str]:
+        """Return the violations that the leaves' records show.
+
+        Args:
+            reported_not_run: ids of the requests that were reported as not run.
+        """
         ran: Counter[str] = Counter()
         for leaf in self.leafs.values():
             ran.update(leaf.ran)
-        broken = [
+        violations = [
             f"{id} ran {count} times"
             for id, count in ran.items()
             if id.startswith("once-") and count > 1
         ]
-        broken += [f"{id} was told not run, and ran" for id in told_not_run & set(ran)]
-        broken += [
+        violations += [
+            f"{id} was told not run, and ran" for id in reported_not_run & set(ran)
+        ]
+        violations += [
             f"{id} had a request of another region"
             for id, place in self.leaf_places.items()
             if REGIONS[place] != HOME_REGION
             and any(item.target == "/home/x" for item in self.leafs[id].arrived)
         ]
         for leaf in self.leafs.values() if self.teams else ():
-            broken += self.teams.check_arrived(leaf.arrived)
-        return broken
+            violations += self.teams.check_arrived(leaf.arrived)
+        return violations
--- a/walkcart/platform/tests/soakproxy.py
+++ b/walkcart/platform/tests/soakproxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, silences or refuses what it carries."""
+"""A loopback proxy that delays, silences, resets or refuses connections."""
 
 from __future__ import annotations
 
@@ -10,11 +10,16 @@
 from walkcart.kernel.settings import HostPort
 from walkcart.wire.network import TcpNetwork
 
+#: Maximum number of bytes copied at once.
 CHUNK = 65536
 
 
-class Trouble(Enum):
-    """What a proxy does to its connections."""
+class ProxyFault(Enum):
+    """What a proxy does to its connections.
+
+    `SILENCE` holds back the data of both directions, `SILENCE_BACK` only that from the
+    target.
+    """
 
     NONE = "none"
     DELAY = "delay"
@@ -26,70 +31,78 @@
 
 @dataclass(slots=True, eq=False)
 class Proxy:
-    """Carries connections to one address.
+    """Forwards connections to one address.
 
     Args:
-        target: where they go.
-        delay: seconds that `Trouble.DELAY` adds to each piece.
+        target: address to forward to.
+        delay: seconds by which `ProxyFault.DELAY` delays each chunk.
+        address: address to listen on; the actual one once the proxy runs.
+        fault: current fault.
     """
 
     target: HostPort
     delay: float = 0.05
     address: HostPort = HostPort("127.0.0.1", 0)
-    trouble: Trouble = Trouble.NONE
+    fault: ProxyFault = ProxyFault.NONE
     _scopes: set[trio.CancelScope] = field(default_factory=set)
-    _quiet: trio.Event = field(default_factory=trio.Event)
+    _fault_changed: trio.Event = field(default_factory=trio.Event)
 
     async def run(self, *, task_status: trio.TaskStatus[HostPort]) -> None:
-        """Carry until cancelled."""
+        """Forward connections until cancelled."""
         network = TcpNetwork()
         listener = await network.listen(self.address)
         self.address = HostPort("127.0.0.1", network.port_of(listener))
         async with trio.open_nursery() as nursery:
             task_status.started(self.address)
-            await trio.serve_listeners(self._carry, [listener], handler_nursery=nursery)
-
-    def set_trouble(self, trouble: Trouble) -> None:
-        """Change what is done; a reset also ends what is open."""
-        self.trouble = trouble
-        if trouble in (Trouble.RESET, Trouble.REFUSE):
+            await trio.serve_listeners(
+                self._forward, [listener], handler_nursery=nursery
+            )
+
+    def set_fault(self, fault: ProxyFault) -> None:
+        """Change the fault; `RESET` and `REFUSE` also end the open connections."""
+        self.fault = fault
+        if fault in (ProxyFault.RESET, ProxyFault.REFUSE):
             for scope in tuple(self._scopes):
                 scope.cancel()
-        self._quiet.set()
-        self._quiet = trio.Event()
+        self._fault_changed.set()
+        self._fault_changed = trio.Event()
 
-    async def _carry(self, near: trio.SocketStream) -> None:
-        if self.trouble is Trouble.REFUSE:
-            await trio.aclose_forcefully(near)
+    async def _forward(self, client: trio.SocketStream) -> None:
+        if self.fault is ProxyFault.REFUSE:
+            await trio.aclose_forcefully(client)
             return
         try:
-            far = await TcpNetwork().connect(self.target)
+            server = await TcpNetwork().connect(self.target)
         except OSError:
-            await trio.aclose_forcefully(near)
+            await trio.aclose_forcefully(client)
             return
         with trio.CancelScope() as scope:
             self._scopes.add(scope)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._copy, near, far, scope, Trouble.SILENCE)
-                nursery.start_soon(self._copy, far, near, scope, Trouble.SILENCE_BACK)
+                nursery.start_soon(
+                    self._copy, client, server, scope, ProxyFault.SILENCE
+                )
+                nursery.start_soon(
+                    self._copy, server, client, scope, ProxyFault.SILENCE_BACK
+                )
         self._scopes.discard(scope)
-        await trio.aclose_forcefully(near)
-        await trio.aclose_forcefully(far)
+        await trio.aclose_forcefully(client)
+        await trio.aclose_forcefully(server)
 
     async def _copy(
         self,
         source: trio.SocketStream,
         sink: trio.SocketStream,
         scope: trio.CancelScope,
-        silence: Trouble,
+        silence: ProxyFault,
     ) -> None:
-        """Copy one direction until it ends; then end both."""
+        """Copy one direction until it ends, then end both directions."""
         try:
             while data := await source.receive_some(CHUNK):
-                while self.trouble in (Trouble.SILENCE, silence):
-                    quiet = self._quiet
-                    await quiet.wait()
-                if self.trouble is Trouble.DELAY:
+                while self.fault in (ProxyFault.SILENCE, silence):
+                    fault_changed = self._fault_changed
+                    await fault_changed.wait()
+                if self.fault is ProxyFault.DELAY:
                     await trio.sleep(self.delay)
                 await sink.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
--- a/walkcart/platform/tests/soakteams.py
+++ b/walkcart/platform/tests/soakteams.py
@@ -1,4 +1,4 @@
-"""Teams in a soak: which keys callers show, and what leafs may be told."""
+"""Teams in a soak test: the keys that callers send and what leaves may receive."""
 
 from __future__ import annotations
 
@@ -10,70 +10,75 @@
 from walkcart.wire.http import Headers, HttpRequest
 
 TEAMS = ("riders", "fitters")
-#: One key of each team stays; another goes from team to team, or to none.
-MOVING = "moving-soak-key"
-#: No configuration ever holds it.
-STRANGER = "stranger-soak-key"
-#: Of the callers' requests, one in so many shows that key.
-STRANGERS = 20
+#: A key that is moved between the teams, or belongs to none. Each team also has a key
+#: of its own that stays.
+SHARED_KEY = "moving-soak-key"
+#: A key that no configuration contains.
+UNKNOWN_KEY = "stranger-soak-key"
+#: One in so many of the callers' requests is sent with the unknown key.
+UNKNOWN_KEY_INTERVAL = 20
 
 
 def key_of(team: str) -> str:
-    """Return the key that a team keeps."""
+    """Return the key that a team always has."""
     return f"{team}-soak-key"
 
 
 class SoakTeams:
-    """The keys of a soak, and who showed which.
+    """The teams of a soak test, and the key that each request was sent with.
 
     Args:
-        random: chooses keys and moves.
+        random: chooses keys and the team that gets the shared key.
     """
 
     def __init__(self, random: Random) -> None:
         self._random = random
-        self._shown: dict[str, str] = {}
+        self._key_by_request: dict[str, str] = {}
         self.holder: str | None = TEAMS[0]
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return the teams as operators store them."""
+        """Return the teams in the form in which operators store them."""
         return [
-            make_team(team, key_of(team), *((MOVING,) if team == self.holder else ()))
+            make_team(
+                team, key_of(team), *((SHARED_KEY,) if team == self.holder else ())
+            )
             for team in TEAMS
         ]
 
-    def move_key(self) -> None:
-        """Give the moving key to another team, or to none."""
+    def reassign_key(self) -> None:
+        """Give the shared key to a random team, or to none."""
         self.holder = self._random.choice((*TEAMS, None))
 
-    def choose_key(self, id: str) -> Headers:
-        """Return the headers that show some key with a request."""
-        key = self._random.choice((*map(key_of, TEAMS), MOVING))
-        if self._random.randrange(STRANGERS) == 0:
-            key = STRANGER
-        return self.show(id, key)
+    def choose_headers(self, id: str) -> Headers:
+        """Return headers with a random key for a request."""
+        key = self._random.choice((*map(key_of, TEAMS), SHARED_KEY))
+        if self._random.randrange(UNKNOWN_KEY_INTERVAL) == 0:
+            key = UNKNOWN_KEY
+        return self.make_headers(id, key)
 
-    def show(self, id: str, key: str) -> Headers:
-        """Return the headers that show a key with a request."""
-        self._shown[id] = key
+    def make_headers(self, id: str, key: str) -> Headers:
+        """Return headers with a key for a request, and record the key."""
+        self._key_by_request[id] = key
         return ((b"x-tenant", b"anybody"), *show_key(key))
 
-    def is_stranger(self, id: str) -> bool:
-        """Return whether a request showed the key that nobody has."""
-        return self._shown.get(id) == STRANGER
+    def has_unknown_key(self, id: str) -> bool:
+        """Return whether a request was sent with the unknown key."""
+        return self._key_by_request.get(id) == UNKNOWN_KEY
 
     def check_arrived(self, requests: Iterable[HttpRequest]) -> list[str]:
-        """Return what leafs got that they may not get."""
-        broken = []
+        """Return the violations among the requests that a leaf received."""
+        violations = []
         for request in requests:
             id = request.header(b"x-request-id") or ""
-            told = [value for name, value in request.headers if name == b"x-tenant"]
+            team_headers = [
+                value for name, value in request.headers if name == b"x-tenant"
+            ]
             if request.header(b"authorization") is not None:
-                broken.append(f"{id} came to a leaf with its key")
-            if told not in self._find_allowed(self._shown.get(id, "")):
-                broken.append(f"{id} came to a leaf as of {told}")
-        return broken
+                violations.append(f"{id} came to a leaf with its key")
+            if team_headers not in self._find_allowed(self._key_by_request.get(id, "")):
+                violations.append(f"{id} came to a leaf as of {team_headers}")
+        return violations
 
     def _find_allowed(self, key: str) -> list[list[bytes]]:
-        """Return what a leaf may be told of the team of a key."""
-        return [[team.encode()] for team in TEAMS if key in (key_of(team), MOVING)]
+        """Return the team headers that a leaf may receive for a key."""
+        return [[team.encode()] for team in TEAMS if key in (key_of(team), SHARED_KEY)]
