--- a/walkcart/platform/tests/soak.py
+++ b/walkcart/platform/tests/soak.py
@@ -116,7 +116,7 @@
         self.daemons = Daemons(folder, self.environment)
         self.callers = SoakCallers(self.environment, self._random)
         self.faults: Counter[str] = Counter()
-        self.violations: list[str] = []
+        self.broken: list[str] = []
 
     async def run(self, seconds: float) -> None:
         """Start everything, inject faults for `seconds`, let it settle, and check."""
@@ -135,8 +135,8 @@
             await trio.sleep(SETTLE_SECONDS)
             nursery.cancel_scope.cancel()
         await self._check_end(names)
-        self.violations += self.callers.violations
-        self.violations += self.environment.check_runs(self.callers.reported_not_run)
+        self.broken += self.callers.broken
+        self.broken += self.environment.check_runs(self.callers.reported_not_run)
 
     async def _wait_ready(self, names: list[str]) -> None:
         with trio.move_on_after(START_SECONDS):
@@ -171,7 +171,7 @@
                     name
                 )
                 if code not in (0, -signal.SIGKILL) and not early:
-                    self.violations.append(f"{name} ended a planned stop with {code}")
+                    self.broken.append(f"{name} ended a planned stop with {code}")
                 self.daemons.start(name)
             case "pause":
                 self.daemons.signal(name, signal.SIGSTOP)
@@ -211,7 +211,7 @@
             if name in self.daemons.running:
                 self.daemons.signal(name, signal.SIGCONT)
                 if self.daemons.running[name].poll() is not None:
-                    self.violations.append(f"{name} ended by itself")
+                    self.broken.append(f"{name} ended by itself")
                     self.daemons.start(name)
             else:
                 self.daemons.start(name)
@@ -223,7 +223,7 @@
         for name in names:
             status = await self.callers.ask_status(name, "/last/x")
             if status != 200:
-                self.violations.append(f"after the end {name} answered {status}")
+                self.broken.append(f"after the end {name} answered {status}")
         await self._check_keys(names)
         await self._check_evacuation(names)
 
@@ -239,7 +239,7 @@
             for name in names:
                 status = await self.callers.ask_status(name, "/last/x", SHARED_KEY)
                 if status != expected:
-                    self.violations.append(f"key of {holder} at {name}: {status}")
+                    self.broken.append(f"key of {holder} at {name}: {status}")
 
     async def _check_evacuation(self, names: list[str]) -> None:
         """Check that no request goes to an evacuated data centre.
@@ -254,7 +254,7 @@
             await self.callers.ask_status(name, "/last/x")
         arrived = self.environment.count_arrivals(place) - before
         if arrived:
-            self.violations.append(f"{arrived} requests went to evacuated {place}")
+            self.broken.append(f"{arrived} requests went to evacuated {place}")
 
 
 def run_seed(seed: int, minutes: float) -> bool:
@@ -273,18 +273,18 @@
             return soak
 
         soak = trio.run(run)
-        outcome = "BROKEN" if soak.violations else "held"
+        told = "BROKEN" if soak.broken else "held"
         print(f"seed {seed}: {outcome}; {minutes:g} minutes; {dict(soak.faults)}")
         print(f"  answers: {dict(sorted(soak.callers.outcomes.items()))}")
-        for line in soak.violations[:10]:
+        for line in soak.broken[:10]:
             print(f"  {line}")
-        if soak.violations:
+        if soak.broken:
             log_folder = Path("out") / f"soak-{seed}"
             log_folder.mkdir(parents=True, exist_ok=True)
             for path in folder.glob("*.log"):
                 (log_folder / path.name).write_bytes(path.read_bytes())
             print(f"  logs: {log_folder}")
-        return not soak.violations
+        return not soak.broken
 
 
 def main() -> None:
--- a/walkcart/platform/tests/soakcalls.py
+++ b/walkcart/platform/tests/soakcalls.py
@@ -52,8 +52,8 @@
         self._environment = environment
         self._random = random
         self._number = 0
-        self.outcomes: Counter[str] = Counter()
-        self.violations: list[str] = []
+        self.seen: Counter[str] = Counter()
+        self.broken: list[str] = []
         self.reported_not_run: set[str] = set()
 
     async def run(self) -> None:
@@ -119,7 +119,7 @@
             try:
                 stream = await TcpNetwork().connect(address)
             except OSError:
-                self.outcomes["no connection"] += 1
+                self.seen["no connection"] += 1
                 await trio.sleep(INTERVAL * 5)
                 continue
             connection = HttpConnection(stream, HOST, BODY_LIMIT)
@@ -138,12 +138,12 @@
             try:
                 reply = await connection.exchange(request)
             except ExchangeFailed:
-                self.outcomes[f"{kind} cut"] += 1
+                self.seen[f"{kind} cut"] += 1
                 return False
-            self.outcomes[f"{kind} {reply.status}"] += 1
+            self.seen[f"{kind} {reply.status}"] += 1
             self._check_reply(kind, request.header(b"x-request-id") or "", reply)
             return True
-        self.outcomes[f"{kind} given up"] += 1
+        self.seen[f"{kind} given up"] += 1
         return False
 
     def _check_reply(self, kind: str, id: str, reply: HttpReply) -> None:
@@ -155,14 +155,14 @@
             self._environment.teams is not None
             and self._environment.teams.has_unknown_key(id)
         ):
-            self.violations.append(f"{id}: answered without a key that anybody has")
+            self.broken.append(f"{id}: answered without a key that anybody has")
         if kind == "all":
             self._check_merged_reply(id, reply)
             return
         stamp = reply.header(b"x-response-stamp") or ""
         leaf = self._find_leaf(stamp, id)
         if leaf is None or reply.body != self._environment.leafs[leaf].records:
-            self.violations.append(f"{id}: not the answer of a leaf: {stamp}")
+            self.broken.append(f"{id}: not the answer of a leaf: {stamp}")
 
     def _check_merged_reply(self, id: str, reply: HttpReply) -> None:
         stamps = (reply.header(b"x-part-stamps") or "").split(", ")
@@ -171,15 +171,13 @@
         leaves = [leaf for leaf in found if leaf is not None]
         shards = {leaf.split("-")[0] for leaf in leaves}
         if len(leaves) != len(stamps) or len(shards) != len(stamps):
-            self.violations.append(
-                f"{id}: stamps of others, or two of one shard: {stamps}"
-            )
+            self.broken.append(f"{id}: stamps of others, or two of one shard: {stamps}")
         elif len(shards) + missing != SHARDS or len(shards) < MIN_COVERAGE * SHARDS:
-            self.violations.append(f"{id}: {len(shards)} parts and {missing} missing")
+            self.broken.append(f"{id}: {len(shards)} parts and {missing} missing")
         else:
             bodies = [self._environment.leafs[leaf].records for leaf in leaves]
             if reply.body != merge_records(bodies, TOP):
-                self.violations.append(f"{id}: not the greatest records of its parts")
+                self.broken.append(f"{id}: not the greatest records of its parts")
 
     def _find_leaf(self, stamp: str, id: str) -> str | None:
         """Return the id of the leaf that stamped the reply to this request, or None."""
--- a/walkcart/platform/tests/soakenvironment.py
+++ b/walkcart/platform/tests/soakenvironment.py
@@ -265,20 +265,20 @@
         ran: Counter[str] = Counter()
         for leaf in self.leafs.values():
             ran.update(leaf.ran)
-        violations = [
+        broken = [
             f"{id} ran {count} times"
             for id, count in ran.items()
             if id.startswith("once-") and count > 1
         ]
-        violations += [
+        broken += [
             f"{id} was told not run, and ran" for id in reported_not_run & set(ran)
         ]
-        violations += [
+        broken += [
             f"{id} had a request of another region"
             for id, place in self.leaf_places.items()
             if REGIONS[place] != HOME_REGION
             and any(item.target == "/home/x" for item in self.leafs[id].arrived)
         ]
         for leaf in self.leafs.values() if self.teams else ():
-            violations += self.teams.check_arrived(leaf.arrived)
-        return violations
+            broken += self.teams.check_arrived(leaf.arrived)
+        return broken
--- a/walkcart/platform/tests/soakteams.py
+++ b/walkcart/platform/tests/soakteams.py
@@ -67,17 +67,15 @@
 
     def check_arrived(self, requests: Iterable[HttpRequest]) -> list[str]:
         """Return the violations among the requests that a leaf received."""
-        violations = []
+        broken = []
         for request in requests:
             id = request.header(b"x-request-id") or ""
-            team_headers = [
-                value for name, value in request.headers if name == b"x-tenant"
-            ]
+            told = [value for name, value in request.headers if name == b"x-tenant"]
             if request.header(b"authorization") is not None:
-                violations.append(f"{id} came to a leaf with its key")
-            if team_headers not in self._find_allowed(self._key_by_request.get(id, "")):
-                violations.append(f"{id} came to a leaf as of {team_headers}")
-        return violations
+                broken.append(f"{id} came to a leaf with its key")
+            if told not in self._find_allowed(self._key_by_request.get(id, "")):
+                broken.append(f"{id} came to a leaf as of {team_headers}")
+        return broken
 
     def _find_allowed(self, key: str) -> list[list[bytes]]:
         """Return the team headers that a leaf may receive for a key."""
