--- a/walkcart/platform/tests/soak.py
+++ b/walkcart/platform/tests/soak.py
@@ -274,8 +274,8 @@
 
         soak = trio.run(run)
         told = "BROKEN" if soak.broken else "held"
-        print(f"seed {seed}: {outcome}; {minutes:g} minutes; {dict(soak.faults)}")
-        print(f"  answers: {dict(sorted(soak.callers.outcomes.items()))}")
+        print(f"seed {seed}: {told}; {minutes:g} minutes; {dict(soak.faults)}")
+        print(f"  answers: {dict(sorted(soak.callers.seen.items()))}")
         for line in soak.broken[:10]:
             print(f"  {line}")
         if soak.broken:
--- a/walkcart/platform/tests/soakteams.py
+++ b/walkcart/platform/tests/soakteams.py
@@ -74,7 +74,7 @@
             if request.header(b"authorization") is not None:
                 broken.append(f"{id} came to a leaf with its key")
             if told not in self._find_allowed(self._key_by_request.get(id, "")):
-                broken.append(f"{id} came to a leaf as of {team_headers}")
+                broken.append(f"{id} came to a leaf as of {told}")
         return broken
 
     def _find_allowed(self, key: str) -> list[list[bytes]]:
