--- a/walkcart/platform/tests/test_second_attempts.py
+++ b/walkcart/platform/tests/test_second_attempts.py
@@ -1,4 +1,4 @@
-"""Second attempts at late leafs, beside groups that other instances gather."""
+"""Second attempts at late leaves, while other instances gather groups of shards."""
 
 import trio
 
@@ -9,10 +9,10 @@
 FAR_SHARDS = 7
 
 
-def ask_with_a_paused_leaf(far_time):
-    """Ask for shards of which one near leaf pauses; return parts and seconds.
+def request_with_a_paused_leaf(far_time):
+    """Request all shards while one near leaf pauses; return parts and seconds.
 
-    The leafs of `FAR_SHARDS` stand in the other region and take `far_time`.
+    The leaves of the `FAR_SHARDS` shards are in the other region and take `far_time`.
     """
 
     async def run():
@@ -44,14 +44,17 @@
     return run_mocked(run)
 
 
-def test_a_paused_leaf_costs_no_part_while_a_group_is_still_gathered_elsewhere():
-    parts, elapsed = ask_with_a_paused_leaf(far_time=0.13)
+def test_paused_leaf_costs_no_part_while_another_instance_gathers_a_group():
+    parts, elapsed = request_with_a_paused_leaf(far_time=0.13)
     assert parts == OWN_SHARDS + FAR_SHARDS
     assert elapsed < 0.2
 
 
-def test_where_all_hang_at_once_second_attempts_go_at_half_of_the_time():
-    """Too much is late for them at first; without them there is no answer at all."""
+def test_second_attempts_start_at_half_of_the_time_if_all_leaves_hang():
+    """At first too many parts are late for second attempts.
+
+    Without second attempts there is no answer at all.
+    """
 
     async def run():
         async with open_platform() as world:
--- a/walkcart/platform/tests/test_silent_connections.py
+++ b/walkcart/platform/tests/test_silent_connections.py
@@ -1,6 +1,6 @@
-"""Open connections that go silent for good without an end, while new ones work.
+"""Open connections that go silent for good without being closed; new ones work.
 
-To other instances: `test_links_that_went_silent_without_an_end_are_made_anew`.
+For connections between instances see test_delegation.py.
 """
 
 import trio
@@ -9,17 +9,18 @@
 from walkcart.platform.tests.platformworld import make_route, open_platform
 
 SHARDS = 6
+#: Latency objective of the route, in seconds.
 OBJECTIVE = 0.2
-#: Seconds after which questions don't meet silent connections any longer: the first
-#: request on each finds it, and is taken for one at a leaf that stalls.
+#: Time after which requests use no silent connection any longer, in seconds: the first
+#: request on each detects the silence, and is treated as one at a stalled leaf.
 LEAF_BOUND = 0.25
-#: Seconds until a change is in force though the watch of the store went silent: the
-#: renewals of the lease, each second, meet the silence and end the watch.
+#: Maximum time until a change is in force after the watch of the store went silent, in
+#: seconds: the lease renewals, one per second, detect the silence and end the watch.
 STORE_BOUND = 3.0
 
 
-def after_silence(act):
-    """Run `act(world)` right after all open connections went silent."""
+def after_silence(action):
+    """Run `action(world)` right after all open connections went silent."""
 
     async def run():
         async with open_platform() as world:
@@ -36,13 +37,13 @@
                 await world.ask("/all/x")
             world.network.streams_silent_until = trio.current_time()
             await trio.sleep(0.01)
-            return await act(world)
+            return await action(world)
 
     return run_mocked(run)
 
 
 async def ask(world, found):
-    """Ask one question and note when, how long it took and its parts."""
+    """Send one request; record its start, duration and number of parts."""
     start = trio.current_time()
     reply = await world.ask("/all/x")
     stamps = reply.header(b"x-part-stamps") if reply.status == 200 else None
@@ -50,7 +51,7 @@
     found.append((start, trio.current_time() - start, parts))
 
 
-def test_silent_connections_to_leafs_are_replaced():
+def test_silent_connections_to_leaves_are_replaced():
     async def act(world):
         found = []
         silent_at = trio.current_time()
@@ -64,11 +65,11 @@
     later = [item for item in found if item[0] > silent_at + LEAF_BOUND]
     assert all(parts == SHARDS for _, _, parts in later)
     assert all(elapsed < OBJECTIVE for _, elapsed, _ in later)
-    # One question had sent everything before: both attempts at each leaf were lost.
+    # One request may have sent everything before: both attempts at each leaf are lost.
     assert sum(1 for _, _, parts in found if not parts) <= 1
 
 
-def test_a_silent_connection_to_the_store_is_replaced():
+def test_silent_connection_to_the_store_is_replaced():
     async def act(world):
         world.configure(make_route("new", "/new/", backend="shard-0"))
         start = trio.current_time()
--- a/walkcart/platform/tests/test_soak.py
+++ b/walkcart/platform/tests/test_soak.py
@@ -1,16 +1,16 @@
-"""A short seeded soak of the real program, and seeds that failed before."""
+"""A short seeded soak test of the real program, with seeds that failed before."""
 
 import pytest
 
 from walkcart.platform.tests.soak import run_seed
 
 
-# Seeds that failed stay here, with the cause. 103: the soak's own fault, its daemons'
-# ports were among those that the machine gives out by itself, so two couldn't listen.
-# 1, beside twenty busy processes: the soak's own fault, it took a signal that
-# came while a daemon still loaded its modules for a failed stop; and once it hung,
-# waiting for the end of a daemon that another series had paused. 946: the soak's own
-# fault, one series killed all daemons while another had just ended one of them.
+# Seeds that failed because of faults of the soak test itself. 103: the daemons' ports
+# were among the machine's ephemeral ports, so two daemons couldn't listen. 1, on a
+# machine with twenty busy processes: a signal that arrived while a daemon still loaded
+# its modules counted as a failed stop; and the soak waited forever for the exit of a
+# daemon that another fault series had paused. 946: one series killed all daemons while
+# another had just ended one of them.
 @pytest.mark.parametrize("seed", [1, 2, 103, 946])
-def test_a_short_soak_holds(seed):
+def test_short_soak_holds(seed):
     assert run_seed(seed, minutes=0.1)
--- a/walkcart/platform/tests/test_stale_questions.py
+++ b/walkcart/platform/tests/test_stale_questions.py
@@ -1,4 +1,4 @@
-"""Questions that reach another instance late, or that nobody waits for any longer."""
+"""Delegated questions that arrive late, or that nobody waits for any longer."""
 
 from random import Random
 
@@ -14,14 +14,14 @@
     DelegatedRenewal,
 )
 
-#: Seconds after which no leaf gets a request for a caller that left.
+#: Time after a caller left from which no leaf may get a request for it, in seconds.
 GONE_BOUND = 0.5
-#: Seconds on the way: most are usual, some are held up by a cut.
+#: Delays of envelopes in seconds: mostly usual ones, some as caused by a cut.
 DELAYS = (0.001, 0.008, 0.02, 0.1, 0.3, 0.7, 1.6)
 
 
-def hold_envelopes(monkeypatch, chosen, delays):
-    """Bring envelopes with a message of a `chosen` class `delays()` seconds later."""
+def delay_envelopes(monkeypatch, chosen, delays):
+    """Delay envelopes with a message of a `chosen` class by `delays()` seconds."""
     deliver = MemoryNetwork.deliver
 
     def deliver_late(network, site, address, data):
@@ -38,32 +38,32 @@
     monkeypatch.setattr(MemoryNetwork, "deliver", deliver_late)
 
 
-def note_arrivals(world):
-    """Return the list of times at which leafs get requests from now on."""
+def record_arrivals(world):
+    """Return a list that collects the times at which leaves get requests."""
     times = []
     for leaf in world.leafs.values():
         handle = leaf.handle
 
-        async def handle_and_note(request, handle=handle):
+        async def handle_and_record(request, handle=handle):
             times.append(trio.current_time())
             return await handle(request)
 
-        world.servers[leaf.id].http._handler = handle_and_note
+        world.servers[leaf.id].http._handler = handle_and_record
     return times
 
 
-async def ask_and_leave(world, patience):
-    """Ask as a caller that leaves after `patience`; return when it left."""
-    with trio.move_on_after(patience):
+async def ask_and_leave(world, timeout):
+    """Send a request as a caller that leaves after `timeout`; return when it left."""
+    with trio.move_on_after(timeout):
         await world.ask("/all/x", "asker")
     return trio.current_time()
 
 
-def test_a_question_held_up_on_its_way_is_not_begun_when_its_caller_left(monkeypatch):
+def test_delayed_question_is_not_started_after_its_caller_left(monkeypatch):
     async def act(world):
         await world.ask("/all/x", "asker")
-        times = note_arrivals(world)
-        hold_envelopes(monkeypatch, (DelegatedQuestion, DelegatedCancel), lambda: 2.0)
+        times = record_arrivals(world)
+        delay_envelopes(monkeypatch, (DelegatedQuestion, DelegatedCancel), lambda: 2.0)
         left = await ask_and_leave(world, 0.02)
         await trio.sleep(4)
         late = [time for time in times if time > left + GONE_BOUND]
@@ -74,11 +74,11 @@
     assert told == 1
 
 
-def test_a_cancellation_that_overtakes_its_question_is_remembered(monkeypatch):
+def test_cancellation_that_overtakes_its_question_is_remembered(monkeypatch):
     async def act(world):
         await world.ask("/all/x", "asker")
-        times = note_arrivals(world)
-        hold_envelopes(monkeypatch, DelegatedQuestion, lambda: 0.05)
+        times = record_arrivals(world)
+        delay_envelopes(monkeypatch, DelegatedQuestion, lambda: 0.05)
         left = await ask_and_leave(world, 0.01)
         await trio.sleep(1)
         return [time for time in times if time > left + 0.02]
@@ -86,11 +86,11 @@
     assert with_two_regions(act) == []
 
 
-def test_an_asker_that_dies_ends_the_work_at_its_peer():
+def test_work_at_a_peer_ends_when_the_asking_instance_stops():
     async def act(world):
         for leaf in world.leafs.values():
             leaf.faults.delay = 1.8
-        world.nursery.start_soon(ask_quietly, world)
+        world.nursery.start_soon(ask_ignoring_errors, world)
         await trio.sleep(0.1)
         world.tenants["asker"].scope.cancel()
         before = sum(leaf.running for leaf in world.leafs.values())
@@ -104,17 +104,17 @@
     assert told == 1
 
 
-async def ask_quietly(world):
-    """Ask; what becomes of it doesn't matter."""
+async def ask_ignoring_errors(world):
+    """Send a request and ignore its outcome."""
     with trio.move_on_after(3):
         try:
             await world.ask("/all/x", "asker")
         except Exception:
-            # The instance that was asked has ended.
+            # The instance has been stopped.
             return
 
 
-def test_a_long_question_goes_on_while_its_asker_waits():
+def test_long_question_continues_while_its_asker_waits():
     async def act(world):
         for leaf in world.leafs.values():
             leaf.faults.delay = 1.2
@@ -126,7 +126,7 @@
     assert abandoned == 0
 
 
-def test_a_question_whose_renewals_are_lost_is_given_up_and_told(monkeypatch):
+def test_question_whose_renewals_are_lost_is_abandoned_and_reported(monkeypatch):
     send = PeerLinks.send
 
     def send_others(links, name, message):
@@ -145,11 +145,11 @@
     assert elapsed < GONE_BOUND
 
 
-def test_a_process_started_anew_begins_no_question_of_the_one_before(monkeypatch):
+def test_restarted_instance_starts_no_question_sent_to_its_former_process(monkeypatch):
     async def act(world):
         await world.ask("/all/x", "asker")
-        times = note_arrivals(world)
-        hold_envelopes(monkeypatch, DelegatedQuestion, lambda: 1.0)
+        times = record_arrivals(world)
+        delay_envelopes(monkeypatch, DelegatedQuestion, lambda: 1.0)
         left = await ask_and_leave(world, 0.01)
         world.tenants["helper"].scope.cancel()
         await trio.sleep(0.3)
@@ -161,16 +161,16 @@
 
 
 def test_no_leaf_gets_a_request_long_after_its_caller_left(monkeypatch):
-    """Over random delays and losses between the instances."""
+    """Run with random delays and losses between the instances."""
 
-    def play(seed):
+    def run(seed):
         random = Random(seed)
 
         async def act(world):
             await world.ask("/all/x", "asker")
-            times = note_arrivals(world)
+            times = record_arrivals(world)
             kinds = (DelegatedQuestion, DelegatedCancel, DelegatedRenewal)
-            hold_envelopes(monkeypatch, kinds, lambda: random.choice(DELAYS))
+            delay_envelopes(monkeypatch, kinds, lambda: random.choice(DELAYS))
             world.network.lose = lambda: random.random() < 0.1
             late = []
             for _ in range(8):
@@ -184,4 +184,4 @@
         monkeypatch.undo()
         return result
 
-    assert [play(seed) for seed in range(6)] == [[]] * 6
+    assert [run(seed) for seed in range(6)] == [[]] * 6
--- a/walkcart/platform/tests/test_start_calls.py
+++ b/walkcart/platform/tests/test_start_calls.py
@@ -1,8 +1,8 @@
-"""What a start asks of the store, by the price of each call.
+"""The cost of the calls to the store that instances make when they start.
 
-A fleet of 195 that started at once made 2,245 calls, 11.5 an instance, before its
-fourth second: a lease that was replaced by a longer one at once, fresh readings of
-three prefixes, and watches that were given up when a feed began.
+Guards against a fault by which a fleet of 195 that started at once made 2,245 calls,
+11.5 per instance, in less than four seconds: leases that were replaced by longer ones
+at once, fresh reads of three prefixes, and watches that were dropped when a feed began.
 """
 
 import trio
@@ -12,45 +12,45 @@
 from walkcart.membership.relaying import Relay
 from walkcart.platform.tests.platformworld import make_route, open_platform
 
-CENTRES = ("north-a", "south-a", "north-b", "south-b", "east-a", "east-b")
+ALL_DATA_CENTRES = ("north-a", "south-a", "north-b", "south-b", "east-a", "east-b")
 SHARDS = [f"shard-{number}" for number in range(6)]
-#: A reading that may be seconds old costs a tenth, and so does a renewal.
-CHEAP = 0.1
+#: Cost of a read that may be seconds old, or of a lease renewal; other calls cost 1.
+CHEAP_CALL_COST = 0.1
 
 
-def add_prices(targets):
-    """Return the price of calls of the store."""
+def sum_costs(targets):
+    """Return the total cost of calls to the store."""
     cheap = sum(
         1 for call in targets if "/api/kv-keep" in call or "serializable" in call
     )
-    return len(targets) - cheap + cheap * CHEAP
+    return len(targets) - cheap + cheap * CHEAP_CALL_COST
 
 
-async def open_fleet(world, count):
+async def start_fleet(world, count):
     for number, shard in enumerate(SHARDS):
-        await world.start_leaf(f"i-{number}", shard, CENTRES[number])
+        await world.start_leaf(f"i-{number}", shard, ALL_DATA_CENTRES[number])
     world.configure(make_route("all", "/all/", fanoutServices=SHARDS, topK=3))
     for number in range(count):
-        place = CENTRES[number % len(CENTRES)]
+        place = ALL_DATA_CENTRES[number % len(ALL_DATA_CENTRES)]
         await world.start_instance(f"w{number:02}", place)
 
 
-def test_a_fleet_that_starts_at_once_makes_few_calls_each():
+def test_fleet_that_starts_at_once_makes_few_calls_per_instance():
     count = 84
 
     async def run():
         async with open_platform() as world:
-            await open_fleet(world, count)
+            await start_fleet(world, count)
             await trio.sleep(4)
-            return add_prices(world.store.targets) / count
+            return sum_costs(world.store.targets) / count
 
     assert run_mocked(run) <= 4.0
 
 
-def test_the_restart_of_one_makes_few_calls():
+def test_restart_of_one_instance_makes_few_calls():
     async def run():
         async with open_platform() as world:
-            await open_fleet(world, 30)
+            await start_fleet(world, 30)
             await trio.sleep(10)
             targets = world.store.targets
             name = next(
@@ -64,17 +64,17 @@
             before = len(targets)
             await world.start_instance(name, place)
             await trio.sleep(4)
-            # Watches begin anew each 20 s, at other instances too; renewals and
-            # readings that may be old are cheap, and go on.
-            return [call for call in targets[before:] if add_prices([call]) == 1.0]
+            # Watches start again each 20 s, at other instances too; renewals and
+            # reads that may be stale are cheap, and continue.
+            return [call for call in targets[before:] if sum_costs([call]) == 1.0]
 
     calls = run_mocked(run)
     assert len([call for call in calls if "kv-watch" not in call]) <= 3
     assert len(calls) <= 4
 
 
-def test_a_first_reading_that_is_old_is_made_good():
-    """Leafs that came and went within the age of the reading are known soon."""
+def test_stale_first_read_is_corrected():
+    """Leaves that came and went after the stale state are known soon."""
 
     async def run():
         async with open_platform() as world:
@@ -93,7 +93,7 @@
     assert run_mocked(run) == ["i-new", "i-old"]
 
 
-def test_a_first_reading_that_is_old_and_a_lost_history_are_made_good():
+def test_stale_first_read_is_corrected_after_the_history_is_lost():
     async def run():
         async with open_platform() as world:
             await world.start_leaf("i-old", "shard-0")
--- a/walkcart/platform/tests/test_starting.py
+++ b/walkcart/platform/tests/test_starting.py
@@ -8,8 +8,8 @@
 SHARDS = 4
 
 
-def ask_at_start(prepare=lambda world: None, helper=False):
-    """Ask an instance as soon as it listens; return the reply, seconds and log."""
+def request_at_start(prepare=lambda world: None, helper=False):
+    """Send a request as soon as an instance listens; return reply, seconds and log."""
 
     async def run():
         async with open_platform() as world:
@@ -31,24 +31,24 @@
     return run_mocked(run)
 
 
-def test_a_request_that_comes_before_the_configuration_waits_for_it():
-    reply, elapsed, _ = ask_at_start()
+def test_request_before_the_configuration_is_read_waits_for_it():
+    reply, elapsed, _ = request_at_start()
     assert reply.status == 200
     assert elapsed < 0.2
 
 
-def test_without_a_store_it_is_refused_soon_and_told_when_to_come_back():
-    def go_down(world):
+def test_request_without_a_store_is_refused_soon_with_a_retry_time():
+    def cut_store(world):
         world.network.cut("store", "north-a")
 
-    reply, elapsed, _ = ask_at_start(go_down)
+    reply, elapsed, _ = request_at_start(cut_store)
     assert reply.status == 503
     assert float(reply.header(b"retry-after")) > 0
     assert elapsed < 0.25
 
 
-def test_no_question_is_given_to_an_instance_that_was_not_heard_of():
-    reply, elapsed, log = ask_at_start(helper=True)
+def test_no_question_is_delegated_to_an_instance_not_yet_heard_from():
+    reply, elapsed, log = request_at_start(helper=True)
     assert reply.status == 200
     assert elapsed < 0.2
     assert "delegate_lost" not in log
--- a/walkcart/platform/tests/test_store_calls.py
+++ b/walkcart/platform/tests/test_store_calls.py
@@ -1,6 +1,6 @@
-"""What a fleet asks of the store while the store, leafs or instances have trouble.
+"""The cost of a fleet's calls to the store while store, leaves or instances fail.
 
-Renewals and readings that may be old count a tenth of a call. See
+Renewals and reads that may be stale count as a tenth of a call. See
 ``docs/design/costs.md`` for what causes calls.
 """
 
@@ -16,19 +16,25 @@
 from walkcart.membership.relaying import Relay
 from walkcart.platform.tests.changesinforce import DATA_CENTRES, STORE, Estate
 from walkcart.platform.tests.platformworld import make_route, open_platform
-from walkcart.platform.tests.test_start_calls import CENTRES, add_prices, open_fleet
+from walkcart.platform.tests.test_start_calls import (
+    ALL_DATA_CENTRES,
+    start_fleet,
+    sum_costs,
+)
 
+#: Number of instances of the fleet.
 COUNT = 60
-#: Instances of one data centre.
+#: Number of instances in one data centre; a few of them feed the others.
 FED = 20
-#: Seconds from the acknowledgement of a change until it is in force everywhere.
+#: Maximum time from the acknowledgement of a change until it is in force everywhere, in
+#: seconds.
 BOUND = 3.0
-#: Calls of an instance that starts anew: its key, a fresh reading of the configuration
-#: and one call more, with renewals and readings that may be old. A lease granted anew
-#: would be two more.
+#: Maximum cost of the calls of a restarted instance: its key, a fresh read of the
+#: configuration and one more call, plus renewals and reads that may be stale. A newly
+#: granted lease would cost two more.
 RESTART_CALLS = 3.5
-#: Seconds until a fleet that has started is quiet: watches of the start have ended.
-SETTLING = 25
+#: Time until a started fleet is quiet, in seconds: the watches of the start have ended.
+SETTLE_TIME = 25
 
 
 def with_fleet(action, count=COUNT):
@@ -36,8 +42,8 @@
 
     async def run():
         async with open_platform() as world:
-            await open_fleet(world, count)
-            await trio.sleep(SETTLING)
+            await start_fleet(world, count)
+            await trio.sleep(SETTLE_TIME)
             return await action(world)
 
     return run_mocked(run)
@@ -61,8 +67,17 @@
     )
 
 
-async def count_outage(world, begin, end):
-    """Return the price for each instance of 9 s of trouble and 6 s after it."""
+async def measure_fault_cost(world, begin, end):
+    """Return the cost per instance of a fault of 9 s and the 6 s after it.
+
+    Args:
+        world: the platform.
+        begin: function that starts the fault.
+        end: function that ends it.
+
+    Returns:
+        The cost, and whether all instances had the change made meanwhile 3 s later.
+    """
     before = len(world.store.targets)
     begin()
     await trio.sleep(5)
@@ -72,44 +87,44 @@
     await trio.sleep(3)
     versions = find_versions(world)
     await trio.sleep(3)
-    return add_prices(world.store.targets[before:]) / COUNT, versions == {version}
+    return sum_costs(world.store.targets[before:]) / COUNT, versions == {version}
 
 
-def test_a_store_that_refuses_all_costs_little_and_is_caught_up_with():
+def test_store_that_refuses_all_calls_costs_little_and_changes_arrive_after():
     async def act(world):
         def refuse(status):
             world.store.faults.refusal = status
 
-        return await count_outage(world, lambda: refuse(503), lambda: refuse(0))
+        return await measure_fault_cost(world, lambda: refuse(503), lambda: refuse(0))
 
-    price, is_current = with_fleet(act)
+    cost, is_current = with_fleet(act)
     assert is_current
-    assert price <= 3.5
+    assert cost <= 3.5
 
 
-def test_a_store_that_is_silent_costs_little_and_is_caught_up_with():
+def test_silent_store_costs_little_and_changes_arrive_after():
     async def act(world):
         def cut():
-            for place in CENTRES:
+            for place in ALL_DATA_CENTRES:
                 world.network.cut("store", place)
 
         def heal():
-            for place in CENTRES:
+            for place in ALL_DATA_CENTRES:
                 world.network.heal("store", place)
 
-        return await count_outage(world, cut, heal)
+        return await measure_fault_cost(world, cut, heal)
 
-    price, is_current = with_fleet(act)
+    cost, is_current = with_fleet(act)
     assert is_current
-    assert price <= 4.0
+    assert cost <= 4.0
 
 
-def test_changes_of_leafs_cost_each_watcher_a_call_a_second():
+def test_changes_of_leaves_cost_each_watcher_one_call_per_second():
     async def act(world):
         watchers = [
             name
             for name in world.tenants
-            if find_service(world, name, "relay", Relay).watches
+            if find_service(world, name, "relay", Relay).is_watching
         ]
         entry = world.entries["i-0"]
         before = len(world.store.targets)
@@ -121,12 +136,12 @@
         return len(watchers), sum(1 for call in calls if "kv-watch" in call)
 
     watchers, watches = with_fleet(act)
-    assert watchers == 2 * len(CENTRES)
-    # Each watches two prefixes, and a watch of the quiet one ends each 20 s.
+    assert watchers == 2 * len(ALL_DATA_CENTRES)
+    # Each watcher watches two prefixes; a watch of the quiet one ends every 20 s.
     assert watches <= watchers * (10 + 2)
 
 
-def test_a_fleet_that_lost_power_keeps_its_leases():
+def test_fleet_keeps_its_leases_over_a_power_loss():
     async def act(world):
         leases = {
             name: find_service(world, name, "registration", Registration).lease.id
@@ -144,15 +159,19 @@
             name: find_service(world, name, "registration", Registration).lease.id
             for name in world.tenants
         }
-        return add_prices(world.store.targets[before:]) / COUNT, found == leases
+        return sum_costs(world.store.targets[before:]) / COUNT, found == leases
 
-    price, kept = with_fleet(act)
+    cost, kept = with_fleet(act)
     assert kept
-    assert price <= RESTART_CALLS
+    assert cost <= RESTART_CALLS
 
 
 def with_restart(action):
-    """Run `action(world)` and restart the one instance; return its registration."""
+    """Stop an instance, run `action(world, lease)`, and start the instance again.
+
+    Returns:
+        The ids of the former and the present lease, and of the lease of the stored key.
+    """
 
     async def run():
         async with open_platform() as world:
@@ -173,7 +192,7 @@
     return run_mocked(run)
 
 
-def test_a_restarted_instance_goes_on_with_its_lease():
+def test_restarted_instance_keeps_its_lease():
     async def act(world, former):
         pass
 
@@ -181,7 +200,7 @@
     assert former == present == stored
 
 
-def test_a_restarted_instance_whose_lease_ended_gets_another():
+def test_restarted_instance_gets_a_new_lease_if_the_old_one_ended():
     async def act(world, former):
         await trio.sleep(30)
 
@@ -189,17 +208,17 @@
     assert former != present == stored
 
 
-def test_a_restarted_instance_whose_reading_was_old_gets_another():
+def test_restarted_instance_gets_a_new_lease_if_its_read_was_stale():
     async def act(world, former):
         world.store.faults.stale_by = 1
-        # Ended, which an old reading doesn't show.
+        # The lease has ended, which a stale read doesn't show.
         world.store._end(former.id)
 
     former, present, stored = with_restart(act)
     assert former != present == stored
 
 
-def test_leafs_that_come_are_known_everywhere_within_two_seconds():
+def test_new_leaves_are_known_everywhere_within_two_seconds():
     async def act(world):
         entry = {**world.entries["i-0"], "backend": "shard-9"}
         for number in range(30):
@@ -218,28 +237,28 @@
     assert with_fleet(act) == {30}
 
 
-def test_feeders_that_are_turned_away_are_replaced_by_few():
+def test_feeders_that_lose_the_store_are_replaced_by_few():
     async def run():
         async with open_platform() as world:
-            estate = Estate(world)
-            await estate.start_many(FED, DATA_CENTRES[:1])
+            fleet = Estate(world)
+            await fleet.start_many(FED, DATA_CENTRES[:1])
             before = len(world.store.targets)
             async with trio.open_nursery() as nursery:
-                for name in estate.find_feeders():
-                    nursery.start_soon(estate.cut, name, [STORE], 8.0)
+                for name in fleet.find_feeders():
+                    nursery.start_soon(fleet.cut, name, [STORE], 8.0)
                 for _ in range(8):
                     await trio.sleep(1)
-                    estate.change()
+                    fleet.change()
             await trio.sleep(20)
-            return add_prices(world.store.targets[before:]), estate.find_worst()
+            return sum_costs(world.store.targets[before:]), fleet.find_worst()
 
-    price, worst = run_mocked(run)
-    assert worst <= BOUND
-    assert price <= 6.5 * FED
+    cost, max_delay = run_mocked(run)
+    assert max_delay <= BOUND
+    assert cost <= 6.5 * FED
 
 
-def test_a_feed_holds_while_leafs_change_and_nobody_minds():
-    """Renewed warm-up times matter to nobody, yet each ends a watch."""
+def test_feed_stays_up_while_leaves_change_without_effect():
+    """Changed warm-up times need no action, yet each ends a watch."""
 
     async def act(world):
         entry = {**world.entries["i-0"], "warmupLeftMs": 9000}
@@ -250,14 +269,14 @@
             await trio.sleep(0.1)
         lines = [json.loads(line) for line in world.log.getvalue().splitlines()]
         ended = [line for line in lines if line["event"] == "feed" and not line["fed"]]
-        return add_prices(world.store.targets[before:]) / COUNT, ended
+        return sum_costs(world.store.targets[before:]) / COUNT, ended
 
-    price, ended = with_fleet(act)
+    cost, ended = with_fleet(act)
     assert ended == []
-    assert price <= 8.0
+    assert cost <= 8.0
 
 
-def test_a_feed_holds_when_leafs_change_now_and_then():
+def test_feed_stays_up_while_leaves_change_occasionally():
     async def act(world):
         entry = world.entries["i-0"]
         for step in range(30):
--- a/walkcart/platform/tests/test_store_trouble.py
+++ b/walkcart/platform/tests/test_store_trouble.py
@@ -1,4 +1,4 @@
-"""Trouble with the store: away, silent, forgetful, and keys that vanish."""
+"""Faults of the store: unavailable, silent, with a lost history or lost keys."""
 
 import trio
 
@@ -10,7 +10,7 @@
 
 
 def with_instance(action):
-    """Run `action(world)` with one instance and two leafs of one service."""
+    """Run `action(world)` with one instance and two leaves of one service."""
 
     async def run():
         async with open_platform() as world:
@@ -29,7 +29,7 @@
     return world.tenants["one"].tenant.kernel.find(name, kind)
 
 
-def test_requests_are_served_while_the_store_is_away():
+def test_requests_are_served_while_the_store_is_unavailable():
     async def act(world):
         world.store.faults.silent = True
         statuses = []
@@ -43,9 +43,9 @@
     assert ready == 200
 
 
-def test_a_change_made_in_silence_is_in_force_soon_after_it():
+def test_change_made_while_the_store_was_silent_is_in_force_soon_after():
     async def act(world):
-        # The waiting watches never hear of it: their connections went silent.
+        # The waiting watches never report the change: their connections went silent.
         world.store.faults.silent = True
         world.network.cut("store", "north-a")
         await trio.sleep(5)
@@ -58,7 +58,7 @@
     assert with_instance(act) == 200
 
 
-def test_lapsed_entries_are_kept_until_leafs_had_time_to_store_them_again():
+def test_expired_entries_are_kept_until_leaves_had_time_to_store_them_again():
     async def act(world):
         directory = find_service(world, LeafDirectory, "directory")
         world.store.faults.refusal = 503
@@ -75,7 +75,7 @@
     assert with_instance(act) == (2, ["p-0"])
 
 
-def test_an_entry_that_goes_while_the_store_is_well_is_gone_at_once():
+def test_entry_removed_while_the_store_works_is_dropped_at_once():
     async def act(world):
         world.store.remove("servers/p-0")
         await trio.sleep(0.7)
@@ -85,7 +85,7 @@
     assert with_instance(act) == ["p-1"]
 
 
-def test_a_forgotten_history_is_read_anew():
+def test_items_are_read_again_when_the_history_is_lost():
     async def act(world):
         world.store.remove("servers/p-0")
         world.store.compact()
@@ -96,7 +96,7 @@
     assert with_instance(act) == (200, [])
 
 
-def test_a_key_that_was_taken_away_is_stored_again():
+def test_removed_key_of_the_instance_is_stored_again():
     async def act(world):
         world.store.remove(INSTANCE_PREFIX + "one")
         await trio.sleep(8)
@@ -105,7 +105,7 @@
     assert with_instance(act)
 
 
-def test_a_lost_answer_to_the_registration_is_no_harm():
+def test_lost_reply_to_the_registration_does_no_harm():
     async def act(world):
         world.store.faults.lose_writes = True
         world.store.remove(INSTANCE_PREFIX + "one")
@@ -117,7 +117,7 @@
     assert with_instance(act)
 
 
-def test_an_instance_that_vanished_still_counts_for_a_while():
+def test_vanished_instance_still_counts_for_a_while():
     async def act(world):
         await world.start_instance("two")
         await trio.sleep(10)
@@ -133,7 +133,7 @@
     assert with_instance(act) == (2, 2, 1)
 
 
-def test_entries_over_many_pages_are_all_read():
+def test_entries_on_many_pages_are_all_read():
     async def act(world):
         for number in range(130):
             entry = {**world.entries["p-0"], "backend": f"s-{number}"}
@@ -145,12 +145,12 @@
     assert with_instance(act) == 132
 
 
-def test_all_that_changed_while_the_store_was_away_is_known_soon():
-    """The store gives 500 changes at a time.
+def test_all_changes_made_while_the_store_was_unavailable_are_known_soon():
+    """Guards against catching up too slowly: the store returns 500 changes at a time.
 
-    With a pause of a second after each, an instance that the store had turned away for
-    9 s was behind for over 7 s, and said that it was current: it sent requests to leafs
-    5.02 s after they had said that they leave, of 5 s allowed.
+    With a pause of a second after each reply, an instance that the store had refused
+    for 9 s lagged behind for over 7 s, and reported that it was current: it sent
+    requests to leaves 5.02 s after they had announced their stop, of 5 s allowed.
     """
 
     async def act(world):
@@ -162,7 +162,7 @@
         world.store.put("servers/p-1", {**world.entries["p-1"], "state": "draining"})
         await trio.sleep(3)
         world.network.heal("store", "north-a")
-        # The renewal that is under way, the pause after it, and the watches.
+        # Time for the renewal in progress, the pause after it, and the watches.
         await trio.sleep(2)
         directory = find_service(world, LeafDirectory, "directory")
         leafs = {leaf.id for leaf in directory.leaves_of("plain")}
--- a/walkcart/platform/tests/test_suspended_instances.py
+++ b/walkcart/platform/tests/test_suspended_instances.py
@@ -1,7 +1,7 @@
 """An instance whose machine is suspended for some seconds.
 
-Its clocks: the steady one stands still, the boot clock and the time of day go on. What
-waited in its sockets meanwhile, and what it had in hand, is as old as it is.
+Meanwhile its monotonic clock stops, while the boot clock and the time of day go on.
+Data that waited in its sockets and work in progress have aged by that time.
 """
 
 import socket
@@ -34,18 +34,19 @@
 from walkcart.wire.network import TcpNetwork
 from walkcart.wire.peers import NngTransport
 
+#: Duration of the suspension, in seconds.
 SUSPENSION = 1.5
 
 
 class TcpSite(TcpNetwork):
-    """A site whose instances talk over loopback."""
+    """A network site that uses TCP over loopback."""
 
     def transport(self):
         return NngTransport()
 
 
 class TcpNetworks:
-    """The same at all sites."""
+    """Networks whose sites are all the same."""
 
     def at(self, site, link=None):
         return TcpSite()
@@ -53,7 +54,14 @@
 
 @dataclass
 class Machine:
-    """A machine that can be suspended; `counts` says whether its clock goes on."""
+    """A machine that can be suspended.
+
+    Args:
+        counts: whether its clock goes on during a suspension.
+        wanted: duration of the suspension to begin, in seconds, or 0.
+        missed: total duration of suspensions, in seconds.
+        woken: time of the last wake-up, or 0.
+    """
 
     counts: bool = True
     wanted: float = 0.0
@@ -63,8 +71,8 @@
     def read(self):
         return time.monotonic() - (0.0 if self.counts else self.missed)
 
-    async def obey(self):
-        """Stand still when told to, with everything that runs here."""
+    async def suspend_on_request(self):
+        """Block the event loop and all its tasks when a suspension is requested."""
         while True:
             await trio.sleep(0.005)
             if self.wanted:
@@ -80,8 +88,8 @@
         return sock.getsockname()[1]
 
 
-class Suspendable:
-    """An instance in a thread and an event loop of its own."""
+class SuspendableInstance:
+    """An instance with its own thread and event loop."""
 
     def __init__(self, world, machine):
         peer = find_port()
@@ -100,20 +108,25 @@
         trio.run(self._run, clock=BootClock(self.machine.read))
 
     async def _run(self):
-        around = TenantSurroundings(
+        surroundings = TenantSurroundings(
             TcpNetwork(), NngTransport(), TrioClock(), Random(7), self.log
         )
-        self.tenant = await assemble_tenant(self.settings, around)
+        self.tenant = await assemble_tenant(self.settings, surroundings)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.machine.obey)
+            nursery.start_soon(self.machine.suspend_on_request)
             await nursery.start(self.tenant.kernel.run)
             while not self.ended:
                 await trio.sleep(0.02)
             nursery.cancel_scope.cancel()
 
 
-def play(act, counts=True):
-    """Play with an instance that is before one service of two leafs."""
+def run_with_instance(act, counts=True):
+    """Run `act(world, instance)` with an instance and one service of two leaves.
+
+    Args:
+        act: async function to run.
+        counts: whether the clock of the machine goes on during a suspension.
+    """
 
     async def run():
         async with trio.open_nursery() as nursery:
@@ -122,7 +135,7 @@
             for id in ("i-0", "i-1"):
                 await world.start_leaf(id, "service")
             world.configure(make_route("one", "/one/", backend="service"))
-            instance = Suspendable(world, Machine(counts))
+            instance = SuspendableInstance(world, Machine(counts))
             world.tenants["one"] = SimpleNamespace(settings=instance.settings)
             nursery.start_soon(trio.to_thread.run_sync, instance.run)
             await wait_ready(world)
@@ -148,21 +161,21 @@
 
 
 async def suspend(instance):
-    """Suspend the machine, and return a little before it goes on."""
+    """Request a suspension and return while it lasts."""
     instance.machine.wanted = SUSPENSION
     await trio.sleep(0.1)
 
 
-async def wait_woken(instance):
+async def wait_until_woken(instance):
     while not instance.machine.woken:
         await trio.sleep(0.01)
 
 
-class Asker:
-    """Another instance, as far as its links go."""
+class AskingPeer:
+    """A stand-in for another instance that has links only."""
 
     def __init__(self, instance):
-        self.heard = []
+        self.received = []
         self._instance = instance
 
     async def start(self, nursery):
@@ -183,27 +196,32 @@
             listener, transport, book, events, Metrics(None, "asker")
         )
         for kind in (Greeting, DelegatedTaken, DelegatedFailure):
-            self.links.on(kind, lambda sender, message: self.heard.append(message))
+            self.links.on(kind, lambda sender, message: self.received.append(message))
         await nursery.start(self.links.run)
 
-    async def hear(self, kind):
+    async def wait_for(self, kind):
         while True:
-            found = [item for item in self.heard if isinstance(item, kind)]
+            found = [item for item in self.received if isinstance(item, kind)]
             if found:
                 return found[-1]
             await trio.sleep(0.01)
 
 
-def ask_while_suspended(counts):
-    """Have another instance ask while this one is suspended; return what it hears."""
+def delegate_while_suspended(counts):
+    """Delegate a question to the instance while it is suspended.
+
+    Returns:
+        The types of the messages that the asking instance received, and the number of
+        requests that ran on leaves.
+    """
 
     async def act(world, instance):
         async with trio.open_nursery() as nursery:
-            asker = Asker(instance)
+            asker = AskingPeer(instance)
             await asker.start(nursery)
             asker.links.send("one", Greeting())
-            await asker.hear(Greeting)
-            # Its second envelope tells that this one was heard of.
+            await asker.wait_for(Greeting)
+            # The second envelope tells the instance that its own envelopes arrive.
             asker.links.send("one", Greeting())
             await trio.sleep(0.2)
             await suspend(instance)
@@ -211,30 +229,30 @@
                 "q", "r", "k", "GET", "/x", (), b"", ("service",), 1, 1.0, 2, 10.0, 5.0
             )
             asker.links.send("one", question)
-            await wait_woken(instance)
+            await wait_until_woken(instance)
             await trio.sleep(0.3)
             nursery.cancel_scope.cancel()
         ran = sum(len(leaf.ran) for leaf in world.leafs.values())
-        return [type(item) for item in asker.heard], ran
+        return [type(item) for item in asker.received], ran
 
-    return play(act, counts)
+    return run_with_instance(act, counts)
 
 
-def test_a_question_that_waited_while_suspended_is_not_begun():
-    heard, ran = ask_while_suspended(counts=True)
-    assert DelegatedTaken not in heard
-    assert heard[-1] is DelegatedFailure
+def test_question_that_waited_during_a_suspension_is_not_started():
+    received, ran = delegate_while_suspended(counts=True)
+    assert DelegatedTaken not in received
+    assert received[-1] is DelegatedFailure
     assert ran == 0
 
 
-def test_by_a_clock_that_stands_still_it_would_be_begun():
-    """Shows that the test above can fail: the clock that trio takes by itself."""
-    heard, ran = ask_while_suspended(counts=False)
-    assert DelegatedTaken in heard
+def test_question_would_be_started_by_a_clock_that_stops():
+    """Show that the test above can fail: with the clock that trio uses by default."""
+    received, ran = delegate_while_suspended(counts=False)
+    assert DelegatedTaken in received
     assert ran == 1
 
 
-def test_a_request_whose_time_passed_while_suspended_is_not_sent_again():
+def test_request_whose_deadline_passed_during_a_suspension_is_not_sent_again():
     async def act(world, instance):
         for leaf in world.leafs.values():
             leaf.faults.delay = 0.6
@@ -253,19 +271,19 @@
         arrived = sum(len(leaf.arrived) for leaf in world.leafs.values())
         return replies, arrived
 
-    statuses, arrived = play(act)
+    statuses, arrived = run_with_instance(act)
     assert statuses == [504]
     assert arrived == 1
 
 
-def test_a_change_made_while_suspended_is_in_force_soon_after():
+def test_change_made_during_a_suspension_is_in_force_soon_after():
     async def act(world, instance):
         await suspend(instance)
         version = world.configure(make_route("two", "/two/", backend="service"))
-        await wait_woken(instance)
+        await wait_until_woken(instance)
         keeper = instance.tenant.kernel.find("keeper", RouteKeeper)
         while keeper.table.document.version != version:
             await trio.sleep(0.01)
         return (await world.ask("/two/x")).status, (await world.ask("/one/x")).status
 
-    assert play(act) == (200, 404)
+    assert run_with_instance(act) == (200, 404)
--- a/walkcart/platform/tests/test_team_changes.py
+++ b/walkcart/platform/tests/test_team_changes.py
@@ -1,4 +1,4 @@
-"""Keys and teams that come, go and move, also under requests and outages."""
+"""Keys and teams that are added, removed or moved, also during requests and outages."""
 
 import pytest
 import trio
@@ -18,7 +18,7 @@
 )
 
 
-def test_changes_of_keys_are_in_force_within_a_second_at_every_instance():
+def test_key_changes_are_in_force_within_a_second_at_every_instance():
     steps = [
         ([make_team("riders", RIDERS), make_team("fitters", FITTERS, "new")], "new"),
         ([make_team("riders", RIDERS), make_team("fitters", FITTERS)], "new"),
@@ -43,7 +43,7 @@
     assert seen == [[200 if may else 401] * 3 for may in allowed]
 
 
-def test_a_moved_key_is_of_its_new_team():
+def test_moved_key_belongs_to_its_new_team():
     async def act(world):
         world.configure(*ROUTES, teams=[make_team("fitters", RIDERS, FITTERS)])
         await trio.sleep(IN_FORCE)
@@ -62,7 +62,7 @@
     ],
 )
 @pytest.mark.parametrize("path", ["/one/x", "/all/x"])
-def test_nothing_new_starts_for_a_request_whose_key_is_gone(teams, path):
+def test_no_new_attempt_starts_for_a_request_whose_key_was_removed(teams, path):
     async def act(world):
         for leaf in world.leafs.values():
             leaf.faults.delay, leaf.faults.drop = 1.5, True
@@ -86,11 +86,11 @@
     before, after, lost_at, replies = with_teams(act)
     assert before == after > 0
     assert all(status in (502, 503, 504) for status, _ in replies)
-    # Once the last attempt has failed nothing is waited for.
+    # Once the last attempt has failed, nothing more is awaited.
     assert all(at < lost_at + 0.5 for _, at in replies)
 
 
-def test_an_instance_that_is_behind_asks_a_new_key_to_come_back():
+def test_instance_with_an_old_configuration_tells_a_new_key_to_retry():
     async def act(world):
         world.store.faults.refusal = 503
         await trio.sleep(5)
@@ -113,7 +113,7 @@
     assert after == [200] * 3
 
 
-def test_before_any_configuration_is_known_nobody_is_told_that_a_key_is_wrong():
+def test_no_key_is_rejected_before_a_configuration_is_known():
     async def act(world):
         world.store.faults.refusal = 503
         world.tenants["north-a"].scope.cancel()
--- a/walkcart/platform/tests/test_team_documents.py
+++ b/walkcart/platform/tests/test_team_documents.py
@@ -1,4 +1,4 @@
-"""Teams and keys as operators store them and as callers show them."""
+"""Reading of teams as operators store them and of keys as callers send them."""
 
 import msgspec
 import pytest
@@ -28,7 +28,7 @@
     return read_configuration(msgspec.json.encode(content))
 
 
-def test_a_team_is_read_whole():
+def test_all_fields_of_a_team_are_read():
     (team,) = read(
         [
             make_team(
@@ -48,20 +48,20 @@
     assert team.regions == Regions(frozenset({"north"}))
 
 
-def test_what_a_team_leaves_out_binds_nothing():
+def test_omitted_fields_of_a_team_set_no_limits():
     for fields in ({}, {"ratePerS": 0, "burst": 5, "allowedRegions": []}):
         (team,) = read([make_team("riders", **fields)]).teams
         assert (team.rank, team.limit, team.regions) == (None, None, ALL_REGIONS)
         assert team.keys == frozenset()
 
 
-def test_no_list_and_an_empty_one_differ():
+def test_missing_list_and_empty_list_differ():
     assert read().teams is None
     assert read(None).teams is None
     assert read([]).teams == ()
 
 
-def test_a_route_is_public_by_word_alone():
+def test_route_is_public_only_if_stated():
     assert not read().routes[0].public
     assert not read(public=False).routes[0].public
     assert read(public=True).routes[0].public
@@ -83,7 +83,7 @@
         {"priority": "secret-key"},
     ],
 )
-def test_a_team_that_cannot_be_read_is_an_error_without_its_keys(fields):
+def test_error_for_an_invalid_team_does_not_contain_its_keys(fields):
     with pytest.raises(msgspec.MsgspecError) as caught:
         read([{**make_team("riders", "secret-key"), **fields}])
     assert "secret-key" not in str(caught.value)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 40, 3))
-def test_a_configuration_that_is_cut_off_shows_no_key(cut):
+def test_error_for_a_truncated_configuration_does_not_contain_keys(cut):
     content = make_configuration(3, [make_route("r", "/r/", backend="s")])
     content["tenants"] = [make_team("riders", "secret-key")]
     with pytest.raises(msgspec.MsgspecError) as caught:
@@ -99,7 +99,7 @@
     assert "secret-key" not in repr(caught.value)
 
 
-def test_thousands_of_keys_each_lead_to_their_team():
+def test_each_of_thousands_of_keys_finds_its_team():
     teams = [
         make_team(f"team-{number}", *(f"key-{number}-{key}" for key in range(50)))
         for number in range(200)
@@ -112,14 +112,14 @@
     assert table.teams.find(digest_key(b"key-200-1")) is None
 
 
-def test_no_key_is_shown_by_what_was_read():
+def test_repr_of_what_was_read_contains_no_key():
     document = read([make_team("riders", "secret-key")])
     assert "secret-key" not in repr(document)
     assert "secret-key" not in repr(RouteTable(document).teams.all())
 
 
 @given(st.text(VISIBLE, min_size=1, max_size=80))
-def test_any_visible_key_is_read_in_any_case_of_the_scheme(key):
+def test_any_visible_key_is_read_with_any_case_of_the_scheme(key):
     for scheme in ("Bearer", "bearer", "BEARER", "bEaReR"):
         value = f"{scheme} {key}".encode()
         assert read_credential(((b"authorization", value),)) == digest_key(key.encode())
@@ -143,7 +143,7 @@
         [b"Bearer " + b"k" * (MOST_KEY_BYTES + 1)],
     ],
 )
-def test_what_is_not_one_usable_key_counts_as_none(values):
+def test_anything_but_one_valid_key_counts_as_no_key(values):
     headers = tuple((b"authorization", value) for value in values)
     assert read_credential(headers) is None
 
@@ -153,13 +153,13 @@
     read_credential(tuple((b"authorization", value) for value in values))
 
 
-def test_the_longest_key_is_read():
+def test_key_of_maximum_length_is_read():
     key = b"k" * MOST_KEY_BYTES
     assert read_credential(((b"authorization", b"Bearer " + key),)) == digest_key(key)
 
 
 @pytest.mark.parametrize("team", ["", "riders"])
-def test_leafs_get_the_team_and_neither_key_nor_what_the_caller_claims(team):
+def test_leaves_get_the_team_but_neither_key_nor_forged_team_headers(team):
     headers = (
         (b"host", b"shop.example"),
         (b"authorization", b"Bearer secret"),
@@ -180,7 +180,7 @@
     assert (named.method, named.target, named.body) == ("GET", "/x", b"body")
 
 
-def test_a_request_shows_no_key_when_it_is_printed():
+def test_repr_of_a_request_contains_no_key():
     headers = ((b"authorization", b"Bearer secret-key"),)
     request = HttpRequest("GET", "/x", headers, b"body")
     caller = PlatformCallerProtocol().read_request(request)
--- a/walkcart/platform/tests/test_teams.py
+++ b/walkcart/platform/tests/test_teams.py
@@ -1,4 +1,4 @@
-"""Teams on the whole path: whose requests run, and what leafs and instances get."""
+"""Teams end to end: whose requests run, and what leaves and instances receive."""
 
 import msgspec
 import pytest
@@ -28,7 +28,7 @@
 from walkcart.wire.relays import RelayChanges, RelayCopy
 
 
-def test_every_way_of_a_request_names_its_team_and_holds_no_key(monkeypatch):
+def test_every_forwarded_request_names_its_team_and_contains_no_key(monkeypatch):
     sent = record_messages(monkeypatch)
 
     async def act(world):
@@ -50,7 +50,7 @@
     assert list_team_headers(questions) == {((b"riders",), False)}
 
 
-def test_no_key_is_in_anything_that_an_instance_puts_out(monkeypatch):
+def test_no_output_of_an_instance_contains_a_key(monkeypatch):
     sent = record_messages(monkeypatch)
 
     async def act(world):
@@ -91,13 +91,13 @@
     assert not any(b"secret-key" in value for value in stored)
     assert not any("secret-key" in str(page) for page in pages)
     assert not any("secret-key" in table for table in tables)
-    # The configuration itself goes to instances that the store turns away as it is.
+    # Instances that the store refuses get the configuration itself unchanged.
     others = [item for item in sent if not isinstance(item, RelayChanges | RelayCopy)]
     assert others
     assert not any(b"secret-key" in msgspec.msgpack.encode(item) for item in others)
 
 
-def test_without_teams_requests_pass_as_they_came(monkeypatch):
+def test_without_teams_requests_are_forwarded_unchanged(monkeypatch):
     sent = record_messages(monkeypatch)
     headers = ((b"x-tenant", b"clerks"), *show_key(RIDERS), (b"accept", b"*/*"))
 
@@ -118,13 +118,13 @@
         assert kept == headers
 
 
-def test_without_teams_a_fingerprint_is_what_it_always_was():
+def test_fingerprint_without_teams_is_stable():
     headers = ((b"host", b"shop"), (b"authorization", b"Bearer k"), (b"x-tenant", b"t"))
     request = HttpRequest("POST", "/one/x", headers, b"body")
     assert fingerprint_request(request).hex() == "3f50285b6db32ec9197b135c"
 
 
-def test_what_has_no_known_key_is_refused_at_once_and_nothing_is_sent():
+def test_request_without_a_known_key_is_refused_at_once_and_not_sent():
     async def act(world):
         start = trio.current_time()
         refused = [
@@ -166,7 +166,7 @@
         (FORGED_TEAM_HEADERS + show_key(FITTERS), (b"fitters",)),
     ],
 )
-def test_a_public_route_takes_all_and_tells_the_team_of_a_known_key(headers, told):
+def test_public_route_serves_all_and_names_the_team_of_a_known_key(headers, told):
     async def act(world):
         replies = [
             await world.ask("/open/x", name, headers=headers) for name in DATA_CENTRES
@@ -178,7 +178,7 @@
     assert list_team_headers(arrived) == {(told, False)}
 
 
-def test_an_empty_list_of_teams_lets_nobody_in_but_on_public_routes():
+def test_empty_list_of_teams_admits_requests_on_public_routes_only():
     async def act(world):
         one = await world.ask("/one/x", "north-a", headers=show_key(RIDERS))
         public = await world.ask("/open/x", "north-a", headers=show_key(RIDERS))
@@ -187,7 +187,7 @@
     assert with_teams(act, teams=[]) == (401, 200)
 
 
-def test_regions_of_a_team_bind_wherever_its_requests_are_gathered():
+def test_regions_of_a_team_apply_wherever_its_requests_are_gathered():
     teams = [make_team("riders", RIDERS, allowedRegions=["south"]), TEAMS[1]]
 
     async def act(world):
@@ -209,7 +209,7 @@
     assert 200 in statuses
 
 
-def test_a_region_that_only_a_team_names_and_nothing_is_in_is_logged_once():
+def test_unknown_region_of_a_team_is_logged_once():
     lost = [make_team("riders", RIDERS, allowedRegions=["west"]), TEAMS[1]]
 
     async def act(world):
--- a/walkcart/platform/tests/test_where_requests_go.py
+++ b/walkcart/platform/tests/test_where_requests_go.py
@@ -1,7 +1,8 @@
-"""Whatever operators and leafs do, no request reaches a leaf that it may not go to.
+"""No request reaches a leaf that it may not go to, whatever operators and leaves do.
 
-Each play walks all ways: first attempts, repeats, hedges, late parts, groups at other
-instances, splits and single leafs, beside changes, evacuations, cuts and restarts.
+Each run uses all ways of sending: first attempts, repeats, hedges, late parts, groups
+at other instances, splits and single leaves, during configuration changes, evacuations,
+cuts and restarts.
 """
 
 from pathlib import Path
@@ -18,13 +19,14 @@
 
 DATA_CENTRES = ("north-a", "south-a", "east-a")
 SHARDS = [f"shard-{number}" for number in range(3)]
-#: Seconds within which what operators store is in force at every instance.
+#: Maximum time until a change by operators is in force everywhere, in seconds.
 IN_FORCE = 1.0
+#: Duration of a run, in seconds.
 SECONDS = 12.0
 
 
-class Story:
-    """What operators stored, by time, and what arrived where."""
+class History:
+    """The operators' changes by time, and the arrivals that violate them."""
 
     def __init__(self):
         self.regions = {}
@@ -32,14 +34,14 @@
         self.wrong = []
         self.arrived = 0
 
-    def note_regions(self, route, names):
+    def record_regions(self, route, names):
         self.regions.setdefault(route, []).append((trio.current_time(), names))
 
-    def note_evacuated(self, data_centre, stands):
+    def record_evacuation(self, data_centre, stands):
         self.evacuated[data_centre].append((trio.current_time(), stands))
 
     def allows(self, route, region):
-        """Return whether any configuration of late let a route go to a region."""
+        """Return whether any recent configuration allowed the region for the route."""
         now = trio.current_time()
         held = self.regions[route]
         ends = [at for at, _ in held[1:]] + [now]
@@ -51,7 +53,7 @@
         return any(not names or region in names for names in recent)
 
     def is_evacuated(self, data_centre):
-        """Return whether an evacuation has stood for long enough."""
+        """Return whether an evacuation has been in place for longer than `IN_FORCE`."""
         held = self.evacuated[data_centre]
         return (
             bool(held)
@@ -59,7 +61,7 @@
             and (trio.current_time() - held[-1][0] > IN_FORCE)
         )
 
-    def note_arrival(self, route, data_centre):
+    def record_arrival(self, route, data_centre):
         self.arrived += 1
         if not self.allows(route, REGIONS[data_centre]):
             self.wrong.append((route, data_centre, "region"))
@@ -67,12 +69,12 @@
             self.wrong.append((route, data_centre, "evacuated"))
 
 
-class WatchedLeaf(PlatformLeafStandin):
-    """Tells the story what arrives."""
+class RecordingLeaf(PlatformLeafStandin):
+    """A leaf that records arrivals in a history."""
 
     async def handle(self, request):
         route = request.target.split("/")[1]
-        self.story.note_arrival(route, self.id[-7:].lstrip("-"))
+        self.history.record_arrival(route, self.id[-7:].lstrip("-"))
         return await PlatformLeafStandin.handle(self, request)
 
 
@@ -89,23 +91,23 @@
 }
 
 
-def configure(world, story, random):
+def configure(world, history, random):
     routes = []
     for name, fields in ROUTES.items():
         count = random.choice([0, 0, 1, 2])
         names = random.sample(["north", "south", "east"], count)
-        story.note_regions(name, names)
+        history.record_regions(name, names)
         routes.append(make_route(name, f"/{name}/", allowedRegions=names, **fields))
     world.configure(*routes)
 
 
-async def disturb(world, story, random):
+async def inject_faults(world, history, random):
     while True:
         await trio.sleep(random.uniform(0.3, 1.2))
         leaf = random.choice(list(world.leafs.values()))
         match random.choice(["configure", "evacuate", "leaf", "restart", "cut"]):
             case "configure":
-                configure(world, story, random)
+                configure(world, history, random)
             case "evacuate":
                 name = random.choice(DATA_CENTRES)
                 key = f"op/evacuate/{name}"
@@ -113,7 +115,7 @@
                     world.store.put(key, {})
                 else:
                     world.store.remove(key)
-                story.note_evacuated(name, stands)
+                history.record_evacuation(name, stands)
             case "leaf":
                 leaf.faults.delay = random.choice([0.0, 0.15, 0.6])
                 leaf.faults.drop = random.random() < 0.3
@@ -130,43 +132,43 @@
                 world.network.heal(one, other)
 
 
-async def ask(world, random):
+async def send(world, random):
     name = random.choice(DATA_CENTRES)
     try:
         with trio.move_on_after(3):
             await world.ask(f"/{random.choice(list(ROUTES))}/x", name)
     except (OSError, ExchangeFailed):
-        # The instance has just ended; callers see that.
+        # The instance was just stopped, which callers notice.
         return
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_request_reaches_a_leaf_that_it_may_not_go_to(seed):
+def test_no_request_reaches_a_forbidden_leaf(seed):
     async def run():
-        random, story = Random(seed), Story()
+        random, history = Random(seed), History()
         async with open_platform() as world:
             for service in (*SHARDS, "single"):
                 for data_centre in DATA_CENTRES:
-                    leaf = WatchedLeaf(f"{service}-{data_centre}", records=b"r" * 16)
-                    leaf.story = story
+                    leaf = RecordingLeaf(f"{service}-{data_centre}", records=b"r" * 16)
+                    leaf.history = history
                     await world.run_leaf(leaf, service, data_centre)
-            configure(world, story, random)
+            configure(world, history, random)
             for name in DATA_CENTRES:
                 await world.start_instance(name, name)
             for name in DATA_CENTRES:
                 await world.wait_ready(name)
             await trio.sleep(3)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(disturb, world, story, random)
+                nursery.start_soon(inject_faults, world, history, random)
                 for _ in range(int(SECONDS / 0.05)):
-                    nursery.start_soon(ask, world, random)
+                    nursery.start_soon(send, world, random)
                     await trio.sleep(0.05)
                 nursery.cancel_scope.cancel()
-        return story
+        return history
 
-    story = run_mocked(run)
-    assert story.arrived > 100
-    assert story.wrong == []
+    history = run_mocked(run)
+    assert history.arrived > 100
+    assert history.wrong == []
 
 
 def find_uses(word):
@@ -178,15 +180,15 @@
     }
 
 
-def test_requests_leave_by_ways_that_ask_and_by_no_other():
-    # Links ask before the first byte; only pool and gateway have links.
+def test_requests_are_sent_only_by_code_that_checks_the_receiver():
+    # Links call the admission check before the first byte; only these files use links.
     assert "leaves/link.py" in find_uses("_tools.admit(")
     assert find_uses("link.submit(") <= {
         "leaves/pool.py",
         "leaves/gateway.py",
         "leaves/forwarding.py",
     }
-    # The only message with a request's body is made where the receiver is checked.
+    # The only message with a request's body is built where the receiver is checked.
     assert find_uses("encode_question(") == {
         "fanout/delegationcodec.py",
         "fanout/delegationclient.py",
--- a/walkcart/platform/tests/test_whole_path.py
+++ b/walkcart/platform/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform: from the caller over the instance to leafs."""
+"""End-to-end tests on the platform: from the caller through an instance to leaves."""
 
 import trio
 
@@ -7,7 +7,7 @@
 from walkcart.wire.http import ExchangeFailed
 
 
-def on_platform(action, data_centre="north-a", **leaf_details):
+def run_on_platform(action, data_centre="north-a", **leaf_details):
     """Run `action(world)` with one instance, three shards and one plain service."""
 
     async def run():
@@ -32,15 +32,15 @@
             )
             await world.start_instance(data_centre=data_centre)
             await world.wait_ready()
-            # A young instance has hardly any repeats to spend.
+            # A newly started instance has a budget of hardly any repeats.
             await trio.sleep(10)
             return await action(world)
 
     return run_mocked(run)
 
 
-def test_a_question_to_all_shards_gets_the_greatest_records_and_their_stamps():
-    reply = on_platform(lambda world: world.ask("/all/x"))
+def test_merged_answer_has_the_greatest_records_and_all_stamps():
+    reply = run_on_platform(lambda world: world.ask("/all/x"))
     assert reply.status == 200
     assert reply.body == b"C" * 16 + b"B" * 16
     stamps = reply.header(b"x-part-stamps").split(", ")
@@ -48,14 +48,14 @@
     assert reply.header(b"x-missing-parts") is None
 
 
-def test_leafs_get_the_request_as_it_came():
+def test_leaves_get_the_request_unchanged_but_for_hop_headers():
     async def act(world):
         headers = ((b"x-colour", b"red"), (b"connection", b"close, x-hop"))
         headers += ((b"x-hop", b"1"), (b"x-expect-instance", b"nobody"))
         await world.ask("/one/a%2Fb?c=d", method="PUT", body=b"body", headers=headers)
         return next(leaf for leaf in world.leafs.values() if leaf.arrived).arrived[0]
 
-    request = on_platform(act)
+    request = run_on_platform(act)
     assert (request.method, request.target) == ("PUT", "/one/a%2Fb?c=d")
     assert request.body == b"body"
     assert request.header(b"x-colour") == "red"
@@ -65,42 +65,42 @@
     assert 1900 < int(request.header(b"x-deadline-ms")) <= 2000
 
 
-def test_a_single_answer_passes_unchanged():
-    reply = on_platform(lambda world: world.ask("/one/x"))
+def test_reply_of_a_single_leaf_is_forwarded_unchanged():
+    reply = run_on_platform(lambda world: world.ask("/one/x"))
     assert (reply.status, reply.body) == (200, b"whole body")
     assert reply.header(b"x-response-stamp").endswith("request-1")
     assert reply.header(b"x-request-id") == "request-1"
 
 
-def test_a_path_without_a_route_is_not_found():
-    assert on_platform(lambda world: world.ask("/other/x")).status == 404
+def test_path_without_a_route_is_not_found():
+    assert run_on_platform(lambda world: world.ask("/other/x")).status == 404
 
 
-def test_shards_that_are_late_at_the_objective_are_left_out_and_counted():
+def test_shards_later_than_the_objective_are_omitted_and_counted():
     async def act(world):
         for number in range(2):
             world.leafs[f"i-1{number}"].faults.delay = 1.0
         return await world.ask("/all/x"), trio.current_time()
 
-    reply, _ = on_platform(act)
+    reply, _ = run_on_platform(act)
     assert reply.status == 200
     assert reply.header(b"x-missing-parts") == "1"
     assert reply.body == b"C" * 16 + b"A" * 16
     assert len(reply.header(b"x-part-stamps").split(", ")) == 2
 
 
-def test_too_few_shards_are_no_answer():
+def test_too_few_shards_give_no_answer():
     async def act(world):
         for leaf in world.leafs.values():
             leaf.faults.drop = True
         return await world.ask("/all/x")
 
-    reply = on_platform(act)
+    reply = run_on_platform(act)
     assert reply.status == 502
     assert reply.header(b"x-part-stamps") is None
 
 
-def test_a_stalled_leaf_is_hedged_at_its_sibling():
+def test_stalled_leaf_is_hedged_at_another_leaf_of_the_shard():
     async def act(world):
         for _ in range(40):
             await world.ask("/all/x")
@@ -109,46 +109,46 @@
         reply = await world.ask("/all/x")
         return reply, trio.current_time() - start
 
-    reply, elapsed = on_platform(act)
+    reply, elapsed = run_on_platform(act)
     assert reply.header(b"x-missing-parts") is None
     assert elapsed < 0.18
 
 
-def test_a_refused_request_goes_to_another_leaf():
+def test_refused_request_goes_to_another_leaf():
     async def act(world):
         world.leafs["p-0"].faults.refuse = True
         replies = [await world.ask("/once/x", method="POST") for _ in range(6)]
         return replies, world
 
-    replies, world = on_platform(act)
+    replies, world = run_on_platform(act)
     assert [reply.status for reply in replies] == [200] * 6
     assert world.leafs["p-0"].ran == []
 
 
-def test_what_must_not_repeat_runs_once_when_its_answer_is_lost():
+def test_non_idempotent_request_runs_once_when_its_reply_is_lost():
     async def act(world):
         for number in range(2):
             world.leafs[f"p-{number}"].faults.drop = True
         reply = await world.ask("/once/x", method="POST")
         return reply, [id for leaf in world.leafs.values() for id in leaf.ran]
 
-    reply, ran = on_platform(act)
+    reply, ran = run_on_platform(act)
     assert reply.status == 502
     assert ran == ["request-1"]
 
 
-def test_all_leafs_full_is_told_as_not_run_with_when_to_come_back():
+def test_refusal_by_all_leaves_is_reported_as_not_run_with_retry_after():
     async def act(world):
         for number in range(2):
             world.leafs[f"p-{number}"].faults.refuse = True
         return await world.ask("/once/x", method="POST")
 
-    reply = on_platform(act)
+    reply = run_on_platform(act)
     assert reply.status == 503
     assert float(reply.header(b"retry-after")) > 0
 
 
-def test_a_leafs_failure_passes_unchanged_but_for_a_false_promise():
+def test_failure_of_a_leaf_is_forwarded_unless_its_status_is_a_false_promise():
     async def act(world):
         replies = []
         for status in (500, 503):
@@ -157,30 +157,30 @@
             replies.append(await world.ask("/once/x", method="POST"))
         return replies
 
-    failed, promised = on_platform(act)
+    failed, promised = run_on_platform(act)
     assert failed.status == 500
     assert failed.header(b"x-response-stamp")
-    # It ran, so a status that promises otherwise must not reach the caller.
+    # The request ran, so a status that promises otherwise must not reach the caller.
     assert promised.status == 502
     assert promised.header(b"x-response-stamp") is None
 
 
-def test_a_reply_to_another_request_is_never_taken():
+def test_reply_to_another_request_is_never_used():
     async def act(world):
         for number in range(2):
             world.leafs[f"p-{number}"].faults.other_id = True
         return await world.ask("/once/x", method="POST")
 
-    assert on_platform(act).status in (502, 504)
+    assert run_on_platform(act).status in (502, 504)
 
 
-def test_a_success_without_a_stamp_is_no_answer():
+def test_success_without_a_stamp_is_not_used():
     async def act(world):
         for number in range(2):
             world.leafs[f"p-{number}"].faults.unstamped = True
         return await world.ask("/one/x")
 
-    assert on_platform(act).status == 502
+    assert run_on_platform(act).status == 502
 
 
 def test_work_stops_when_the_caller_leaves():
@@ -192,10 +192,10 @@
         await trio.sleep(0.2)
         return sum(leaf.running for leaf in world.leafs.values())
 
-    assert on_platform(act) == 0
+    assert run_on_platform(act) == 0
 
 
-def test_a_route_holds_a_request_no_longer_than_its_timeout():
+def test_route_holds_a_request_no_longer_than_its_timeout():
     async def act(world):
         for number in range(2):
             world.leafs[f"p-{number}"].faults.delay = 60.0
@@ -203,12 +203,12 @@
         reply = await world.ask("/once/x", method="POST", deadline_ms=60_000)
         return reply.status, trio.current_time() - start
 
-    status, elapsed = on_platform(act)
+    status, elapsed = run_on_platform(act)
     assert status == 504
     assert 1.9 < elapsed < 2.3
 
 
-def test_a_draining_leaf_gets_nothing_new():
+def test_draining_leaf_gets_no_new_requests():
     async def act(world):
         world.drain_leaf("p-0")
         await trio.sleep(0.5)
@@ -216,34 +216,34 @@
             await world.ask("/one/x")
         return world.leafs["p-0"].arrived
 
-    assert on_platform(act) == []
+    assert run_on_platform(act) == []
 
 
-def test_an_address_that_went_to_another_leaf_is_forgotten():
+def test_address_taken_over_by_another_leaf_is_dropped():
     async def act(world):
         world.leafs["p-0"].id = "somebody-else"
         replies = [await world.ask("/once/x", method="POST") for _ in range(10)]
         return replies, world.leafs["p-0"]
 
-    replies, leaf = on_platform(act)
+    replies, leaf = run_on_platform(act)
     assert [reply.status for reply in replies] == [200] * 10
     assert len(leaf.arrived) <= 1
     assert leaf.ran == []
 
 
-def test_a_planned_stop_answers_what_it_took():
+def test_planned_stop_answers_all_accepted_requests():
     async def act(world):
         for number in range(2):
             world.leafs[f"p-{number}"].faults.delay = 1.0
         tenant = world.tenants["one"].tenant
         replies = []
 
-        async def keep_asking():
+        async def send_in_turn():
             for _ in range(4):
                 replies.append(await world.ask("/once/x", method="POST"))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(keep_asking)
+            nursery.start_soon(send_in_turn)
             await trio.sleep(0.5)
             nursery.start_soon(tenant.stop.stop)
             await trio.sleep(0.5)
@@ -251,14 +251,14 @@
         return ready, [reply.status for reply in replies if reply]
 
     try:
-        ready, statuses = on_platform(act)
+        ready, statuses = run_on_platform(act)
     except* (ExchangeFailed, OSError):
         raise AssertionError("a request in progress was cut") from None
     assert ready == 503
     assert set(statuses) == {200}
 
 
-def test_a_new_version_is_in_force_soon_and_an_older_one_never_again():
+def test_new_version_is_in_force_soon_and_an_older_one_is_ignored():
     async def act(world):
         first = world.configure(make_route("one", "/one/", backend="plain"))
         world.configure(make_route("two", "/two/", backend="plain"))
@@ -269,10 +269,10 @@
         await trio.sleep(0.5)
         return newer, (await world.ask("/one/x")).status
 
-    assert on_platform(act) == ((200, 404), 404)
+    assert run_on_platform(act) == ((200, 404), 404)
 
 
-def test_an_instance_without_a_configuration_is_not_ready_and_says_not_run():
+def test_instance_without_a_configuration_is_not_ready_and_replies_not_run():
     async def run():
         async with open_platform() as world:
             await world.start_instance()
@@ -286,7 +286,7 @@
     assert float(reply.header(b"retry-after")) > 0
 
 
-def test_weights_divide_the_requests():
+def test_requests_are_split_by_weight():
     async def run():
         async with open_platform() as world:
             await world.start_leaf("a", "left", records=b"x", work=0.001)
