--- a/walkcart/platform/tests/test_suspended_instances.py
+++ b/walkcart/platform/tests/test_suspended_instances.py
@@ -175,7 +175,7 @@
     """A stand-in for another instance that has links only."""
 
     def __init__(self, instance):
-        self.received = []
+        self.heard = []
         self._instance = instance
 
     async def start(self, nursery):
@@ -196,12 +196,12 @@
             listener, transport, book, events, Metrics(None, "asker")
         )
         for kind in (Greeting, DelegatedTaken, DelegatedFailure):
-            self.links.on(kind, lambda sender, message: self.received.append(message))
+            self.links.on(kind, lambda sender, message: self.heard.append(message))
         await nursery.start(self.links.run)
 
     async def wait_for(self, kind):
         while True:
-            found = [item for item in self.received if isinstance(item, kind)]
+            found = [item for item in self.heard if isinstance(item, kind)]
             if found:
                 return found[-1]
             await trio.sleep(0.01)
@@ -233,22 +233,22 @@
             await trio.sleep(0.3)
             nursery.cancel_scope.cancel()
         ran = sum(len(leaf.ran) for leaf in world.leafs.values())
-        return [type(item) for item in asker.received], ran
+        return [type(item) for item in asker.heard], ran
 
     return run_with_instance(act, counts)
 
 
 def test_question_that_waited_during_a_suspension_is_not_started():
-    received, ran = delegate_while_suspended(counts=True)
-    assert DelegatedTaken not in received
-    assert received[-1] is DelegatedFailure
+    heard, ran = delegate_while_suspended(counts=True)
+    assert DelegatedTaken not in heard
+    assert heard[-1] is DelegatedFailure
     assert ran == 0
 
 
 def test_question_would_be_started_by_a_clock_that_stops():
     """Show that the test above can fail: with the clock that trio uses by default."""
-    received, ran = delegate_while_suspended(counts=False)
-    assert DelegatedTaken in received
+    heard, ran = delegate_while_suspended(counts=False)
+    assert DelegatedTaken in heard
     assert ran == 1
 
 
