--- a/walkcart/bench/experiments.py
+++ b/walkcart/bench/experiments.py
@@ -207,7 +207,7 @@
         round(tally.coverage, 5),
         round(tally.extra_load, 5),
         round(answers / (scenario.seconds - scenario.warm_up), 2),
-        max(leaf.most_connections for leaf in leaves),
+        max(leaf.peak_connections for leaf in leaves),
         sum(
             item.find("invariants", Invariants).broken
             for item in world.instances.values()
--- a/walkcart/bench/injection.py
+++ b/walkcart/bench/injection.py
@@ -10,7 +10,7 @@
 import trio
 
 from walkcart.bench.world import RunningLeaf, World, make_service
-from walkcart.intent.applying import Accepted, Raced, Unknown
+from walkcart.intent.applying import Accepted, ChangeConflict, Unknown
 from walkcart.standins.balancer import BalancerStandin
 from walkcart.standins.leaf_faults import LeafFaults
 from walkcart.standins.store import StoreFaults
@@ -276,5 +276,5 @@
                 if revision in self._accepted:
                     self.broken.append(f"revision {revision} was accepted twice")
                 self._accepted.append(revision)
-            case Raced() | Unknown():
+            case ChangeConflict() | Unknown():
                 pass
--- a/walkcart/bench/pages.py
+++ b/walkcart/bench/pages.py
@@ -13,7 +13,7 @@
 from walkcart.intent.model import KINDS, Layout
 from walkcart.kernel.events import list_events
 from walkcart.kernel.metrics import CATALOGUE
-from walkcart.kernel.settings import ENVIRONMENT_PREFIX, Settings, flag_of
+from walkcart.kernel.settings import ENVIRONMENT_PREFIX, Settings, format_flag
 
 DOCS = Path(__file__).resolve().parents[2] / "docs"
 NOTE = "Made from the code by `python -m walkcart.bench pages`; a test compares.\n\n"
@@ -65,7 +65,7 @@
         default = item.metadata["default"]
         help = item.metadata["help"]
         lines.append(
-            f"| `{flag_of(item.name)}` | `{variable}` | `{default}` | {help} |"
+            f"| `{format_flag(item.name)}` | `{variable}` | `{default}` | {help} |"
         )
     return "\n".join(lines) + "\n"
 
--- a/walkcart/bench/replay.py
+++ b/walkcart/bench/replay.py
@@ -31,7 +31,7 @@
 from walkcart.bench.harness import TOKENS, run_mocked
 from walkcart.bench.load import name_outcome
 from walkcart.bench.world import World, make_partner, make_service
-from walkcart.intent.applying import Accepted, Raced
+from walkcart.intent.applying import Accepted, ChangeConflict
 from walkcart.intent.distribution import ConfigurationKeeper
 from walkcart.once.keys import make_key
 from walkcart.standins.memory import MemoryNetwork
@@ -215,7 +215,7 @@
         match outcome:
             case Accepted():
                 self._seen["changes accepted"] += 1
-            case Raced():
+            case ChangeConflict():
                 self._seen["changes in conflict"] += 1
             case _:
                 self._seen["changes otherwise"] += 1
--- a/walkcart/bench/routed/instances.py
+++ b/walkcart/bench/routed/instances.py
@@ -268,7 +268,7 @@
     async def _gather(
         self, question: RoutedQuestion, top: int, handover: Handover
     ) -> Outcome:
-        question = replace(question, rank=self.keeper.table.rank_of(question.kind))
+        question = replace(question, rank=self.keeper.table.find_rank(question.kind))
         handing = MergingHandover(handover, merge_parts)
         gathering = RoutedGathering(self.gathering, question, handover=handing)
         return (await gathering.run()).map(merge_parts)
--- a/walkcart/bench/soak.py
+++ b/walkcart/bench/soak.py
@@ -230,7 +230,7 @@
         for item in self._world.leaves_ever:
             ran.update(run.body for run in item.runs)
             once.update(item.once)
-            if item.most_connections > item.spec.connections:
+            if item.peak_connections > item.spec.connections:
                 self._break(f"{item.spec.name} had too many connections")
         for body in self._not_run:
             if body in ran:
--- a/walkcart/bench/world.py
+++ b/walkcart/bench/world.py
@@ -17,7 +17,7 @@
 import trio
 
 from walkcart.daemon.assembly import Instance, assemble_instance, make_backoff
-from walkcart.daemon.surroundings import Surroundings
+from walkcart.daemon.environment import Environment
 from walkcart.intent.applying import Applier, Outcome, Proposal
 from walkcart.intent.diffing import merge_configurations
 from walkcart.intent.distribution import ConfigurationKeeper
@@ -223,7 +223,7 @@
             **self._changes,
             **changes,
         }
-        around = Surroundings(
+        around = Environment(
             self.network(site),
             self._transport(site),
             self.clock,
--- a/walkcart/cli/changes.py
+++ b/walkcart/cli/changes.py
@@ -24,9 +24,9 @@
 from walkcart.cli.waiting import describe_race, wait_in_force
 from walkcart.intent.applying import (
     Accepted,
+    ChangeConflict,
     Outcome,
     Proposal,
-    Raced,
     Refused,
     Unchanged,
     Unknown,
@@ -174,7 +174,7 @@
             case Refused(faults):
                 lines = [str(fault) for fault in faults]
                 raise CommandFailed(Exit.INVALID, *lines)
-            case Raced():
+            case ChangeConflict():
                 raise CommandFailed(Exit.CONFLICT, *describe_race(outcome))
             case Unknown(id, True):
                 detail = f"the store can't say whether change {id} was accepted"
--- a/walkcart/cli/waiting.py
+++ b/walkcart/cli/waiting.py
@@ -9,7 +9,7 @@
 from walkcart.cli.clients import fetch_json
 from walkcart.cli.exits import CommandFailed
 from walkcart.cli.settings import ToolSettings
-from walkcart.intent.applying import Raced
+from walkcart.intent.applying import ChangeConflict
 from walkcart.kernel.settings import parse_host_port
 
 WAIT_INTERVAL = 0.1
@@ -17,7 +17,7 @@
 ASKED_AT_ONCE = 32
 
 
-def describe_race(raced: Raced) -> list[str]:
+def describe_race(raced: ChangeConflict) -> list[str]:
     """Return lines that show both sides of a conflict."""
     change = raced.change
     lines = [
--- a/walkcart/daemon/__init__.py
+++ b/walkcart/daemon/__init__.py
@@ -1,6 +1,6 @@
 """The daemon, ``walkcartd``: one instance."""
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Instance": "assembly",
@@ -11,4 +11,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/daemon/assembly.py
+++ b/walkcart/daemon/assembly.py
@@ -13,8 +13,8 @@
 
 import trio
 
+from walkcart.daemon.environment import Environment
 from walkcart.daemon.instanceleaves import add_leaves
-from walkcart.daemon.surroundings import Surroundings
 from walkcart.entry.admissions import Admissions
 from walkcart.entry.app import EntryService
 from walkcart.entry.credentials import Authenticator
@@ -72,7 +72,7 @@
     peer_address: HostPort
 
 
-async def assemble_instance(settings: Settings, around: Surroundings) -> Instance:
+async def assemble_instance(settings: Settings, around: Environment) -> Instance:
     """Take the addresses and put the services together.
 
     Raises:
@@ -97,7 +97,7 @@
     return Instance(kernel, stop, address, peers.address)
 
 
-def _add_base(kernel: Kernel, settings: Settings, around: Surroundings) -> None:
+def _add_base(kernel: Kernel, settings: Settings, around: Environment) -> None:
     clock = around.clock
     events = EventLog(settings.instance, clock, around.log, settings.log_level)
     metrics = Metrics(settings.statsd, settings.instance)
@@ -118,7 +118,7 @@
 def _add_membership(
     kernel: Kernel,
     settings: Settings,
-    around: Surroundings,
+    around: Environment,
     peers: PeerListener,
     address: HostPort,
 ) -> None:
@@ -166,7 +166,7 @@
     kernel.add("listing", listing)
 
 
-def _add_intent(kernel: Kernel, around: Surroundings) -> None:
+def _add_intent(kernel: Kernel, around: Environment) -> None:
     detector = kernel.find("detector", Detector)
     keeper = ConfigurationKeeper(
         kernel.find("store", StoreClient),
@@ -187,7 +187,7 @@
     return Backoff(timedelta(seconds=0.1), timedelta(seconds=2), random)
 
 
-def _add_once(kernel: Kernel, around: Surroundings) -> None:
+def _add_once(kernel: Kernel, around: Environment) -> None:
     tools = OwnerTools(
         kernel.find("store", StoreClient),
         around.clock,
@@ -209,7 +209,7 @@
 def _add_entry(
     kernel: Kernel,
     settings: Settings,
-    around: Surroundings,
+    around: Environment,
     listener: trio.abc.Listener[trio.abc.Stream],
 ) -> None:
     keeper = kernel.find("keeper", ConfigurationKeeper)
@@ -256,7 +256,7 @@
     kernel.add("entry", entry)
 
 
-def _make_stop(kernel: Kernel, settings: Settings, around: Surroundings) -> PlannedStop:
+def _make_stop(kernel: Kernel, settings: Settings, around: Environment) -> PlannedStop:
     return PlannedStop(
         kernel.find("entry", EntryService),
         kernel.find("view", MembershipView),
--- a/walkcart/daemon/surroundings.py
+++ b/walkcart/daemon/environment.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class Environment:
     """What an instance runs on."""
 
     network: Network
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TenantSurroundings:
+class TenantEnvironment:
     """What the instance runs on.
 
     Args:
--- a/walkcart/daemon/instanceleaves.py
+++ b/walkcart/daemon/instanceleaves.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from walkcart.daemon.surroundings import Surroundings
+from walkcart.daemon.environment import Environment
 from walkcart.fanout.gatherer import Gatherer
 from walkcart.fanout.gathering import GatherTools
 from walkcart.fanout.ids import IdSource
@@ -31,7 +31,7 @@
 from walkcart.routing.replicas import ReplicaChooser
 
 
-def add_leaves(kernel: Kernel, around: Surroundings) -> None:
+def add_leaves(kernel: Kernel, around: Environment) -> None:
     """Add the leaves, the ways to them and what asks them."""
     events = kernel.find("events", EventLog)
     metrics = kernel.find("metrics", Metrics)
@@ -88,7 +88,7 @@
     listing.on_change(lambda leaves: use_groups())
 
 
-def _add_quarantines(kernel: Kernel, around: Surroundings) -> Quarantines:
+def _add_quarantines(kernel: Kernel, around: Environment) -> Quarantines:
     """Add what remembers requests under which leafs ended, and tells of them."""
     view = kernel.find("view", MembershipView)
     quarantine = Quarantine()
--- a/walkcart/daemon/main.py
+++ b/walkcart/daemon/main.py
@@ -11,9 +11,14 @@
 import trio
 
 from walkcart.daemon.assembly import Instance, assemble_instance
-from walkcart.daemon.surroundings import Surroundings
+from walkcart.daemon.environment import Environment
 from walkcart.kernel.clock import BootClock, TrioClock
-from walkcart.kernel.settings import Loaded, Settings, describe_settings, load_settings
+from walkcart.kernel.settings import (
+    LoadedSettings,
+    Settings,
+    describe_settings,
+    load_settings,
+)
 from walkcart.wire.network import TcpNetwork
 from walkcart.wire.peers import NngTransport
 
@@ -52,7 +57,7 @@
     return trio.run(_run_instance, loaded.settings, clock=BootClock())
 
 
-def _print_settings(loaded: Loaded) -> None:
+def _print_settings(loaded: LoadedSettings) -> None:
     for name, value, source in describe_settings(loaded):
         print(f"{name:20} {value:24} {source}")
 
@@ -60,17 +65,17 @@
 def _print_help() -> None:
     from dataclasses import fields
 
-    from walkcart.kernel.settings import ENVIRONMENT_PREFIX, flag_of
+    from walkcart.kernel.settings import ENVIRONMENT_PREFIX, format_flag
 
     print("usage: walkcartd [--check-settings] [--FLAG VALUE ...]\n")
     for item in fields(Settings):
         variable = ENVIRONMENT_PREFIX + item.name.upper()
-        print(f"{flag_of(item.name)}, {variable}")
+        print(f"{format_flag(item.name)}, {variable}")
         print(f"    {item.metadata['help']} Default: {item.metadata['default']!r}.")
 
 
 async def _run_instance(settings: Settings) -> int:
-    around = Surroundings(TcpNetwork(), NngTransport(), TrioClock(), Random())
+    around = Environment(TcpNetwork(), NngTransport(), TrioClock(), Random())
     try:
         instance = await assemble_instance(settings, around)
     except OSError as error:
--- a/walkcart/daemon/platform.py
+++ b/walkcart/daemon/platform.py
@@ -21,7 +21,7 @@
 
 from walkcart.daemon.tenant import (
     Tenant,
-    TenantSurroundings,
+    TenantEnvironment,
     assemble_tenant,
 )
 from walkcart.kernel.clock import BootClock, TrioClock
@@ -70,7 +70,7 @@
 
 async def _run(settings: PlatformSettings, path: Path, port: int) -> int:
     log = cast(TextIO, LogSink(sys.stdout.fileno()))
-    around = TenantSurroundings(
+    around = TenantEnvironment(
         TcpNetwork(), NngTransport(), TrioClock(), Random(), log, port
     )
     try:
@@ -123,7 +123,7 @@
     except BadSettings as error:
         events.emit(Events.SETTINGS_BAD, detail=str(error))
         return
-    tenant.kernel.find("calls", StoreCalls).move(settings.store)
+    tenant.kernel.find("calls", StoreCalls).set_address(settings.store)
     events.emit(Events.SETTINGS_RELOADED, store=str(settings.store))
 
 
--- a/walkcart/daemon/tenant.py
+++ b/walkcart/daemon/tenant.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from walkcart.daemon.surroundings import ListenerService, TenantSurroundings
+from walkcart.daemon.environment import ListenerService, TenantEnvironment
 from walkcart.daemon.tenantlimits import add_limits
 from walkcart.daemon.tenantserving import (
     add_delegates,
@@ -23,7 +23,7 @@
 from walkcart.fanout.delegationserver import DelegationServer
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.registry import Kernel
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.membership.quotashares import QuotaShares
 from walkcart.membership.registration import Registration
 from walkcart.platform.callerprotocol import PlatformCallerProtocol
@@ -45,7 +45,7 @@
 
 
 async def assemble_tenant(
-    settings: PlatformSettings, around: TenantSurroundings
+    settings: PlatformSettings, around: TenantEnvironment
 ) -> Tenant:
     """Take the addresses and put the services together.
 
@@ -69,7 +69,7 @@
         service.handle_readiness,
         ServerLimits(),
         PlatformCallerProtocol().render_fault,
-        on_error=partial(note_task_fault, events, "question of the balancer"),
+        on_error=partial(log_task_error, events, "question of the balancer"),
     )
     kernel.add("readiness", ListenerService(readiness, server))
     if around.metrics_port:
--- a/walkcart/daemon/tenantlimits.py
+++ b/walkcart/daemon/tenantlimits.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from walkcart.daemon.surroundings import TenantSurroundings
+from walkcart.daemon.environment import TenantEnvironment
 from walkcart.entry.teamlimits import DistributedRateLimiter
 from walkcart.fanout.gatheringinstances import GatheringInstances
 from walkcart.intent.routekeeper import RouteKeeper
@@ -51,12 +51,12 @@
     def find(self, team: str) -> tuple[int, RateLimit | None]:
         """Return the version in force and the limit of a team."""
         table = self._keeper.table
-        found = table.teams.named(team)
+        found = table.teams.find_by_name(team)
         return table.document.version, found.limit if found else None
 
 
 def add_cold_shares(
-    kernel: Kernel, around: TenantSurroundings, gatherers: GatheringInstances
+    kernel: Kernel, around: TenantEnvironment, gatherers: GatheringInstances
 ) -> None:
     """Add what divides the bounds of cold leafs among the instances."""
     cold = kernel.find("cold", ColdLimiter)
@@ -72,7 +72,7 @@
 
 
 def add_limits(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, around: TenantEnvironment
 ) -> None:
     """Add what holds teams to their rate limits, over all instances together."""
     registration = kernel.find("registration", Registration)
--- a/walkcart/daemon/tenantserving.py
+++ b/walkcart/daemon/tenantserving.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from walkcart.daemon.surroundings import ListenerService, TenantSurroundings
+from walkcart.daemon.environment import ListenerService, TenantEnvironment
 from walkcart.daemon.tenantlimits import add_cold_shares
 from walkcart.daemon.tenantstore import make_store_backoff
 from walkcart.entry.overloadgate import OverloadGate
@@ -39,7 +39,7 @@
 from walkcart.kernel.registry import Kernel
 from walkcart.kernel.settings import HostPort
 from walkcart.kernel.spans import Tracer
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.leaves.directory import LeafDirectory
 from walkcart.leaves.pool import LeafPool
 from walkcart.membership.links import PeerLinks
@@ -55,7 +55,7 @@
 from walkcart.routing.quarantine import Quarantine
 from walkcart.routing.repeats import RepeatBudget, RepeatLimits
 from walkcart.store.calls import StoreCalls
-from walkcart.store.following import PrefixFollower
+from walkcart.store.follower import PrefixFollower
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.peers import PeerListener, PeerTransport
 from walkcart.wire.server import HttpServer, ServerLimits
@@ -82,7 +82,7 @@
 def add_delegates(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantSurroundings,
+    around: TenantEnvironment,
     peers: PeerListener,
 ) -> None:
     """Add the links to other instances and what gathers by them."""
@@ -166,7 +166,7 @@
     kernel.add("gathering", gathering)
 
 
-def add_relay(kernel: Kernel, around: TenantSurroundings, links: PeerLinks) -> None:
+def add_relay(kernel: Kernel, around: TenantEnvironment, links: PeerLinks) -> None:
     """Add what passes stored changes on between instances."""
     registration = kernel.find("registration", Registration)
     relay = Relay(
@@ -187,7 +187,7 @@
 
 def add_quarantines(
     kernel: Kernel,
-    around: TenantSurroundings,
+    around: TenantEnvironment,
     links: PeerLinks,
     gatherers: GatheringInstances,
 ) -> Quarantines:
@@ -231,7 +231,7 @@
 def add_entry(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantSurroundings,
+    around: TenantEnvironment,
     listener: trio.abc.Listener[trio.abc.Stream],
 ) -> None:
     """Add the callers' service."""
@@ -247,7 +247,7 @@
         around.random,
         events,
         metrics,
-        lambda team: keeper.table.teams.claim_of(team),
+        lambda team: keeper.table.teams.find_share_weight(team),
         lambda: keeper.table.document.teams is not None,
     )
     kernel.add("room", room)
@@ -280,7 +280,7 @@
 
 
 async def add_metrics_page(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, around: TenantEnvironment
 ) -> None:
     """Add the page of metrics."""
     metrics = kernel.find("metrics", Metrics)
@@ -299,7 +299,7 @@
         ServerLimits(),
         PlatformCallerProtocol().render_fault,
         on_error=partial(
-            note_task_fault, kernel.find("events", EventLog), "question for metrics"
+            log_task_error, kernel.find("events", EventLog), "question for metrics"
         ),
     )
     kernel.add("metrics_page", ListenerService(listener, server))
--- a/walkcart/daemon/tenantstore.py
+++ b/walkcart/daemon/tenantstore.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from walkcart.daemon.surroundings import TenantSurroundings
+from walkcart.daemon.environment import TenantEnvironment
 from walkcart.fanout.origins import RequestOrigins
 from walkcart.intent.evacuations import Evacuations
 from walkcart.intent.routekeeper import RouteKeeper
@@ -47,7 +47,7 @@
 from walkcart.store.backoff import Backoff
 from walkcart.store.budget import CallBudget
 from walkcart.store.calls import StoreCalls
-from walkcart.store.following import PrefixFollower
+from walkcart.store.follower import PrefixFollower
 from walkcart.store.updates import Update
 from walkcart.wire.peers import PeerListener
 from walkcart.wire.verdicts import NotRun
@@ -72,7 +72,7 @@
 
 
 def add_base(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, around: TenantEnvironment
 ) -> None:
     """Add log, metrics and spans."""
     kernel.add("events", EventLog(settings.instance, around.clock, around.log))
@@ -83,7 +83,7 @@
 def add_store(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantSurroundings,
+    around: TenantEnvironment,
     peers: PeerListener,
 ) -> None:
     """Add the store and this instance's registration."""
@@ -123,7 +123,7 @@
 
 
 def add_intent(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, around: TenantEnvironment
 ) -> None:
     """Add the routing document in force and what follows it."""
     events = kernel.find("events", EventLog)
@@ -151,7 +151,7 @@
         make_store_backoff(around.random),
         events,
         take,
-        read_past=CONFIGURATION_READ_PAST,
+        reread_after=CONFIGURATION_READ_PAST,
     )
     kernel.add("keeper", keeper)
     kernel.add("origins", RequestOrigins(keeper, TEAM))
@@ -160,7 +160,7 @@
 
 
 def add_leaves(
-    kernel: Kernel, settings: PlatformSettings, around: TenantSurroundings
+    kernel: Kernel, settings: PlatformSettings, around: TenantEnvironment
 ) -> None:
     """Add the leafs, what follows them, and the pool of links."""
     events = kernel.find("events", EventLog)
@@ -196,7 +196,7 @@
         take,
         LEAF_PAUSE,
         leaf_entry_differs,
-        first_fresh=False,
+        fresh_first_read=False,
     )
     pool = make_pool(kernel, settings, around, directory, cold)
     kernel.add("directory", directory)
@@ -208,7 +208,7 @@
 def make_pool(
     kernel: Kernel,
     settings: PlatformSettings,
-    around: TenantSurroundings,
+    around: TenantEnvironment,
     directory: LeafDirectory,
     cold: ColdLimiter,
 ) -> LeafPool:
--- a/walkcart/entry/__init__.py
+++ b/walkcart/entry/__init__.py
@@ -1,6 +1,6 @@
 """The callers' and operators' interface of an instance."""
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "EntryService": "app",
@@ -12,4 +12,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/entry/app.py
+++ b/walkcart/entry/app.py
@@ -17,7 +17,7 @@
 from walkcart.kernel.events import Events
 from walkcart.kernel.invariants import InvariantBroken
 from walkcart.kernel.metrics import Metrics
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.membership.listing import InstanceList
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.server import Fault, HttpServer, ServerLimits
@@ -100,7 +100,7 @@
         await trio.aclose_forcefully(self._listener)
 
     def _note_error(self, error: Exception) -> None:
-        note_task_fault(self._events, "connection of a caller", error)
+        log_task_error(self._events, "connection of a caller", error)
 
     def _note_gone(self) -> None:
         self._events.emit(Events.CALLER_GONE)
@@ -174,7 +174,7 @@
             reasons.append("no_configuration")
         if not self._listing.known:
             reasons.append("no_instance_list")
-        if self._keeper.is_cut():
+        if self._keeper.is_isolated():
             reasons.append("control_cut")
         content = {"ready": not reasons, "reasons": reasons}
         return render_json(content, 503 if reasons else 200)
--- a/walkcart/entry/executions.py
+++ b/walkcart/entry/executions.py
@@ -63,7 +63,7 @@
         key = self._read_key(caller)
         tracer = self._tools.tracer
         span = tracer.start("entry.execute", caller.options.traceparent, service=name)
-        with tracer.hold(span):
+        with tracer.end_on_exit(span):
             traceparent = tracer.inject(span, caller.options.traceparent)
             return await self._admit(caller, body, key, traceparent, request.body)
 
--- a/walkcart/entry/operators.py
+++ b/walkcart/entry/operators.py
@@ -63,7 +63,7 @@
         return {
             "instance": self._view.own.name,
             "revision": self._keeper.document.revision,
-            "stale": self._keeper.is_cut(),
+            "stale": self._keeper.is_isolated(),
             "members": [
                 {
                     "name": item.name,
--- a/walkcart/entry/queries.py
+++ b/walkcart/entry/queries.py
@@ -136,7 +136,7 @@
         span = tools.tracer.start(
             "entry.query", caller.options.traceparent, service=name
         )
-        with tools.tracer.hold(span):
+        with tools.tracer.end_on_exit(span):
             traceparent = tools.tracer.inject(span, caller.options.traceparent)
             question = make_question(caller, bytes(body.query), traceparent)
             remaining = caller.deadline - start
@@ -163,7 +163,7 @@
         raise AssertionError("a result is a success or a failure")
 
     def _answer(self, body, answer: Answer, caller: Caller, start: float) -> HttpReply:
-        in_force = InForce(caller.document.revision, self._tools.keeper.is_cut())
+        in_force = InForce(caller.document.revision, self._tools.keeper.is_isolated())
         try:
             rows = merge_rows(body, answer)
         except BadRows as error:
--- a/walkcart/entry/routed.py
+++ b/walkcart/entry/routed.py
@@ -116,7 +116,7 @@
             verdict = NotRun(Reason.NO_CONFIGURATION, "no routes are known", START_TIME)
             return self._refuse(caller, verdict)
         table = tools.keeper.table
-        route = table.find(caller.host, caller.forwarded.target)
+        route = table.find_route(caller.host, caller.forwarded.target)
         if route is None:
             return self._refuse(caller, NotRun(Reason.NO_ROUTE, "no such route"))
         access = find_access(
@@ -213,7 +213,7 @@
                 request=question.id,
                 route=question.kind,
             )
-            with self._tools.tracer.hold(span):
+            with self._tools.tracer.end_on_exit(span):
                 if tools.delegates is not None:
                     tools.delegates.gatherers.record_question(len(question.services))
                 return await RoutedGathering(tools, question, top, watch=watch).run()
@@ -254,9 +254,9 @@
             success_only=sharded,
             traceparent=caller.traceparent,
             fingerprint=self._tools.origins.fingerprint(request),
-            regions=table.regions_of(route.name, team),
+            regions=table.find_allowed_regions(route.name, team),
             team=team,
-            rank=table.rank_of(route.name, team),
+            rank=table.find_rank(route.name, team),
             grant=access.grant,
         )
 
--- a/walkcart/entry/routedservice.py
+++ b/walkcart/entry/routedservice.py
@@ -15,7 +15,7 @@
 from walkcart.intent.routes import CallerLimits, RouteTable
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.leaves.directory import LeafDirectory
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.server import Fault, HttpServer, ServerLimits
@@ -98,7 +98,7 @@
         return self._render_fault(fault)
 
     def _note_error(self, error: Exception) -> None:
-        note_task_fault(self._events, "connection of a caller", error)
+        log_task_error(self._events, "connection of a caller", error)
 
     def _note_gone(self) -> None:
         self._events.emit(Events.CALLER_GONE)
--- a/walkcart/entry/teamaccess.py
+++ b/walkcart/entry/teamaccess.py
@@ -61,7 +61,7 @@
     """
     if table.document.teams is None:
         return Access(None, Grant())
-    team = None if credential is None else table.teams.find(credential)
+    team = None if credential is None else table.teams.find_by_key(credential)
     if team is not None:
         return Access(team, Grant(team.name, credential))
     if route.public:
--- a/walkcart/entry/tests/leasedstore.py
+++ b/walkcart/entry/tests/leasedstore.py
@@ -3,7 +3,7 @@
 import trio
 
 from walkcart.store.calls import StoreUnavailable
-from walkcart.store.items import Committed, Item, Lease, LeaseOver, Page, Rejected
+from walkcart.store.items import Committed, Item, Lease, LeaseNotFound, Page, Rejected
 
 #: Seconds after which a silent store is given up.
 CALL_TIME = 1.0
@@ -59,7 +59,7 @@
         await self._enter()
         ((key, expected),), (put,) = transaction.expected, transaction.puts
         if put.lease not in self.store.leases:
-            return LeaseOver()
+            return LeaseNotFound()
         held = self.store.items.get(key)
         if (held[0].revision if held else 0) != expected:
             return Rejected((held[0],) if held else ())
@@ -81,7 +81,7 @@
         self.store.renewals += 1
         await self._enter()
         if lease.id not in self.store.leases:
-            return LeaseOver()
+            return LeaseNotFound()
         until = trio.current_time() + lease.time_to_live.total_seconds()
         self.store.leases[lease.id] = until
         return lease
--- a/walkcart/entry/tests/test_team_access.py
+++ b/walkcart/entry/tests/test_team_access.py
@@ -74,7 +74,7 @@
         return
     for configuration in order:
         table, _ = make_table(configuration)
-        upheld = table.upholds("r", found.grant)
+        upheld = table.still_admits("r", found.grant)
         if configuration is None:
             assert upheld
         elif order[0] is None:
@@ -88,7 +88,7 @@
 def test_an_instance_that_only_helps_goes_by_the_team_alone(configuration, name):
     table, _ = make_table(configuration)
     gone = configuration is not None and name not in configuration[1]
-    assert table.upholds("r", Grant(name)) is not gone
+    assert table.still_admits("r", Grant(name)) is not gone
 
 
 @given(
@@ -142,18 +142,18 @@
     route = Route("r", "h", "/", ToService("s"), regions=make(of_route))
     team = Team("riders", regions=make(of_team))
     table = RouteTable(RoutingDocument(1, (route,), teams=(team,)))
-    assert table.regions_of("r", "riders") == make(both)
-    assert table.regions_of("r") == make(of_route)
-    assert table.regions_of("r", "unknown") == make(of_route)
+    assert table.find_allowed_regions("r", "riders") == make(both)
+    assert table.find_allowed_regions("r") == make(of_route)
+    assert table.find_allowed_regions("r", "unknown") == make(of_route)
 
 
 @pytest.mark.parametrize(("of_team", "rank"), [(None, 7), (0, 0), (3, 3)])
 def test_the_rank_of_a_team_goes_before_that_of_its_route(of_team, rank):
     route = Route("r", "h", "/", ToService("s"), rank=7)
     table = RouteTable(RoutingDocument(1, (route,), teams=(Team("t", rank=of_team),)))
-    assert table.rank_of("r", "t") == rank
-    assert table.rank_of("r") == 7
-    assert table.rank_of("unknown", "unknown") == 0
+    assert table.find_rank("r", "t") == rank
+    assert table.find_rank("r") == 7
+    assert table.find_rank("unknown", "unknown") == 0
 
 
 def test_digests_are_shown_nowhere():
--- a/walkcart/fanout/__init__.py
+++ b/walkcart/fanout/__init__.py
@@ -1,6 +1,6 @@
 """One question to many shards and back: snapshot, attempts, gathering, coverage."""
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Answer": "answers",
@@ -18,4 +18,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/fanout/delegationclient.py
+++ b/walkcart/fanout/delegationclient.py
@@ -30,7 +30,7 @@
 from walkcart.fanout.peerselection import PeerSelection
 from walkcart.fanout.routedquestion import RoutedFailure, RoutedQuestion
 from walkcart.kernel.events import Events
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.routing.eligibility import may_carry
 from walkcart.routing.latetimes import PeerPartTimes
 from walkcart.wire.delegations import (
@@ -158,7 +158,7 @@
                 if outcome is None:
                     self._note_lost(group, question)
         except Exception as error:
-            note_task_fault(self._tools.events, f"group at {group.peer}", error)
+            log_task_error(self._tools.events, f"group at {group.peer}", error)
         finally:
             del self._asked[id]
             self._outcomes.pop(id, None)
--- a/walkcart/fanout/delegationserver.py
+++ b/walkcart/fanout/delegationserver.py
@@ -31,7 +31,7 @@
 from walkcart.kernel.clock import Clock
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.membership.links import PeerLinks
 from walkcart.wire.delegations import (
     DelegatedCancel,
@@ -249,7 +249,7 @@
         self, sender: str, message: DelegatedQuestion, error: Exception
     ) -> None:
         """End one question by a fault of this program, and nothing else."""
-        note_task_fault(self._events, f"question of {sender}", error)
+        log_task_error(self._events, f"question of {sender}", error)
         verdict = MayHaveRun(Reason.INTERNAL, "a fault of walkcart")
         outcome: Outcome = Failure(RoutedFailure(verdict))
         self._links.send(sender, encode_outcome(message.id, outcome))
--- a/walkcart/fanout/origins.py
+++ b/walkcart/fanout/origins.py
@@ -49,7 +49,7 @@
 
     def find_rank(self, kind: str, team: str) -> int:
         """Return the rank of a route's requests that a team sends."""
-        return self.keeper.table.rank_of(kind, team)
+        return self.keeper.table.find_rank(kind, team)
 
     def find_grant(self, kind: str, team: str) -> Grant | None:
         """Return what must stay in force for a request of another instance.
@@ -58,4 +58,4 @@
         later configuration.
         """
         grant = Grant(team)
-        return grant if self.keeper.table.upholds(kind, grant) else None
+        return grant if self.keeper.table.still_admits(kind, grant) else None
--- a/walkcart/intent/__init__.py
+++ b/walkcart/intent/__init__.py
@@ -1,6 +1,6 @@
 """The operators' intent: objects, selectors, validation, acceptance, propagation."""
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Applier": "applying",
@@ -24,4 +24,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/intent/applying.py
+++ b/walkcart/intent/applying.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Raced:
+class ChangeConflict:
     """Another operator changed the same objects first; nothing was written.
 
     Args:
@@ -89,7 +89,7 @@
     may_be_accepted: bool
 
 
-Outcome = Accepted | Unchanged | Refused | Raced | Unknown
+Outcome = Accepted | Unchanged | Refused | ChangeConflict | Unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -132,16 +132,20 @@
         store: the key-value service.
         clock: source of time.
         backoff: waits between tries during an outage.
-        patience: how long an outage is waited out.
+        outage_timeout: how long an outage is waited out.
     """
 
     def __init__(
-        self, store: StoreClient, clock: Clock, backoff: Backoff, patience: timedelta
+        self,
+        store: StoreClient,
+        clock: Clock,
+        backoff: Backoff,
+        outage_timeout: timedelta,
     ) -> None:
         self._store = store
         self._clock = clock
         self._backoff = backoff
-        self._patience = patience
+        self._patience = outage_timeout
 
     async def apply(self, proposal: Proposal) -> Outcome:
         """Bring `proposal` into the store.
@@ -170,7 +174,7 @@
                 may_be_accepted = may_be_accepted or error.uncertain
                 if self._clock.monotonic() >= until:
                     return Unknown(proposal.id, may_be_accepted)
-                await self._clock.sleep(self._backoff.advance())
+                await self._clock.sleep(self._backoff.next_delay())
 
     async def _write(
         self, proposal: Proposal, document: Document, revision: int
@@ -215,7 +219,9 @@
     return diff_configurations(first.configuration, document.configuration)
 
 
-def _find_race(first: Document, now: Document, proposal: Proposal) -> Raced | None:
+def _find_race(
+    first: Document, now: Document, proposal: Proposal
+) -> ChangeConflict | None:
     """Return the race if a change since `first` touched the same objects."""
     wanted = proposal.edit(first.configuration)
     mine = diff_configurations(first.configuration, wanted)
@@ -223,7 +229,7 @@
     for change in now.changes:
         if change.revision > first.revision and mine_touched & set(change.touched):
             theirs = diff_configurations(first.configuration, now.configuration)
-            return Raced(change, mine, theirs)
+            return ChangeConflict(change, mine, theirs)
     return None
 
 
@@ -233,7 +239,7 @@
     "DocumentError",
     "Outcome",
     "Proposal",
-    "Raced",
+    "ChangeConflict",
     "Refused",
     "Unchanged",
     "Unknown",
--- a/walkcart/intent/distribution.py
+++ b/walkcart/intent/distribution.py
@@ -112,7 +112,7 @@
         """Call `listener` after a new configuration came into force."""
         self._listeners.append(listener)
 
-    def is_cut(self) -> bool:
+    def is_isolated(self) -> bool:
         """Return whether neither store nor peers were heard for a while."""
         last = max(self._store.last_success, self._links.last_received)
         return self._clock.monotonic() - last > CUT_TIME
@@ -126,7 +126,7 @@
         for _ in range(FIRST_TRIES):
             if await self._read_once():
                 break
-            await self._clock.sleep(self._backoff.advance())
+            await self._clock.sleep(self._backoff.next_delay())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_health)
             task_status.started()
@@ -156,7 +156,7 @@
                 CONFIGURATION_KEY, self._entry_revision, WATCH_TIME
             )
         except StoreUnavailable:
-            await self._clock.sleep(self._backoff.advance())
+            await self._clock.sleep(self._backoff.next_delay())
             return
         self._backoff.reset()
         if entry is None:
@@ -166,7 +166,7 @@
             self.offer(read_document(entry.value), "store")
         except DocumentError as error:
             self._events.emit(Events.REVISION_BAD, detail=str(error)[:200])
-            await self._clock.sleep(self._backoff.advance())
+            await self._clock.sleep(self._backoff.next_delay())
 
     def _should_watch(self) -> bool:
         """Return whether this instance is one of its data centre's watchers.
@@ -263,7 +263,7 @@
         """Say when neither store nor peers are reached; pull what was missed."""
         while True:
             await trio.sleep(PULL_TIME)
-            cut = self.is_cut()
+            cut = self.is_isolated()
             if cut and not self._was_cut:
                 self._events.emit(Events.CONTROL_CUT)
             self._was_cut = cut
--- a/walkcart/intent/evacuations.py
+++ b/walkcart/intent/evacuations.py
@@ -2,7 +2,7 @@
 
 See Also:
     `walkcart.routing.eligibility`, which decides by them.
-    `walkcart.store.following.PrefixFollower`, whose copy brings them.
+    `walkcart.store.follower.PrefixFollower`, whose copy brings them.
 """
 
 from __future__ import annotations
--- a/walkcart/intent/policy.py
+++ b/walkcart/intent/policy.py
@@ -81,7 +81,7 @@
     return Policy(exclude=exclude, sources=tuple(sorted(sources.items())), **values)
 
 
-def label_leaf(configuration: Configuration, labels: Labels) -> dict[str, str]:
+def apply_label_rules(configuration: Configuration, labels: Labels) -> dict[str, str]:
     """Return a leaf's labels with those of the matching rules laid over them."""
     merged = dict(labels)
     for rule in configuration.label_rules:
--- a/walkcart/intent/routekeeper.py
+++ b/walkcart/intent/routekeeper.py
@@ -4,7 +4,7 @@
 in force never comes back.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which brings stored documents.
+    `walkcart.store.follower.PrefixFollower`, which brings stored documents.
 """
 
 from __future__ import annotations
--- a/walkcart/intent/routes.py
+++ b/walkcart/intent/routes.py
@@ -7,9 +7,9 @@
 Examples:
     >>> route = Route("r", "h.example", "/a/", ToService("s"))
     >>> table = RouteTable(RoutingDocument(1, (route,)))
-    >>> table.find("h.example", "/a/b?c=d").name
+    >>> table.find_route("h.example", "/a/b?c=d").name
     'r'
-    >>> table.find("h.example", "/other") is None
+    >>> table.find_route("h.example", "/other") is None
     True
 """
 
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from walkcart.intent.teams import Grant, Team, TeamBook
+from walkcart.intent.teams import Grant, Team, TeamIndex
 from walkcart.routing.eligibility import ALL_REGIONS, Regions
 
 #: Attempts at one leaf or shard where a route sets no bound.
@@ -161,7 +161,7 @@
     def __init__(self, document: RoutingDocument) -> None:
         self.document = document
         self.services = {spec.name: spec for spec in document.services}
-        self.teams = TeamBook(document.teams or ())
+        self.teams = TeamIndex(document.teams or ())
         self._by_name = {route.name: route for route in document.routes}
         self._by_host: dict[str, list[Route]] = {}
         for route in document.routes:
@@ -169,7 +169,7 @@
         for routes in self._by_host.values():
             routes.sort(key=lambda route: -len(route.prefix))
 
-    def regions_of(self, name: str, team: str = "") -> Regions:
+    def find_allowed_regions(self, name: str, team: str = "") -> Regions:
         """Return where requests of a route and a team may be served.
 
         What isn't known here binds nothing.
@@ -179,24 +179,24 @@
             team: name of the team; empty for none.
         """
         route = self._by_name.get(name)
-        asker = self.teams.named(team) if team else None
+        asker = self.teams.find_by_name(team) if team else None
         regions = route.regions if route else ALL_REGIONS
         return regions.intersect(asker.regions) if asker else regions
 
-    def rank_of(self, name: str, team: str = "") -> int:
+    def find_rank(self, name: str, team: str = "") -> int:
         """Return the rank of a request: its team's, else its route's.
 
         Args:
             name: of the route.
             team: name of the team; empty for none.
         """
-        asker = self.teams.named(team) if team else None
+        asker = self.teams.find_by_name(team) if team else None
         if asker is not None and asker.rank is not None:
             return asker.rank
         route = self._by_name.get(name)
         return route.rank if route else 0
 
-    def upholds(self, name: str, grant: Grant) -> bool:
+    def still_admits(self, name: str, grant: Grant) -> bool:
         """Return whether a request that was let in once would be let in now.
 
         Args:
@@ -209,11 +209,11 @@
             route = self._by_name.get(name)
             return route is None or route.public
         if grant.credential is None:
-            return self.teams.named(grant.team) is not None
-        team = self.teams.find(grant.credential)
+            return self.teams.find_by_name(grant.team) is not None
+        team = self.teams.find_by_key(grant.credential)
         return team is not None and team.name == grant.team
 
-    def find(self, host: str, target: str) -> Route | None:
+    def find_route(self, host: str, target: str) -> Route | None:
         """Return the route with the longest prefix of a request's path, or None.
 
         Args:
--- a/walkcart/intent/teams.py
+++ b/walkcart/intent/teams.py
@@ -5,10 +5,10 @@
 
 Examples:
     >>> team = Team("fitters", keys=frozenset({digest_key(b"secret")}))
-    >>> book = TeamBook((team,))
-    >>> book.find(digest_key(b"secret")).name
+    >>> book = TeamIndex((team,))
+    >>> book.find_by_key(digest_key(b"secret")).name
     'fitters'
-    >>> book.find(digest_key(b"other")) is None
+    >>> book.find_by_key(digest_key(b"other")) is None
     True
 """
 
@@ -75,7 +75,7 @@
     credential: bytes | None = field(default=None, repr=False)
 
 
-class TeamBook:
+class TeamIndex:
     """The teams of one routing document, by name and by the digests of their keys.
 
     Args:
@@ -90,7 +90,7 @@
             key: team for team in self._by_name.values() for key in team.keys
         }
 
-    def claim_of(self, name: str) -> float:
+    def find_share_weight(self, name: str) -> float:
         """Return a team's claim to what is short, relative to those of others.
 
         It follows the team's limit; a team without one claims what the others do on
@@ -101,11 +101,11 @@
             return self._usual_claim
         return team.limit.rate or self._usual_claim
 
-    def find(self, digest: bytes) -> Team | None:
+    def find_by_key(self, digest: bytes) -> Team | None:
         """Return the team that has a key, by the key's digest."""
         return self._by_key.get(digest)
 
-    def named(self, name: str) -> Team | None:
+    def find_by_name(self, name: str) -> Team | None:
         """Return the team of a name."""
         return self._by_name.get(name)
 
--- a/walkcart/intent/tests/test_objects.py
+++ b/walkcart/intent/tests/test_objects.py
@@ -17,7 +17,7 @@
 )
 from walkcart.intent.loading import load_tables, load_toml, to_tables
 from walkcart.intent.model import Configuration
-from walkcart.intent.policy import find_intents, label_leaf, resolve_policy
+from walkcart.intent.policy import apply_label_rules, find_intents, resolve_policy
 from walkcart.intent.selectors import SelectorError, parse_selector
 from walkcart.intent.validation import validate_configuration
 
@@ -137,8 +137,11 @@
 def test_label_rules_lie_over_the_list():
     text = '[[label_rule]]\nname = "r"\nselector = "a=1"\nlabels = { b = "2" }\n'
     configuration = load_toml(text).configuration
-    assert label_leaf(configuration, {"a": "1", "b": "0"}) == {"a": "1", "b": "2"}
-    assert label_leaf(configuration, {"a": "3"}) == {"a": "3"}
+    assert apply_label_rules(configuration, {"a": "1", "b": "0"}) == {
+        "a": "1",
+        "b": "2",
+    }
+    assert apply_label_rules(configuration, {"a": "3"}) == {"a": "3"}
 
 
 def test_diff_and_merge():
--- a/walkcart/intent/tests/test_propagation.py
+++ b/walkcart/intent/tests/test_propagation.py
@@ -3,7 +3,7 @@
 import trio
 
 from walkcart.bench.harness import open_estate, run_mocked
-from walkcart.intent.applying import Accepted, Raced, Unknown
+from walkcart.intent.applying import Accepted, ChangeConflict, Unknown
 from walkcart.intent.distribution import ConfigurationKeeper
 from walkcart.membership.links import PeerLinks
 from walkcart.standins.memorypeers import MemoryPeerSender
@@ -141,7 +141,7 @@
             return outcomes
 
     outcomes = run_mocked(run)
-    raced = [item for item in outcomes if isinstance(item, Raced)]
+    raced = [item for item in outcomes if isinstance(item, ChangeConflict)]
     assert len(raced) == 1
     assert raced[0].mine != raced[0].theirs
     assert raced[0].change.touched == ("routing_intent all",)
--- a/walkcart/intent/tests/test_racing_operators.py
+++ b/walkcart/intent/tests/test_racing_operators.py
@@ -15,7 +15,7 @@
 from trio.testing import MockClock
 
 from walkcart.bench.world import World
-from walkcart.intent.applying import Accepted, Applier, Proposal, Raced
+from walkcart.intent.applying import Accepted, Applier, ChangeConflict, Proposal
 from walkcart.intent.diffing import merge_configurations
 from walkcart.intent.document import CONFIGURATION_KEY, read_document
 from walkcart.intent.loading import load_toml
@@ -85,7 +85,7 @@
                     return merge_configurations(base, update, False)
 
                 outcome = await applier.apply(Proposal(id, "x", edit))
-                assert not isinstance(outcome, Raced) or outcome.change.touched
+                assert not isinstance(outcome, ChangeConflict) or outcome.change.touched
                 outcomes.append((id, outcome))
 
             async with trio.open_nursery() as acting:
--- a/walkcart/intent/tests/test_routes.py
+++ b/walkcart/intent/tests/test_routes.py
@@ -26,11 +26,11 @@
     known = {as_prefix(item) for item in prefixes}
     path = as_prefix(segments) + rest
     fitting = [item for item in known if path.partition("?")[0].startswith(item)]
-    found = make_table(known).find("shop.example", path)
+    found = make_table(known).find_route("shop.example", path)
     assert (found.name if found else None) == max(fitting, key=len, default=None)
 
 
 def test_the_host_is_compared_without_case_and_port():
     table = make_table(["/a/"])
-    assert table.find("SHOP.example:8080", "/a/x").name == "/a/"
-    assert table.find("other.example", "/a/x") is None
+    assert table.find_route("SHOP.example:8080", "/a/x").name == "/a/"
+    assert table.find_route("other.example", "/a/x") is None
--- a/walkcart/intent/tests/test_team_claims.py
+++ b/walkcart/intent/tests/test_team_claims.py
@@ -1,6 +1,6 @@
 """Claims of teams to what is short."""
 
-from walkcart.intent.teams import RateLimit, Team, TeamBook
+from walkcart.intent.teams import RateLimit, Team, TeamIndex
 
 
 def test_claims_follow_limits_and_the_others_claim_the_average():
@@ -9,11 +9,11 @@
         Team("small", limit=RateLimit(10.0, 5.0)),
         Team("free"),
     )
-    book = TeamBook(teams)
-    assert book.claim_of("large") == 3 * book.claim_of("small")
-    assert book.claim_of("free") == book.claim_of("unknown") == 20.0
+    book = TeamIndex(teams)
+    assert book.find_share_weight("large") == 3 * book.find_share_weight("small")
+    assert book.find_share_weight("free") == book.find_share_weight("unknown") == 20.0
 
 
 def test_without_limits_all_teams_claim_alike():
-    book = TeamBook((Team("one"), Team("other")))
-    assert book.claim_of("one") == book.claim_of("other") == 1.0
+    book = TeamIndex((Team("one"), Team("other")))
+    assert book.find_share_weight("one") == book.find_share_weight("other") == 1.0
--- a/walkcart/kernel/__init__.py
+++ b/walkcart/kernel/__init__.py
@@ -1,6 +1,6 @@
 """The micro-kernel: named services, clock, settings, events, metrics, spans."""
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Clock": "clock",
@@ -19,4 +19,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/kernel/settings.py
+++ b/walkcart/kernel/settings.py
@@ -192,7 +192,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedSettings:
     """The outcome of reading settings.
 
     Args:
@@ -206,12 +206,14 @@
     faults: tuple[Fault, ...]
 
 
-def flag_of(name: str) -> str:
+def format_flag(name: str) -> str:
     """Return the flag of the setting called `name`."""
     return "--" + name.replace("_", "-")
 
 
-def load_settings(arguments: Sequence[str], environment: Mapping[str, str]) -> Loaded:
+def load_settings(
+    arguments: Sequence[str], environment: Mapping[str, str]
+) -> LoadedSettings:
     """Read settings from flags and environment variables.
 
     Args:
@@ -230,14 +232,14 @@
             shown = MASK if item.metadata["secret"] else text
             faults.append(Fault(item.name, shown, source, str(error)))
     faults.extend(_unknown_variables(environment))
-    return Loaded(Settings(**values), sources, tuple(faults))
+    return LoadedSettings(Settings(**values), sources, tuple(faults))
 
 
 def _pick(
     name: str, default: str, given: Mapping[str, str], environment: Mapping[str, str]
 ) -> tuple[str, str]:
     if name in given:
-        return given[name], f"flag {flag_of(name)}"
+        return given[name], f"flag {format_flag(name)}"
     variable = ENVIRONMENT_PREFIX + name.upper()
     if variable in environment:
         return environment[variable], f"variable {variable}"
@@ -258,7 +260,7 @@
 
 
 def _read_flags(arguments: Sequence[str]) -> tuple[dict[str, str], list[Fault]]:
-    names = {flag_of(item.name): item.name for item in fields(Settings)}
+    names = {format_flag(item.name): item.name for item in fields(Settings)}
     given: dict[str, str] = {}
     faults: list[Fault] = []
     words = list(arguments)
@@ -276,7 +278,7 @@
     return given, faults
 
 
-def describe_settings(loaded: Loaded) -> list[tuple[str, str, str]]:
+def describe_settings(loaded: LoadedSettings) -> list[tuple[str, str, str]]:
     """Return rows of name, value in force and source, with secrets masked."""
     rows = []
     for item in fields(Settings):
--- a/walkcart/kernel/spans.py
+++ b/walkcart/kernel/spans.py
@@ -51,7 +51,7 @@
             return parent
         return self._spans.inject(span, parent)
 
-    def hold(self, span: Span | None) -> AbstractContextManager[object]:
+    def end_on_exit(self, span: Span | None) -> AbstractContextManager[object]:
         """Return a context manager that ends `span` when left."""
         return nullcontext() if span is None else _Ending(span)
 
--- a/walkcart/kernel/taskfaults.py
+++ b/walkcart/kernel/taskerrors.py
@@ -17,7 +17,7 @@
 TRACEBACK_LIMIT = 2000
 
 
-def note_task_fault(events: EventLog, task: str, error: Exception) -> None:
+def log_task_error(events: EventLog, task: str, error: Exception) -> None:
     """Log an error that ended one piece of work, with where it was raised.
 
     Args:
--- a/walkcart/lazyimport.py
+++ b/walkcart/lazyimport.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 
-def attach_names(package: str, modules: Mapping[str, str]) -> Callable[[str], Any]:
+def make_lazy_getattr(package: str, modules: Mapping[str, str]) -> Callable[[str], Any]:
     """Return a module's ``__getattr__`` that loads names on first use.
 
     Args:
@@ -28,7 +28,7 @@
         modules: for each public name, the module of the subpackage that defines it.
 
     Examples:
-        >>> find = attach_names("walkcart.kernel", {"read_number": "numbers"})
+        >>> find = make_lazy_getattr("walkcart.kernel", {"read_number": "numbers"})
         >>> find("read_number")("7")
         7
     """
--- a/walkcart/leaves/__init__.py
+++ b/walkcart/leaves/__init__.py
@@ -1,6 +1,6 @@
 """Leaves: what is known of them, connections to them, requests through holders."""
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Attempt": "attempts",
@@ -22,4 +22,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/leaves/access.py
+++ b/walkcart/leaves/access.py
@@ -29,7 +29,7 @@
 
     def is_upheld(self, kind: str, grant: Grant | None) -> bool:
         """Return whether what let a request in is still in force."""
-        return grant is None or self._tools.keeper.table.upholds(kind, grant)
+        return grant is None or self._tools.keeper.table.still_admits(kind, grant)
 
     def regions_now(self, kind: str, regions: Regions, grant: Grant | None) -> Regions:
         """Return the regions among some that the document in force allows still.
@@ -42,7 +42,9 @@
         if not self.is_upheld(kind, grant):
             return NO_REGIONS
         table = self._tools.keeper.table
-        return regions.intersect(table.regions_of(kind, grant.team if grant else ""))
+        return regions.intersect(
+            table.find_allowed_regions(kind, grant.team if grant else "")
+        )
 
     def leaves_of(
         self, service: str, regions: Regions = ALL_REGIONS
--- a/walkcart/leaves/directory.py
+++ b/walkcart/leaves/directory.py
@@ -4,7 +4,7 @@
 have lapsed: the leaf stores it again shortly if it lives. Until then it is kept.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which brings the entries.
+    `walkcart.store.follower.PrefixFollower`, which brings the entries.
 """
 
 from __future__ import annotations
--- a/walkcart/leaves/exchange.py
+++ b/walkcart/leaves/exchange.py
@@ -126,7 +126,7 @@
             leaf=self._leaf.address,
             shard=attempt.shard,
         )
-        with tools.tracer.hold(span):
+        with tools.tracer.end_on_exit(span):
             limit = remaining + DRAIN_TIME.total_seconds()
             with trio.move_on_after(limit) as pending.scope:
                 tools.metrics.count("leaf.sent")
--- a/walkcart/leaves/link.py
+++ b/walkcart/leaves/link.py
@@ -16,7 +16,7 @@
 
 from walkcart.kernel.events import Events
 from walkcart.kernel.settings import parse_host_port
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.leaves.attempts import Attempt, Deliver, Failed, Outcome
 from walkcart.leaves.exchange import IDLE_TIME, LeafExchanges, LinkTools, Pending
 from walkcart.leaves.leaf import Leaf
@@ -194,7 +194,7 @@
         except Exception as error:
             # A fault of one connection must not end the instance.
             task = f"connection to {self.leaf.address}"
-            note_task_fault(self._tools.events, task, error)
+            log_task_error(self._tools.events, task, error)
         finally:
             self._connections -= 1
             if connection is not None:
--- a/walkcart/leaves/table.py
+++ b/walkcart/leaves/table.py
@@ -6,7 +6,7 @@
 
 from walkcart.intent.document import Document
 from walkcart.intent.model import Layout, ShardGroup
-from walkcart.intent.policy import Policy, label_leaf, resolve_policy
+from walkcart.intent.policy import Policy, apply_label_rules, resolve_policy
 from walkcart.intent.selectors import parse_selector
 from walkcart.kernel.numbers import read_number
 from walkcart.kernel.settings import BadValue, parse_host_port
@@ -94,11 +94,14 @@
 
     def leaf_labels(self, document: Document) -> list[dict[str, str]]:
         """Return the labels of all listed leaves, rules laid over."""
-        return [label_leaf(document.configuration, row.labels) for row in self._listed]
+        return [
+            apply_label_rules(document.configuration, row.labels)
+            for row in self._listed
+        ]
 
     def _resolve(self, document: Document, group: ShardGroup) -> ResolvedGroup:
         labelled = [
-            (row, label_leaf(document.configuration, row.labels))
+            (row, apply_label_rules(document.configuration, row.labels))
             for row in self._listed
         ]
         layouts = []
--- a/walkcart/leaves/tests/test_link.py
+++ b/walkcart/leaves/tests/test_link.py
@@ -123,7 +123,7 @@
                     await world.kill_instance("instance-6")
                     await world.start_instance("instance-7")
             leaves = [item.leaf for item in world.leaves.values()]
-            return [(x.most_connections, x.connections_refused) for x in leaves]
+            return [(x.peak_connections, x.connections_refused) for x in leaves]
 
     for most, refused in run_mocked(run):
         assert most <= 25
@@ -148,7 +148,7 @@
             }
             leaves = [item.leaf for item in world.leaves.values()]
             parts = [leaf for leaf in leaves if leaf.spec.group == "parts"]
-            return asked, holders, max(leaf.most_connections for leaf in parts)
+            return asked, holders, max(leaf.peak_connections for leaf in parts)
 
     asked, holders, most = run_mocked(run)
     assert all(item.content["coverage"]["complete"] for item in asked)
--- a/walkcart/membership/__init__.py
+++ b/walkcart/membership/__init__.py
@@ -4,7 +4,7 @@
 equal. What must be exact goes through the store's compare-and-swap.
 """
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Detector": "detector",
@@ -20,4 +20,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/membership/detector.py
+++ b/walkcart/membership/detector.py
@@ -25,7 +25,7 @@
 from walkcart.kernel.eventlog import EventLog
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.membership.gossip import GossipQueue
 from walkcart.membership.links import PeerLinks
 from walkcart.membership.marks import LeafMarks
@@ -156,7 +156,7 @@
                 return
             await self._suspect(target)
         except Exception as error:
-            note_task_fault(self._events, f"probe of {target}", error)
+            log_task_error(self._events, f"probe of {target}", error)
         finally:
             self._probes.pop(number, None)
 
--- a/walkcart/membership/feeding.py
+++ b/walkcart/membership/feeding.py
@@ -19,7 +19,7 @@
 
 from walkcart.kernel.clock import Clock
 from walkcart.membership.links import PeerLinks
-from walkcart.store.following import PrefixFollower
+from walkcart.store.follower import PrefixFollower
 from walkcart.store.items import Change, Item, Removal
 from walkcart.store.packing import pack_value, unpack_value
 from walkcart.wire.messagebase import Message
--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -12,7 +12,7 @@
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
 from walkcart.kernel.settings import HostPort
-from walkcart.kernel.taskfaults import note_task_fault
+from walkcart.kernel.taskerrors import log_task_error
 from walkcart.membership.messageages import ClockReadings, Stamp
 from walkcart.membership.outbox import Outbox
 from walkcart.membership.peerdirectory import PeerDirectory, read_address
@@ -174,7 +174,7 @@
         try:
             self._take_in(data)
         except Exception as error:
-            note_task_fault(self._events, "peer envelope", error)
+            log_task_error(self._events, "peer envelope", error)
 
     def _take_in(self, data: bytes) -> None:
         self._metrics.count("peer.bytes", len(data))
@@ -208,7 +208,7 @@
                 handler(sender, message)
         except Exception as error:
             task = f"{type(message).__name__} of {sender}"
-            note_task_fault(self._events, task, error)
+            log_task_error(self._events, task, error)
 
     def _note_stranger(self, envelope: Envelope) -> None:
         """Keep the address of a sender that the book doesn't know yet."""
@@ -249,7 +249,7 @@
             # The next message dials again; the detector tells whether it lives.
             self._metrics.count("peer.dropped")
         except Exception as error:
-            note_task_fault(self._events, f"link to {name}", error)
+            log_task_error(self._events, f"link to {name}", error)
         finally:
             if self._links.get((name, address)) is link:
                 del self._links[(name, address)]
--- a/walkcart/membership/quarantinekeys.py
+++ b/walkcart/membership/quarantinekeys.py
@@ -92,7 +92,7 @@
             self._quarantine.find_level(fingerprint, now) is QuarantineLevel.REFUSED
         )
         if wanted and not await self._put(fingerprint):
-            await trio.sleep(self._backoff.advance().total_seconds())
+            await trio.sleep(self._backoff.next_delay().total_seconds())
             return
         self._backoff.reset()
         self._waiting.popleft()
--- a/walkcart/membership/quotakeys.py
+++ b/walkcart/membership/quotakeys.py
@@ -23,7 +23,7 @@
     Committed,
     Item,
     Lease,
-    LeaseOver,
+    LeaseNotFound,
     Put,
     SharedStore,
     Transaction,
@@ -171,7 +171,7 @@
         """
         sent_at = self._clock.monotonic()
         renewed = await self._store.renew_lease(taken.lease)
-        if isinstance(renewed, LeaseOver):
+        if isinstance(renewed, LeaseNotFound):
             return None
         until = max(taken.until, _end(renewed, sent_at))
         return TakenKey(taken.stored, renewed, until)
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -33,7 +33,7 @@
     Committed,
     Item,
     Lease,
-    LeaseOver,
+    LeaseNotFound,
     Put,
     SharedStore,
     Transaction,
@@ -110,7 +110,7 @@
         self._began_at = clock.monotonic()
         self._left = False
         self._prompted = trio.Event()
-        calls.on_away(self.renew_soon)
+        calls.on_unreachable(self.renew_soon)
         self._watches: Callable[[], bool] = lambda: True
         self._listeners: list[Callable[[], None]] = []
         self._keys = KeyReader(store, own.name, events)
@@ -161,7 +161,7 @@
                 await self._rest()
             except StoreUnavailable:
                 # Logged by the calls, which know whether it is the first failure.
-                pause = self._backoff.advance().total_seconds()
+                pause = self._backoff.next_delay().total_seconds()
                 if not self._watches():
                     pause *= FED_PATIENCE
                 await trio.sleep(pause)
@@ -228,7 +228,7 @@
 
     async def _renew(self, lease: Lease) -> None:
         """Renew the lease, or replace it by one that fits a fleet that grew."""
-        if isinstance(await self._store.renew_lease(lease), LeaseOver):
+        if isinstance(await self._store.renew_lease(lease), LeaseNotFound):
             self._lose("the lease ended")
         elif self._wants_longer_lease(lease):
             await self._store.end_lease(lease)
@@ -259,7 +259,7 @@
             return None
         lease = Lease(left_over.lease, LEASE_TIME)
         renewed = await self._store.renew_lease(lease)
-        return None if isinstance(renewed, LeaseOver) else renewed
+        return None if isinstance(renewed, LeaseNotFound) else renewed
 
     async def _register(self, lease: Lease) -> Registered | None:
         key = INSTANCE_PREFIX + self.own.name
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -12,7 +12,7 @@
 silent one.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, whose copies are fed.
+    `walkcart.store.follower.PrefixFollower`, whose copies are fed.
     `walkcart.membership.feeding.Feeder`, which sends.
 """
 
@@ -33,7 +33,7 @@
 from walkcart.membership.registration import Registration
 from walkcart.membership.watchers import SUSPECT, FeederChoice, Watchers
 from walkcart.store.calls import StoreCalls
-from walkcart.store.following import PrefixFollower
+from walkcart.store.follower import PrefixFollower
 from walkcart.store.packing import BadValue
 from walkcart.store.updates import Origin
 from walkcart.wire.messagebase import Message
@@ -109,7 +109,7 @@
         self._feeds = feeds
         calls.on_success(feeds.note_served)
         for follower in self._followers.values():
-            follower.on_resumed = self._check_soon
+            follower.on_watch_resumed = self._check_soon
         links.on(RelayUnserved, self._on_unserved)
         links.on_with_age(RelayChanges, self._on_changes)
         links.on_with_age(RelayCopy, self._on_copy)
@@ -151,7 +151,7 @@
         """
         now = self._clock.monotonic()
         self._show_age(now)
-        if self._calls.unserved_time() > UNSERVED.total_seconds():
+        if self._calls.find_outage_time() > UNSERVED.total_seconds():
             self._feeds.turn_away()
         if self._registration.is_settled and self._watchers.is_own():
             self._ranked_at = now
@@ -193,7 +193,7 @@
 
     def _on_asked(self, sender: str) -> None:
         """Send away who can't be fed here, or begin to watch for it."""
-        if self._calls.unserved_time() > UNSERVED.total_seconds():
+        if self._calls.find_outage_time() > UNSERVED.total_seconds():
             self._links.send(sender, RelayUnserved())
         elif self._choice.find_other() is None:
             self._stand_in()
@@ -294,7 +294,7 @@
     ) -> None:
         """Note that a copy was complete up to a revision not longer ago than `age`."""
         now = self._clock.monotonic()
-        follower.note_current(revision, now - age)
+        follower.record_current(revision, now - age)
         held = self._complete_at[follower.prefix]
         self._complete_at[follower.prefix] = max(held, now - age)
         age = now - min(self._complete_at.values())
--- a/walkcart/membership/tests/test_feeding.py
+++ b/walkcart/membership/tests/test_feeding.py
@@ -16,7 +16,7 @@
     pack_changes,
     unpack_changes,
 )
-from walkcart.store.following import PrefixFollower, differ
+from walkcart.store.follower import PrefixFollower, differ
 from walkcart.store.items import Item, Removal
 from walkcart.store.packing import BadValue
 from walkcart.wire.relays import RelayChanges, RelayCurrent, RelaySubscribe
@@ -47,7 +47,14 @@
 def make_follower(clock):
     calls = SimpleNamespace(on_back=lambda listener: None, last_success=0.0)
     return PrefixFollower(
-        None, calls, PREFIX, clock, None, None, lambda update: None, matters=differ
+        None,
+        calls,
+        PREFIX,
+        clock,
+        None,
+        None,
+        lambda update: None,
+        is_significant=differ,
     )
 
 
@@ -62,10 +69,10 @@
         self.feeds = True
         self.feeder = Feeder(followers, self.links, self.clock, lambda: self.feeds)
         self.follower.replace({}, 1)
-        self.follower.note_current(1, self.clock.time)
+        self.follower.record_current(1, self.clock.time)
 
     def change(self, revision, key="a"):
-        self.follower.note_current(revision, self.clock.time)
+        self.follower.record_current(revision, self.clock.time)
         self.follower.apply([Item(key, b"%d" % revision, revision)], revision)
 
     def tell(self, revision):
@@ -75,7 +82,7 @@
 
     def pass_time(self, duration):
         self.clock.time += duration.total_seconds()
-        self.follower.note_current(self.follower.revision, self.clock.time)
+        self.follower.record_current(self.follower.revision, self.clock.time)
 
 
 def test_nothing_follows_a_change_before_it_is_acknowledged_then_only_the_newest():
--- a/walkcart/once/owner.py
+++ b/walkcart/once/owner.py
@@ -197,14 +197,14 @@
                     return
             except StoreUnavailable as error:
                 self._note_failure(error, batch)
-                await self._tools.clock.sleep(self._backoff.advance())
+                await self._tools.clock.sleep(self._backoff.next_delay())
             except BucketError as error:
                 self._tools.events.emit(
                     Events.BUCKET_BAD, bucket=self._number, detail=str(error)
                 )
                 self._bucket = None
                 self._refuse(batch)
-                await self._tools.clock.sleep(self._backoff.advance())
+                await self._tools.clock.sleep(self._backoff.next_delay())
                 return
 
     def _expire(self, batch: list[Operation]) -> list[Operation]:
--- a/walkcart/platform/apikeys.py
+++ b/walkcart/platform/apikeys.py
@@ -18,7 +18,7 @@
 SCHEME = b"bearer"
 #: Maximum length of a key in bytes: some ten times that of keys in use. The bound keeps
 #: a caller from making an instance digest a whole request head.
-MOST_KEY_BYTES = 512
+MAX_KEY_BYTES = 512
 #: First and last visible ASCII character; a key consists of visible characters only.
 _VISIBLE_ASCII = (0x21, 0x7E)
 
@@ -44,6 +44,6 @@
 
 def _is_well_formed_key(key: bytes) -> bool:
     first, last = _VISIBLE_ASCII
-    if not 0 < len(key) <= MOST_KEY_BYTES:
+    if not 0 < len(key) <= MAX_KEY_BYTES:
         return False
     return first <= min(key) and max(key) <= last
--- a/walkcart/platform/store.py
+++ b/walkcart/platform/store.py
@@ -17,7 +17,7 @@
     HistoryLost,
     Item,
     Lease,
-    LeaseOver,
+    LeaseNotFound,
     Page,
     Rejected,
     Removal,
@@ -155,7 +155,7 @@
 
     async def commit(
         self, transaction: Transaction
-    ) -> Committed | Rejected | LeaseOver:
+    ) -> Committed | Rejected | LeaseNotFound:
         """Commit a transaction if its conditions hold."""
         body = _Transaction(
             [_Condition(key, revision) for key, revision in transaction.expected],
@@ -164,7 +164,7 @@
         )
         reply = await self._post(_TRANSACTION, body)
         if reply.status == _NOT_FOUND:
-            return LeaseOver()
+            return LeaseNotFound()
         if reply.status == _CONDITION_FAILED:
             rows = self._decode(reply, _Items).items
             return Rejected(tuple(_read_item(item) for item in rows))
@@ -176,11 +176,11 @@
         granted = self._decode_success(await self._post(_GRANT, body), _Lease)
         return Lease(granted.lease, parse_duration_ms(granted.ttl_ms))
 
-    async def renew_lease(self, lease: Lease) -> Lease | LeaseOver:
+    async def renew_lease(self, lease: Lease) -> Lease | LeaseNotFound:
         """Restart the time to live of a lease."""
         reply = await self._call(HttpRequest("POST", f"{_RENEW}{lease.id}"))
         if reply.status == _NOT_FOUND:
-            return LeaseOver()
+            return LeaseNotFound()
         renewed = self._decode_success(reply, _Lease)
         return Lease(lease.id, parse_duration_ms(renewed.ttl_ms))
 
@@ -202,23 +202,23 @@
     ) -> HttpReply:
         reply = await self._calls.call(request, wait)
         if reply.status in _NOT_EXECUTED:
-            raise self._calls.fail(f"status {reply.status}", False)
+            raise self._calls.record_failure(f"status {reply.status}", False)
         if reply.status >= 500:
-            raise self._calls.fail(f"status {reply.status}", True)
-        self._calls.note_success()
+            raise self._calls.record_failure(f"status {reply.status}", True)
+        self._calls.record_success()
         return reply
 
     def _decode_success(self, reply: HttpReply, kind: type[T]) -> T:
         """Decode the body of a reply; reject any status but 200."""
         if reply.status != _OK:
-            raise self._calls.reject(f"status {reply.status}")
+            raise self._calls.reject_reply(f"status {reply.status}")
         return self._decode(reply, kind)
 
     def _decode(self, reply: HttpReply, kind: type[T]) -> T:
         try:
             return msgspec.json.decode(reply.body, type=kind)
         except msgspec.MsgspecError as error:
-            raise self._calls.reject(str(error)[:200]) from error
+            raise self._calls.reject_reply(str(error)[:200]) from error
 
 
 def _read_change(item: _Item) -> Change:
--- a/walkcart/platform/tests/changesinforce.py
+++ b/walkcart/platform/tests/changedelays.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(eq=False)
-class Estate:
+class Fleet:
     """Instances, each on a machine of its own, and the times of changes.
 
     Args:
@@ -60,7 +60,7 @@
     acknowledged: dict[int, float] = field(default_factory=dict)
     seen: dict[str, list[tuple[float, int]]] = field(default_factory=dict)
     #: Since when each instance has had no fault of its own.
-    free_since: dict[str, float] = field(default_factory=dict)
+    undisturbed_since: dict[str, float] = field(default_factory=dict)
     _added: int = 0
 
     async def start(self, name: str, data_centre: str, lag: float = 0.0) -> None:
@@ -69,7 +69,7 @@
         self.links[name] = link
         site = name_site(name)
         running = await self.world.start_instance(name, data_centre, site, link)
-        self.free_since[name] = trio.current_time()
+        self.undisturbed_since[name] = trio.current_time()
         seen = self.seen[name] = []
         keeper = running.tenant.kernel.find("keeper", RouteKeeper)
 
@@ -109,13 +109,13 @@
             self.change()
             await trio.sleep(QUICK_INTERVAL)
 
-    async def store_leafs(self, count: int) -> None:
+    async def store_leaves(self, count: int) -> None:
         """Store leaves' entries one after the other, as when leaves start."""
         for number in range(count):
             self._store_leaf(number, "ready")
             await trio.sleep(0.01)
 
-    def drain_leafs(self, count: int) -> None:
+    def drain_leaves(self, count: int) -> None:
         """Mark leaves as about to stop."""
         for number in range(count):
             self._store_leaf(number, "draining")
@@ -160,7 +160,7 @@
         """Kill an instance and start it again after a delay."""
         running = self.world.tenants[name]
         running.scope.cancel()
-        self.free_since[name] = float("inf")
+        self.undisturbed_since[name] = float("inf")
         place, lag = running.settings.data_centre, self.links[name].incoming.lag
         self.world.nursery.start_soon(self._start_later, name, place, lag)
 
@@ -170,29 +170,31 @@
 
     async def cut(self, name: str, others: Iterable[str], duration: float) -> None:
         """Cut an instance off from others, or the store, for `duration` seconds."""
-        self.free_since[name] = float("inf")
+        self.undisturbed_since[name] = float("inf")
         sites = [name_site(other) if other != STORE else STORE for other in others]
         for site in sites:
             self.world.network.cut(name_site(name), site)
         await trio.sleep(duration)
         for site in sites:
             self.world.network.heal(name_site(name), site)
-        self.free_since[name] = trio.current_time()
+        self.undisturbed_since[name] = trio.current_time()
 
     async def slow_down(self, name: str, duration: float) -> None:
         """Delay incoming traffic of an instance's machine for `duration` seconds."""
         link = self.links[name]
-        self.free_since[name] = float("inf")
+        self.undisturbed_since[name] = float("inf")
         link.incoming.lag, lag = SLOW_LAG, link.incoming.lag
         await trio.sleep(duration)
         link.incoming.lag = lag
-        self.free_since[name] = trio.current_time()
+        self.undisturbed_since[name] = trio.current_time()
 
     def silence_watches(self) -> int:
         """Silence the connections of all waiting watches; return their number."""
         now = trio.current_time()
         streams = self.world.network.find_streams(self.world.store_address)
-        waiting = [stream for stream in streams if stream.used_at < now - QUIET_TIME]
+        waiting = [
+            stream for stream in streams if stream.last_sent_at < now - QUIET_TIME
+        ]
         for stream in waiting:
             stream.go_silent()
         return len(waiting)
@@ -209,7 +211,7 @@
         without a fault of its own; it ends when that version or a later one is in
         force.
         """
-        since = self.free_since[name]
+        since = self.undisturbed_since[name]
         delays = []
         for version, at in self.acknowledged.items():
             times = (time for time, held in self.seen[name] if held >= version)
@@ -217,7 +219,7 @@
             delays.append(max(0.0, first - max(at, since)))
         return delays
 
-    def find_worst(self, without: tuple[str, ...] = ()) -> float:
+    def find_max_delay(self, without: tuple[str, ...] = ()) -> float:
         """Return the maximum delay of any change at any instance, in seconds."""
         return max(
             max(self.measure_delays(name)) for name in self.seen if name not in without
--- a/walkcart/platform/tests/crashingplay.py
+++ b/walkcart/platform/tests/crashingscenario.py
@@ -10,15 +10,20 @@
 from walkcart.wire.http import ExchangeFailed
 
 SHARDS = 9
-BAD = "/all/bad"
+CRASHING_TARGET = "/all/bad"
 PLACES = ("north-a", "south-a", "east-a")
 
 
-def play(act, instances=("one", "two", "three"), places=("north-a",), targets=(BAD,)):
+def run_with_crashes(
+    action,
+    instances=("one", "two", "three"),
+    places=("north-a",),
+    targets=(CRASHING_TARGET,),
+):
     """Run `act(crashing)` on a platform with shards and one service of four leaves.
 
     Args:
-        act: async function that gets the `CrashingWorld`.
+        action: async function that gets the `CrashingWorld`.
         instances: names of the instances.
         places: data centres of the instances and leaves, in turn.
         targets: targets of the requests that crash the leaf that runs them.
@@ -37,7 +42,7 @@
                 await world.start_instance(name, places[number % len(places)])
                 await world.wait_ready(name)
             await trio.sleep(3)
-            return await act(crashing)
+            return await action(crashing)
 
     return run_mocked(run)
 
--- a/walkcart/platform/tests/crashingworld.py
+++ b/walkcart/platform/tests/crashingworld.py
@@ -14,12 +14,12 @@
 #: Time for which a leaf runs such a request before it crashes, in seconds.
 CRASH_TIME = 0.01
 #: Time until a crashed leaf is back, in seconds.
-BACK_TIME = 3.0
+RESTART_DELAY = 3.0
 #: Time until the entry of a crashed leaf has expired, in seconds.
 LAPSE_TIME = 3.6
 #: Time within which all instances know of a quarantine, in seconds: the platform's
 #: bound for its smallest sites.
-CONTACT_TIME = 4.0
+SPREAD_TIME = 4.0
 
 
 @dataclass(slots=True)
@@ -41,14 +41,14 @@
         targets: targets of the requests that crash the leaf that runs them.
         ended: the crashes so far.
         arrivals: the requests that reached leaves so far.
-        back_time: time until a crashed leaf is back, in seconds.
+        restart_delay: time until a crashed leaf is back, in seconds.
     """
 
     world: PlatformWorld
     targets: set[str] = field(default_factory=set)
     ended: list[Arrival] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    back_time: float = BACK_TIME
+    restart_delay: float = RESTART_DELAY
     _next_id: count = field(default_factory=count)
 
     async def start_shards(
@@ -69,7 +69,7 @@
         await self.world.run_leaf(leaf, service, place)
         return id
 
-    def note_arrival(self, request: str, target: str, leaf: str) -> None:
+    def record_arrival(self, request: str, target: str, leaf: str) -> None:
         """Record that a request reached a leaf."""
         self.arrivals.append(Arrival(trio.current_time(), request, target, leaf))
 
@@ -85,16 +85,16 @@
         self.world.store.remove(f"servers/{id}")
 
     async def _restart(self, id: str) -> None:
-        await trio.sleep(self.back_time)
+        await trio.sleep(self.restart_delay)
         entry = self.world.entries[id]
         await self.start_leaf(entry["backend"], entry["zone"])
 
-    def leafs_alive(self) -> list[str]:
+    def find_running_leaves(self) -> list[str]:
         """Return the ids of the running leaves."""
         ended = {item.leaf for item in self.ended}
         return [id for id in self.world.leafs if id not in ended]
 
-    def late_tries(self, target: str, after: float = CONTACT_TIME) -> set[str]:
+    def find_late_requests(self, target: str, after: float = SPREAD_TIME) -> set[str]:
         """Return the callers' requests that reached leaves later than allowed.
 
         Args:
@@ -121,7 +121,7 @@
 
     async def begin(self, id: str, target: str) -> None:
         """Record the arrival of a request, and crash if its target says so."""
-        self._crashing.note_arrival(id, target, self.id)
+        self._crashing.record_arrival(id, target, self.id)
         if target in self._crashing.targets:
             await trio.sleep(CRASH_TIME)
             self._crashing.crash(self.id, id, target)
--- a/walkcart/platform/tests/garbledlinks.py
+++ b/walkcart/platform/tests/garbledlinks.py
@@ -85,7 +85,7 @@
         self._world.nursery.start_soon(deliver_later)
 
 
-def play(seed: int) -> dict[str, int]:
+def run_garbled_links(seed: int) -> dict[str, int]:
     """Send requests over faulty links; return the counts to check, by name."""
     return run_mocked(_play, seed)
 
@@ -136,7 +136,7 @@
     return sum(1 for count in ran.values() if count > MAX_ATTEMPTS)
 
 
-def check(counts: dict[str, int]) -> list[str]:
+def find_violations(counts: dict[str, int]) -> list[str]:
     """Return the counts that should be zero and aren't."""
     return [
         f"{name}: {counts[name]}"
@@ -152,8 +152,8 @@
     parser.add_argument("--seeds", type=int, default=10)
     options = parser.parse_args()
     for seed in range(options.seed, options.seed + options.seeds):
-        counts = play(seed)
-        print(seed, check(counts) or "held", counts, flush=True)
+        counts = run_garbled_links(seed)
+        print(seed, find_violations(counts) or "held", counts, flush=True)
 
 
 if __name__ == "__main__":
--- a/walkcart/platform/tests/leafstandin.py
+++ b/walkcart/platform/tests/leafstandin.py
@@ -22,7 +22,7 @@
         status: status of every reply, if not 0.
         fail_first: status of every reply, sent without running the request, if not 0.
         drop: run every request, then close the connection without a reply.
-        drop_share: fraction of the requests, chosen at random, that are dropped so.
+        drop_rate: fraction of the requests, chosen at random, that are dropped so.
         other_id: echo the id of another request.
         unstamped: omit the stamp of replies.
     """
@@ -33,7 +33,7 @@
     status: int = 0
     fail_first: int = 0
     drop: bool = False
-    drop_share: float = 0.0
+    drop_rate: float = 0.0
     other_id: bool = False
     unstamped: bool = False
 
@@ -51,7 +51,7 @@
         ran: ids of the requests that began to run.
         finished: ids of the requests that ran to the end.
         running: number of requests that are running.
-        lots: random numbers for the faults, seeded with the id.
+        random: random numbers for the faults, seeded with the id.
     """
 
     id: str
@@ -62,11 +62,11 @@
     ran: list[str] = field(default_factory=list)
     finished: list[str] = field(default_factory=list)
     running: int = 0
-    lots: Random = field(init=False)
+    random: Random = field(init=False)
 
     def __post_init__(self) -> None:
         """Seed the random numbers, so that each test run has the same faults."""
-        self.lots = Random(self.id)
+        self.random = Random(self.id)
 
     def make_server(self) -> StandinServer:
         """Return a server for this leaf."""
@@ -102,7 +102,7 @@
         finally:
             self.running -= 1
         self.finished.append(id)
-        if self.faults.drop or self.lots.random() < self.faults.drop_share:
+        if self.faults.drop or self.random.random() < self.faults.drop_rate:
             # The server closes the connection when there is no reply.
             return None
         if self.faults.other_id:
--- a/walkcart/platform/tests/platformworld.py
+++ b/walkcart/platform/tests/platformworld.py
@@ -167,7 +167,7 @@
             name, data_centre, self.store_address, self.repeat_allowance
         )
         site = self.network.at(site_name or data_centre, link)
-        surroundings = TenantSurroundings(
+        surroundings = TenantEnvironment(
             site, site.transport(), TrioClock(), Random(7), self.log
         )
         tenant = await assemble_tenant(settings, surroundings)
@@ -300,7 +300,7 @@
     return {"name": name, "apiKeys": list(keys), **fields}
 
 
-def show_key(key: str) -> tuple[tuple[bytes, bytes], ...]:
+def make_key_headers(key: str) -> tuple[tuple[bytes, bytes], ...]:
     """Return the headers with which a caller sends its key."""
     return ((b"authorization", f"Bearer {key}".encode()),)
 
--- a/walkcart/platform/tests/soakteams.py
+++ b/walkcart/platform/tests/soakteams.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from walkcart.platform.tests.platformworld import make_team, show_key
+from walkcart.platform.tests.platformworld import make_key_headers, make_team
 from walkcart.wire.http import Headers, HttpRequest
 
 TEAMS = ("riders", "fitters")
@@ -59,7 +59,7 @@
     def make_headers(self, id: str, key: str) -> Headers:
         """Return headers with a key for a request, and record the key."""
         self._key_by_request[id] = key
-        return ((b"x-tenant", b"anybody"), *show_key(key))
+        return ((b"x-tenant", b"anybody"), *make_key_headers(key))
 
     def has_unknown_key(self, id: str) -> bool:
         """Return whether a request was sent with the unknown key."""
--- a/walkcart/platform/tests/storestandin.py
+++ b/walkcart/platform/tests/storestandin.py
@@ -18,9 +18,9 @@
 #: Maximum size of the encoded values that one watch returns, in bytes; the next watch
 #: returns the rest. The platform's store does so too: a watch from an old revision
 #: doesn't return the newest changes.
-WATCH_BYTES = 1 << 20
+MAX_WATCH_BYTES = 1 << 20
 #: Maximum number of changes that one watch returns, as on the platform.
-WATCH_EVENTS = 500
+MAX_WATCH_EVENTS = 500
 
 
 @dataclass(slots=True)
@@ -165,7 +165,7 @@
         size = 0
         for number, event in enumerate(events):
             size += len(event.get("value", ""))
-            if number == WATCH_EVENTS or (number and size > WATCH_BYTES):
+            if number == MAX_WATCH_EVENTS or (number and size > MAX_WATCH_BYTES):
                 return {
                     "events": events[:number],
                     "asOf": events[number - 1]["revision"],
--- a/walkcart/platform/tests/teamworld.py
+++ b/walkcart/platform/tests/teamworld.py
@@ -5,10 +5,10 @@
 from walkcart.bench.harness import run_mocked
 from walkcart.membership.links import PeerLinks
 from walkcart.platform.tests.platformworld import (
+    make_key_headers,
     make_route,
     make_team,
     open_platform,
-    show_key,
 )
 
 DATA_CENTRES = ("north-a", "south-a", "east-a")
@@ -102,6 +102,6 @@
 async def ask_all(world, key, path="/one/x"):
     """Return the status that each instance replies to a request with a key."""
     return [
-        (await world.ask(path, name, headers=show_key(key))).status
+        (await world.ask(path, name, headers=make_key_headers(key))).status
         for name in DATA_CENTRES
     ]
--- a/walkcart/platform/tests/test_changes_in_force.py
+++ b/walkcart/platform/tests/test_changes_in_force.py
@@ -31,11 +31,11 @@
 import trio
 
 from walkcart.bench.harness import run_mocked
-from walkcart.platform.tests.changesinforce import (
+from walkcart.platform.tests.changedelays import (
     DATA_CENTRES,
     SLOW_LAG,
     STORE,
-    Estate,
+    Fleet,
 )
 from walkcart.platform.tests.platformworld import open_platform
 
@@ -59,7 +59,7 @@
 
     async def run():
         async with open_platform() as world:
-            estate = Estate(world)
+            estate = Fleet(world)
             await estate.start_many(count, data_centres)
             return await act(estate)
 
--- a/walkcart/platform/tests/test_crowded_leafs.py
+++ b/walkcart/platform/tests/test_crowded_leafs.py
@@ -4,15 +4,15 @@
 
 from walkcart.bench.harness import run_mocked
 from walkcart.platform.tests.platformworld import (
+    make_key_headers,
     make_route,
     make_team,
     open_platform,
-    show_key,
 )
 
 SLOW = 0.3
 #: Limits at leafs hold where teams compete.
-KEY = show_key("key")
+KEY = make_key_headers("key")
 LONG = 10
 
 
--- a/walkcart/platform/tests/test_idle_connections.py
+++ b/walkcart/platform/tests/test_idle_connections.py
@@ -22,7 +22,7 @@
                 # The leaf forgets what is idle without a word: what is sent next
                 # over such a connection is reset.
                 if pause > 1:
-                    world.servers["p-0"].forget_connections()
+                    world.servers["p-0"].drop_connections_silently()
                 await trio.sleep(pause)
             return statuses, world.leafs["p-0"].ran
 
--- a/walkcart/platform/tests/test_innocent_requests.py
+++ b/walkcart/platform/tests/test_innocent_requests.py
@@ -5,11 +5,11 @@
 
 import trio
 
-from walkcart.platform.tests.crashingplay import (
+from walkcart.platform.tests.crashingscenario import (
     PLACES,
     ask_steadily,
-    play,
     read_events,
+    run_with_crashes,
 )
 
 
@@ -27,7 +27,7 @@
         statuses = await ask_steadily(crashing, 2, interval=0.005)
         return statuses, read_events(crashing.world, "request_quarantined")
 
-    statuses, suspected = play(act)
+    statuses, suspected = run_with_crashes(act)
     assert suspected == []
     assert statuses.count(200) == len(statuses)
 
@@ -44,7 +44,7 @@
             await ask_steadily(crashing, 2, interval=0.005)
         return read_events(crashing.world, "request_quarantined")
 
-    assert play(act, places=PLACES) == []
+    assert run_with_crashes(act, places=PLACES) == []
 
 
 def test_leafs_that_go_down_and_up_make_no_request_suspect():
@@ -67,7 +67,7 @@
             nursery.cancel_scope.cancel()
         return read_events(crashing.world, "request_quarantined")
 
-    assert play(act) == []
+    assert run_with_crashes(act) == []
 
 
 def test_replies_that_are_lost_are_no_ends_of_leafs():
@@ -83,7 +83,7 @@
         reply = await world.ask("/all/good", "one")
         return reply.status, read_events(world, "leaf_ended")
 
-    assert play(act) == (200, [])
+    assert run_with_crashes(act) == (200, [])
 
 
 def test_leafs_that_are_replaced_in_turn_make_no_request_suspect():
@@ -111,7 +111,7 @@
                 await trio.sleep(0.3)
         return read_events(world, "request_quarantined")
 
-    assert play(act) == []
+    assert run_with_crashes(act) == []
 
 
 def test_instances_that_are_killed_make_no_request_suspect():
@@ -124,7 +124,7 @@
                 world.tenants[name].scope.cancel()
         return read_events(world, "request_quarantined")
 
-    assert play(act, places=PLACES) == []
+    assert run_with_crashes(act, places=PLACES) == []
 
 
 def test_the_same_harmless_question_of_many_callers_is_answered_all_the_time():
@@ -153,6 +153,6 @@
             nursery.cancel_scope.cancel()
         return statuses, read_events(world, "request_quarantined")
 
-    statuses, suspected = play(act)
+    statuses, suspected = run_with_crashes(act)
     assert suspected == []
     assert 503 not in statuses
--- a/walkcart/platform/tests/test_key_changes.py
+++ b/walkcart/platform/tests/test_key_changes.py
@@ -26,7 +26,7 @@
 )
 from walkcart.standins.serving import StandinServer
 from walkcart.store.calls import StoreCalls
-from walkcart.store.following import PrefixFollower
+from walkcart.store.follower import PrefixFollower
 from walkcart.wire.http import HttpReply
 
 #: Seconds until a change acts where feeds stand.
@@ -104,7 +104,7 @@
         address = await self.world.nursery.start(
             server.run, site, HostPort("127.0.0.1", 0)
         )
-        self.find(name, "calls", StoreCalls).move(address)
+        self.find(name, "calls", StoreCalls).set_address(address)
 
     def find(self, name, service, kind):
         return self.world.tenants[name].tenant.kernel.find(service, kind)
@@ -112,8 +112,8 @@
     def holds_last(self, name: str) -> bool:
         """Return whether an instance lets in the last key and not the one before."""
         teams = self.find(name, "keeper", RouteKeeper).table.teams
-        new = teams.find(digest_key(f"changing-{self.changes}".encode()))
-        old = teams.find(digest_key(f"changing-{self.changes - 1}".encode()))
+        new = teams.find_by_key(digest_key(f"changing-{self.changes}".encode()))
+        old = teams.find_by_key(digest_key(f"changing-{self.changes - 1}".encode()))
         return new is not None and old is None
 
     def find_worst(self) -> float:
--- a/walkcart/platform/tests/test_limited_teams.py
+++ b/walkcart/platform/tests/test_limited_teams.py
@@ -10,14 +10,14 @@
 from walkcart.entry.routed import RoutedHandler
 from walkcart.kernel.metrics import Metrics
 from walkcart.platform.tests.platformworld import (
+    make_key_headers,
     make_route,
     make_team,
     open_platform,
-    show_key,
 )
 from walkcart.wire.verdicts import NotRun, Reason
 
-LIMITED, FREE = show_key("limited-key"), show_key("free-key")
+LIMITED, FREE = make_key_headers("limited-key"), make_key_headers("free-key")
 TEAMS = [
     make_team("limited", "limited-key", ratePerS=5, burst=2),
     make_team("free", "free-key"),
@@ -76,7 +76,7 @@
             ("/open/x", LIMITED),
             ("/open/x", ()),
             ("/one/x", FREE),
-            ("/one/x", show_key("unknown")),
+            ("/one/x", make_key_headers("unknown")),
             ("/one/x", ()),
             ("/missing/x", LIMITED),
         ):
--- a/walkcart/platform/tests/test_lost_answers.py
+++ b/walkcart/platform/tests/test_lost_answers.py
@@ -72,7 +72,7 @@
             for name in instances:
                 await world.ask("/all/x", name)
             for leaf in random.sample(sorted(world.leafs), len(world.leafs) // 2):
-                world.leafs[leaf].faults.drop_share = share
+                world.leafs[leaf].faults.drop_rate = share
             for leaf in world.leafs.values():
                 leaf.arrived.clear()
             ends = []
@@ -141,7 +141,7 @@
             await world.start_instance("one")
             await world.wait_ready("one")
             await trio.sleep(12)
-            leaf.faults.drop_share = 0.5
+            leaf.faults.drop_rate = 0.5
             statuses = [(await world.ask("/one/x")).status for _ in range(20)]
             return statuses, len(leaf.ran)
 
--- a/walkcart/platform/tests/test_quarantined_requests.py
+++ b/walkcart/platform/tests/test_quarantined_requests.py
@@ -6,26 +6,28 @@
 
 import trio
 
-from walkcart.platform.tests.crashingplay import (
-    BAD,
+from walkcart.platform.tests.crashingscenario import (
+    CRASHING_TARGET,
     PLACES,
     SHARDS,
     ask_steadily,
-    play,
     read_events,
+    run_with_crashes,
 )
-from walkcart.platform.tests.crashingworld import CONTACT_TIME, make_sharded_route
+from walkcart.platform.tests.crashingworld import SPREAD_TIME, make_sharded_route
 from walkcart.platform.tests.platformworld import make_route
 
 
 def test_groups_that_are_gathered_in_other_regions_are_kept_from_leafs_too():
     async def act(crashing):
         for number in range(12):
-            await crashing.world.ask(BAD, ("one", "two", "three")[number % 3])
+            await crashing.world.ask(
+                CRASHING_TARGET, ("one", "two", "three")[number % 3]
+            )
             await trio.sleep(2)
-        return crashing.late_tries(BAD), len(crashing.ended)
+        return crashing.late_tries(CRASHING_TARGET), len(crashing.ended)
 
-    late, ended = play(act, places=PLACES)
+    late, ended = run_with_crashes(act, places=PLACES)
     assert len(late) <= 1
     # One leaf of each shard, one more in each region, one that was asked by itself.
     assert ended <= SHARDS + 2 * len(PLACES) + 1
@@ -35,16 +37,16 @@
     async def act(crashing):
         world = crashing.world
         for _ in range(3):
-            await world.ask(BAD, "one")
+            await world.ask(CRASHING_TARGET, "one")
             await trio.sleep(4)
         arrived = len(crashing.arrivals)
         start = trio.current_time()
-        reply = await world.ask(BAD, "two")
+        reply = await world.ask(CRASHING_TARGET, "two")
         took = trio.current_time() - start
         lines = read_events(world, "request_unserved")
         return reply, took, len(crashing.arrivals) - arrived, lines[-1]
 
-    reply, took, arrived, line = play(act)
+    reply, took, arrived, line = run_with_crashes(act)
     assert reply.status == 503
     assert float(reply.header(b"retry-after")) > 60
     assert took < 0.01
@@ -61,10 +63,12 @@
 
     async def ask_bad(crashing):
         for number in range(8):
-            await crashing.world.ask(BAD, ("one", "two", "three")[number % 3])
+            await crashing.world.ask(
+                CRASHING_TARGET, ("one", "two", "three")[number % 3]
+            )
             await trio.sleep(2)
 
-    statuses = play(act)
+    statuses = run_with_crashes(act)
     assert statuses.count(200) == len(statuses)
 
 
@@ -83,7 +87,7 @@
         lifted = read_events(world, "quarantine_lifted")
         return reply.status, order, again, len(lifted)
 
-    status, order, again, lifted = play(act)
+    status, order, again, lifted = run_with_crashes(act)
     assert status == 200
     # One leaf, and the others once that one has answered.
     assert order[1] - order[0] >= 0.01
@@ -97,23 +101,23 @@
         for other in ("north-a", "south-a"):
             world.network.cut("east-a", other)
         for _ in range(4):
-            await world.ask(BAD, "one")
+            await world.ask(CRASHING_TARGET, "one")
             await trio.sleep(4)
         for other in ("north-a", "south-a"):
             world.network.heal("east-a", other)
-        await trio.sleep(CONTACT_TIME)
+        await trio.sleep(SPREAD_TIME)
         arrived = len(crashing.arrivals)
-        status = (await world.ask(BAD, "three")).status
+        status = (await world.ask(CRASHING_TARGET, "three")).status
         return status, len(crashing.arrivals) - arrived
 
-    assert play(act, places=PLACES) == (503, 0)
+    assert run_with_crashes(act, places=PLACES) == (503, 0)
 
 
 def test_it_is_known_after_all_instances_started_anew():
     async def act(crashing):
         world = crashing.world
         for _ in range(3):
-            await world.ask(BAD, "one")
+            await world.ask(CRASHING_TARGET, "one")
             await trio.sleep(4)
         for running in list(world.tenants.values()):
             running.scope.cancel()
@@ -124,10 +128,12 @@
             await world.wait_ready(name)
         await trio.sleep(1)
         arrived = len(crashing.arrivals)
-        statuses = [(await world.ask(BAD, name)).status for name in world.tenants]
+        statuses = [
+            (await world.ask(CRASHING_TARGET, name)).status for name in world.tenants
+        ]
         return statuses, len(crashing.arrivals) - arrived
 
-    assert play(act) == ([503] * 3, 0)
+    assert run_with_crashes(act) == ([503] * 3, 0)
 
 
 def test_it_is_told_among_instances_while_the_store_is_away():
@@ -135,28 +141,28 @@
         world = crashing.world
         world.store.faults.silent = True
         for _ in range(3):
-            await world.ask(BAD, "one")
+            await world.ask(CRASHING_TARGET, "one")
             await trio.sleep(1)
-        status = (await world.ask(BAD, "two")).status
+        status = (await world.ask(CRASHING_TARGET, "two")).status
         world.store.faults.silent = False
         await trio.sleep(5)
         keys = [key for key in world.store.rows if "/quarantine/" in key]
         return status, len(keys)
 
-    assert play(act) == (503, 1)
+    assert run_with_crashes(act) == (503, 1)
 
 
 def test_it_costs_the_store_two_calls_and_no_reading():
     async def act(crashing):
         world = crashing.world
         for _ in range(3):
-            await world.ask(BAD, "one")
+            await world.ask(CRASHING_TARGET, "one")
             await trio.sleep(4)
         calls = list(world.store.calls)
         reads = [item for item in world.store.targets if "quarantine" in item]
         return calls, reads, world.store
 
-    _, reads, store = play(act)
+    _, reads, store = run_with_crashes(act)
     assert reads == []
     assert sum("/quarantine/" in key for key in store.rows) == 1
 
@@ -164,19 +170,19 @@
 def test_the_trial_of_a_caller_that_left_ends_with_it():
     async def act(crashing):
         world = crashing.world
-        await world.ask(BAD, "one")
+        await world.ask(CRASHING_TARGET, "one")
         await trio.sleep(5)
         crashing.targets.clear()
         for leaf in world.leafs.values():
             leaf.faults.delay = 1.0
         with trio.move_on_after(0.1):
-            await world.ask(BAD, "one")
+            await world.ask(CRASHING_TARGET, "one")
         for leaf in world.leafs.values():
             leaf.faults.delay = 0.0
         await trio.sleep(2)
-        return (await world.ask(BAD, "one")).status
+        return (await world.ask(CRASHING_TARGET, "one")).status
 
-    assert play(act) == 200
+    assert run_with_crashes(act) == 200
 
 
 def test_a_request_that_must_not_repeat_ends_three_leafs_and_no_more():
@@ -195,7 +201,7 @@
             await trio.sleep(4)
         return statuses, len(crashing.ended)
 
-    statuses, ended = play(act, targets=("/one/bad",))
+    statuses, ended = run_with_crashes(act, targets=("/one/bad",))
     assert statuses == [502, 502, 502, 503, 503, 503]
     assert ended == 3
 
@@ -208,15 +214,15 @@
 
         async def repeat(name):
             for _ in range(60):
-                await world.ask(BAD, name)
+                await world.ask(CRASHING_TARGET, name)
                 await trio.sleep(0.1)
 
         async with trio.open_nursery() as nursery:
             for name in world.tenants:
                 nursery.start_soon(repeat, name)
-        return crashing.late_tries(BAD, after=1.0), len(crashing.ended)
+        return crashing.late_tries(CRASHING_TARGET, after=1.0), len(crashing.ended)
 
-    late, ended = play(act, places=PLACES)
+    late, ended = run_with_crashes(act, places=PLACES)
     assert late == set()
     # The first tries were under way at all instances before any knew.
     assert ended <= 2 * SHARDS
@@ -240,6 +246,6 @@
             await world.ask("/one/bad", name)
         return ended, len(crashing.ended), read_events(world, "quarantine_lifted")
 
-    ended, later, lifted = play(act, targets=("/one/bad",))
+    ended, later, lifted = run_with_crashes(act, targets=("/one/bad",))
     assert lifted == []
     assert later <= ended + 1
--- a/walkcart/platform/tests/test_store_calls.py
+++ b/walkcart/platform/tests/test_store_calls.py
@@ -14,7 +14,7 @@
 from walkcart.membership.instancerecord import INSTANCE_PREFIX
 from walkcart.membership.registration import Registration
 from walkcart.membership.relaying import Relay
-from walkcart.platform.tests.changesinforce import DATA_CENTRES, STORE, Estate
+from walkcart.platform.tests.changedelays import DATA_CENTRES, STORE, Fleet
 from walkcart.platform.tests.platformworld import make_route, open_platform
 from walkcart.platform.tests.test_start_calls import (
     ALL_DATA_CENTRES,
@@ -240,7 +240,7 @@
 def test_feeders_that_lose_the_store_are_replaced_by_few():
     async def run():
         async with open_platform() as world:
-            fleet = Estate(world)
+            fleet = Fleet(world)
             await fleet.start_many(FED, DATA_CENTRES[:1])
             before = len(world.store.targets)
             async with trio.open_nursery() as nursery:
@@ -250,7 +250,7 @@
                     await trio.sleep(1)
                     fleet.change()
             await trio.sleep(20)
-            return sum_costs(world.store.targets[before:]), fleet.find_worst()
+            return sum_costs(world.store.targets[before:]), fleet.find_max_delay()
 
     cost, max_delay = run_mocked(run)
     assert max_delay <= BOUND
--- a/walkcart/platform/tests/test_suspended_instances.py
+++ b/walkcart/platform/tests/test_suspended_instances.py
@@ -108,7 +108,7 @@
         trio.run(self._run, clock=BootClock(self.machine.read))
 
     async def _run(self):
-        surroundings = TenantSurroundings(
+        surroundings = TenantEnvironment(
             TcpNetwork(), NngTransport(), TrioClock(), Random(7), self.log
         )
         self.tenant = await assemble_tenant(self.settings, surroundings)
--- a/walkcart/platform/tests/test_team_changes.py
+++ b/walkcart/platform/tests/test_team_changes.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from walkcart.platform.tests.platformworld import make_team, show_key
+from walkcart.platform.tests.platformworld import make_key_headers, make_team
 from walkcart.platform.tests.teamworld import (
     DATA_CENTRES,
     FITTERS,
@@ -69,7 +69,7 @@
         replies = []
 
         async def ask(name):
-            headers = show_key(RIDERS)
+            headers = make_key_headers(RIDERS)
             reply = await world.ask(path, name, deadline_ms=6000, headers=headers)
             replies.append((reply.status, trio.current_time()))
 
@@ -95,7 +95,7 @@
         world.store.faults.refusal = 503
         await trio.sleep(5)
         late = [
-            await world.ask("/one/x", name, headers=show_key("new"))
+            await world.ask("/one/x", name, headers=make_key_headers("new"))
             for name in DATA_CENTRES
         ]
         known = await ask_all(world, RIDERS)
@@ -122,13 +122,13 @@
         await trio.sleep(0.1)
         await world.start_instance("north-a", "north-a")
         early = [
-            (await world.ask("/one/x", "north-a", headers=show_key(key))).status
+            (await world.ask("/one/x", "north-a", headers=make_key_headers(key))).status
             for key in (RIDERS, "unknown")
         ]
         world.store.faults.refusal = 0
         await world.wait_ready("north-a")
         later = [
-            (await world.ask("/one/x", "north-a", headers=show_key(key))).status
+            (await world.ask("/one/x", "north-a", headers=make_key_headers(key))).status
             for key in (RIDERS, "unknown")
         ]
         return early, later
--- a/walkcart/platform/tests/test_team_documents.py
+++ b/walkcart/platform/tests/test_team_documents.py
@@ -7,7 +7,7 @@
 
 from walkcart.intent.routes import RouteTable
 from walkcart.intent.teams import RateLimit, digest_key
-from walkcart.platform.apikeys import MOST_KEY_BYTES, read_credential
+from walkcart.platform.apikeys import MAX_KEY_BYTES, read_credential
 from walkcart.platform.callerprotocol import PlatformCallerProtocol
 from walkcart.platform.documents import read_configuration
 from walkcart.platform.tests.platformworld import (
@@ -107,9 +107,9 @@
     table = RouteTable(read(teams))
     for number in range(0, 200, 7):
         for key in range(0, 50, 11):
-            found = table.teams.find(digest_key(b"key-%d-%d" % (number, key)))
+            found = table.teams.find_by_key(digest_key(b"key-%d-%d" % (number, key)))
             assert found.name == f"team-{number}"
-    assert table.teams.find(digest_key(b"key-200-1")) is None
+    assert table.teams.find_by_key(digest_key(b"key-200-1")) is None
 
 
 def test_repr_of_what_was_read_contains_no_key():
@@ -140,7 +140,7 @@
         [b"Bearer one", b"Bearer two"],
         [b"Bearer one", b"Bearer one"],
         [b"Bearer one", b""],
-        [b"Bearer " + b"k" * (MOST_KEY_BYTES + 1)],
+        [b"Bearer " + b"k" * (MAX_KEY_BYTES + 1)],
     ],
 )
 def test_anything_but_one_valid_key_counts_as_no_key(values):
@@ -154,7 +154,7 @@
 
 
 def test_key_of_maximum_length_is_read():
-    key = b"k" * MOST_KEY_BYTES
+    key = b"k" * MAX_KEY_BYTES
     assert read_credential(((b"authorization", b"Bearer " + key),)) == digest_key(key)
 
 
--- a/walkcart/platform/tests/test_teams.py
+++ b/walkcart/platform/tests/test_teams.py
@@ -6,7 +6,7 @@
 
 from walkcart.kernel.exposition import render_metrics
 from walkcart.kernel.metrics import Metrics
-from walkcart.platform.tests.platformworld import REGIONS, make_team, show_key
+from walkcart.platform.tests.platformworld import REGIONS, make_key_headers, make_team
 from walkcart.platform.tests.teamworld import (
     DATA_CENTRES,
     FITTERS,
@@ -38,7 +38,9 @@
             for path in PATHS:
                 for name in DATA_CENTRES * 3:
                     await world.ask(
-                        path, name, headers=FORGED_TEAM_HEADERS + show_key(RIDERS)
+                        path,
+                        name,
+                        headers=FORGED_TEAM_HEADERS + make_key_headers(RIDERS),
                     )
         return list_arrived(world)
 
@@ -58,11 +60,13 @@
         for key in (RIDERS, FITTERS, "unknown-secret-key"):
             for path in (*PATHS, "/open/x", "/none/x"):
                 for name in DATA_CENTRES:
-                    await world.ask(path, name, headers=show_key(key))
-        await world.ask("/one/x", "north-a", headers=show_key("secret-key x"))
+                    await world.ask(path, name, headers=make_key_headers(key))
+        await world.ask("/one/x", "north-a", headers=make_key_headers("secret-key x"))
         world.store.faults.refusal = 503
         await trio.sleep(5)
-        await world.ask("/one/x", "north-a", headers=show_key("later-secret-key"))
+        await world.ask(
+            "/one/x", "north-a", headers=make_key_headers("later-secret-key")
+        )
         world.store.faults.refusal = 0
         content = msgspec.json.decode(world.store.rows["op/config"].value)
         content["version"] += 1
@@ -99,7 +103,7 @@
 
 def test_without_teams_requests_are_forwarded_unchanged(monkeypatch):
     sent = record_messages(monkeypatch)
-    headers = ((b"x-tenant", b"clerks"), *show_key(RIDERS), (b"accept", b"*/*"))
+    headers = ((b"x-tenant", b"clerks"), *make_key_headers(RIDERS), (b"accept", b"*/*"))
 
     async def act(world):
         for path in (*PATHS, "/open/x"):
@@ -133,10 +137,10 @@
             for name in DATA_CENTRES
             for headers in (
                 (),
-                show_key("unknown"),
-                show_key(RIDERS) * 2,
-                show_key(RIDERS) + show_key(FITTERS),
-                show_key("k" * 4000),
+                make_key_headers("unknown"),
+                make_key_headers(RIDERS) * 2,
+                make_key_headers(RIDERS) + make_key_headers(FITTERS),
+                make_key_headers("k" * 4000),
                 ((b"authorization", b"Basic abc"),),
                 ((b"x-tenant", b"riders"),),
             )
@@ -162,8 +166,8 @@
     ("headers", "told"),
     [
         (FORGED_TEAM_HEADERS, ()),
-        (FORGED_TEAM_HEADERS + show_key("unknown"), ()),
-        (FORGED_TEAM_HEADERS + show_key(FITTERS), (b"fitters",)),
+        (FORGED_TEAM_HEADERS + make_key_headers("unknown"), ()),
+        (FORGED_TEAM_HEADERS + make_key_headers(FITTERS), (b"fitters",)),
     ],
 )
 def test_public_route_serves_all_and_names_the_team_of_a_known_key(headers, told):
@@ -180,8 +184,8 @@
 
 def test_empty_list_of_teams_admits_requests_on_public_routes_only():
     async def act(world):
-        one = await world.ask("/one/x", "north-a", headers=show_key(RIDERS))
-        public = await world.ask("/open/x", "north-a", headers=show_key(RIDERS))
+        one = await world.ask("/one/x", "north-a", headers=make_key_headers(RIDERS))
+        public = await world.ask("/open/x", "north-a", headers=make_key_headers(RIDERS))
         return one.status, public.status
 
     assert with_teams(act, teams=[]) == (401, 200)
@@ -195,7 +199,7 @@
         statuses = set()
         for path in PATHS:
             for name in DATA_CENTRES * 2:
-                reply = await world.ask(path, name, headers=show_key(RIDERS))
+                reply = await world.ask(path, name, headers=make_key_headers(RIDERS))
                 statuses.add(reply.status)
         regions = {
             REGIONS[world.entries[id]["zone"]]
@@ -213,8 +217,8 @@
     lost = [make_team("riders", RIDERS, allowedRegions=["west"]), TEAMS[1]]
 
     async def act(world):
-        refused = await world.ask("/one/x", "north-a", headers=show_key(RIDERS))
-        served = await world.ask("/one/x", "north-a", headers=show_key(FITTERS))
+        refused = await world.ask("/one/x", "north-a", headers=make_key_headers(RIDERS))
+        served = await world.ask("/one/x", "north-a", headers=make_key_headers(FITTERS))
         world.configure(*ROUTES, teams=lost)
         await trio.sleep(IN_FORCE)
         lines = [
--- a/walkcart/routing/__init__.py
+++ b/walkcart/routing/__init__.py
@@ -1,6 +1,6 @@
 """Decisions under load: small modules whose inputs are plain data and a clock."""
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Admission": "admission",
@@ -20,4 +20,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/standins/balancer.py
+++ b/walkcart/standins/balancer.py
@@ -71,7 +71,7 @@
                 return
             found[address] = reply.status == 200
 
-    async def pass_on(self, client: trio.abc.Stream) -> None:
+    async def forward(self, client: trio.abc.Stream) -> None:
         """Pass one connection on."""
         address = self.choose()
         if address is None:
--- a/walkcart/standins/leaf.py
+++ b/walkcart/standins/leaf.py
@@ -105,14 +105,14 @@
         self.spec = spec
         self.faults = LeafFaults()
         #: Ends the leaf, and returns whether it does, when it begins some requests.
-        self.ends_under: Callable[[bytes], bool] | None = None
+        self.crashes_on: Callable[[bytes], bool] | None = None
         self.versions = versions
         self.incarnation = incarnation
         self.runs: list[Run] = []
         self.refused = 0
         self.requests = 0
         self.connections = 0
-        self.most_connections = 0
+        self.peak_connections = 0
         self.connections_refused = 0
         self.once: Counter[str] = Counter()
         self._random = random
@@ -211,7 +211,7 @@
             self.runs.append(Run(attempt, once_key, now, scope, body))
             if once_key:
                 self.once[once_key] += 1
-            if self.ends_under is not None and self.ends_under(body):
+            if self.crashes_on is not None and self.crashes_on(body):
                 await trio.sleep_forever()
             await trio.sleep(self._service_time())
             if self.faults.hang:
@@ -309,7 +309,7 @@
             await trio.aclose_forcefully(stream)
             return
         leaf.connections += 1
-        leaf.most_connections = max(leaf.most_connections, leaf.connections)
+        leaf.peak_connections = max(leaf.peak_connections, leaf.connections)
         try:
             await trio.sleep(leaf.spec.connect_time)
             await self.http.serve(FaultyStream(stream, leaf.corrupt))
--- a/walkcart/standins/main.py
+++ b/walkcart/standins/main.py
@@ -159,7 +159,7 @@
     listener = await network.listen(parse_host_port(options.listen))
     async with trio.open_nursery() as nursery:
         await nursery.start(balancer.watch)
-        nursery.start_soon(trio.serve_listeners, balancer.pass_on, [listener])
+        nursery.start_soon(trio.serve_listeners, balancer.forward, [listener])
 
 
 if __name__ == "__main__":
--- a/walkcart/standins/pipes.py
+++ b/walkcart/standins/pipes.py
@@ -161,7 +161,7 @@
         await trio.lowlevel.checkpoint()
 
     @property
-    def used_at(self) -> float:
+    def last_sent_at(self) -> float:
         """When bytes were sent last, in either direction."""
         return max(self._incoming.used_at, self._outgoing.used_at)
 
@@ -170,7 +170,7 @@
         self._incoming.go_silent()
         self._outgoing.go_silent()
 
-    def forget(self) -> None:
+    def drop_silently(self) -> None:
         """Lose the connection at this end; the other one learns it when it sends."""
         self._incoming.reader_gone = True
 
--- a/walkcart/standins/serving.py
+++ b/walkcart/standins/serving.py
@@ -65,7 +65,7 @@
         finally:
             self._streams.discard(stream)
 
-    def forget_connections(self) -> None:
+    def drop_connections_silently(self) -> None:
         """Drop all connections without a word: what comes next is reset."""
         for stream in tuple(self._streams):
             stream.forget()
--- a/walkcart/store/__init__.py
+++ b/walkcart/store/__init__.py
@@ -1,13 +1,13 @@
 """The client of the platform's key-value service."""
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Backoff": "backoff",
     "CallBudget": "budget",
     "Conflict": "client",
     "Entry": "client",
-    "PrefixFollower": "following",
+    "PrefixFollower": "follower",
     "SharedStore": "items",
     "StoreCalls": "calls",
     "StoreClient": "client",
@@ -18,4 +18,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
--- a/walkcart/store/backoff.py
+++ b/walkcart/store/backoff.py
@@ -23,7 +23,7 @@
         self._random = random
         self._next = self._first
 
-    def advance(self) -> timedelta:
+    def next_delay(self) -> timedelta:
         """Return the next wait: half to all of a bound that grows."""
         bound = self._next
         self._next = min(self._next * GROWTH, self._limit)
--- a/walkcart/store/budget.py
+++ b/walkcart/store/budget.py
@@ -23,7 +23,7 @@
         self._tokens = burst
         self._then = clock.monotonic()
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Take one call, waiting until there is one."""
         self._refill()
         self._tokens -= 1
--- a/walkcart/store/calls.py
+++ b/walkcart/store/calls.py
@@ -99,11 +99,11 @@
         """Where the service is called."""
         return self._address
 
-    def on_back(self, listener: Callable[[], None]) -> None:
+    def on_recovered(self, listener: Callable[[], None]) -> None:
         """Call `listener` when calls succeed again after a failure."""
         self._on_back.append(listener)
 
-    def on_away(self, listener: Callable[[], None]) -> None:
+    def on_unreachable(self, listener: Callable[[], None]) -> None:
         """Call `listener` when a call failed after others had succeeded."""
         self._on_away.append(listener)
 
@@ -111,7 +111,7 @@
         """Call `listener` after each call that the service served."""
         self._on_success.append(listener)
 
-    def unserved_time(self) -> float:
+    def find_outage_time(self) -> float:
         """Return the seconds since calls began to fail; 0 while they succeed."""
         if self.reachable:
             return 0.0
@@ -121,7 +121,7 @@
         """Wait until the service serves this instance, as far as it is known."""
         await self._back.wait()
 
-    def move(self, address: HostPort) -> None:
+    def set_address(self, address: HostPort) -> None:
         """Call the service at another address from now on."""
         if address != self._address:
             self._address = address
@@ -139,14 +139,14 @@
         Raises:
             StoreUnavailable: no reply.
         """
-        await self._budget.take()
+        await self._budget.acquire()
         self._metrics.count("store.calls")
         limit = wait + self._call_time
         span = self._tracer.start("store.call", None, method=request.method)
-        with self._tracer.hold(span):
+        with self._tracer.end_on_exit(span):
             with trio.move_on_after(limit.total_seconds()):
                 return await self._exchange(request)
-        raise self.fail("no reply in time", True)
+        raise self.record_failure("no reply in time", True)
 
     async def _exchange(self, request: HttpRequest) -> HttpReply:
         """Send on a connection of this call's own; keep it when it is clean."""
@@ -157,7 +157,7 @@
             reply = await connection.exchange(request)
         except ExchangeFailed as error:
             await connection.close()
-            raise self.fail(str(error), error.sent) from None
+            raise self.record_failure(str(error), error.sent) from None
         except BaseException:
             await connection.close()
             raise
@@ -179,15 +179,15 @@
         try:
             stream = await self._network.connect(self._address, PROBE)
         except OSError as error:
-            raise self.fail(str(error), False) from None
+            raise self.record_failure(str(error), False) from None
         return HttpConnection(stream, str(self._address), REPLY_LIMIT)
 
-    def reject(self, detail: str) -> StoreUnavailable:
+    def reject_reply(self, detail: str) -> StoreUnavailable:
         """Return the error for a reply that can't be understood."""
         self._events.emit(Events.STORE_BAD_REPLY, detail=detail)
         return StoreUnavailable(True, detail)
 
-    def fail(self, detail: str, uncertain: bool) -> StoreUnavailable:
+    def record_failure(self, detail: str, uncertain: bool) -> StoreUnavailable:
         """Note that the service didn't serve a call, and return the error."""
         self._metrics.count("store.failed")
         if self.reachable:
@@ -199,7 +199,7 @@
                 listener()
         return StoreUnavailable(uncertain, detail)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Note that the service served a call."""
         self.last_success = self._clock.monotonic()
         if not self.reachable:
--- a/walkcart/store/client.py
+++ b/walkcart/store/client.py
@@ -114,7 +114,9 @@
             return None
         entry = self._read_entry(reply)
         if entry.revision <= after:
-            raise self._calls.reject(f"a watch after {after} gave {entry.revision}")
+            raise self._calls.reject_reply(
+                f"a watch after {after} gave {entry.revision}"
+            )
         return entry
 
     async def _call(
@@ -122,14 +124,16 @@
     ) -> HttpReply:
         reply = await self._calls.call(request, wait)
         if reply.status >= 500:
-            raise self._calls.fail(f"status {reply.status}", True)
-        self._calls.note_success()
+            raise self._calls.record_failure(f"status {reply.status}", True)
+        self._calls.record_success()
         return reply
 
     def _read_entry(self, reply: HttpReply) -> Entry:
         revision = read_number(reply.header(b"revision"))
         if reply.status != 200 or not revision:
-            raise self._calls.reject(f"status {reply.status}, revision {revision}")
+            raise self._calls.reject_reply(
+                f"status {reply.status}, revision {revision}"
+            )
         return Entry(reply.body, revision)
 
     def _read_write(self, reply: HttpReply, expected: int) -> Written | Conflict:
@@ -138,7 +142,9 @@
             return Conflict(self._read_present(reply) if present else None)
         revision = read_number(reply.header(b"revision"))
         if reply.status != 200 or revision is None or revision <= expected:
-            raise self._calls.reject(f"status {reply.status}, revision {revision}")
+            raise self._calls.reject_reply(
+                f"status {reply.status}, revision {revision}"
+            )
         return Written(revision)
 
     def _read_present(self, reply: HttpReply) -> Entry:
--- a/walkcart/store/following.py
+++ b/walkcart/store/follower.py
@@ -21,7 +21,7 @@
 from walkcart.kernel.events import Events
 from walkcart.store.backoff import Backoff
 from walkcart.store.calls import StoreCalls, StoreUnavailable
-from walkcart.store.currency import Currency
+from walkcart.store.freshness import CopyFreshness
 from walkcart.store.history import ChangeHistory
 from walkcart.store.items import (
     Change,
@@ -76,11 +76,11 @@
         events: where a lost history is logged.
         listener: told each change of the copy, and once when it was first read.
         pause: after a watch that brought changes.
-        matters: whether a new value of an item is a change; one that isn't is kept
+        is_significant: whether a new value of an item is a change; one that isn't is kept
             and neither told nor passed on.
-        read_past: a copy that was current longer ago is read anew, not watched from
+        reread_after: a copy that was current longer ago is read anew, not watched from
             where it is, which would bring all versions since; None to watch always.
-        first_fresh: whether the first reading must be of the present; one that may be
+        fresh_first_read: whether the first reading must be of the present; one that may be
             seconds old costs a tenth, and the first watch or feed makes it good.
     """
 
@@ -94,9 +94,9 @@
         events: EventLog,
         listener: UpdateListener,
         pause: timedelta = BURST_PAUSE,
-        matters: DifferenceTest = differ,
-        read_past: timedelta | None = None,
-        first_fresh: bool = True,
+        is_significant: DifferenceTest = differ,
+        reread_after: timedelta | None = None,
+        fresh_first_read: bool = True,
     ) -> None:
         self._store = store
         self._calls = calls
@@ -105,14 +105,14 @@
         self._events = events
         self._listener = listener
         self._pause = pause
-        self._matters = matters
-        self._read_past = read_past
-        self._first_fresh = first_fresh
+        self._matters = is_significant
+        self._read_past = reread_after
+        self._first_fresh = fresh_first_read
         self._items: dict[str, Item] = {}
         self._history = ChangeHistory()
         self._must_read = True
         self._working: trio.CancelScope | None = None
-        self._currency = Currency(calls, clock)
+        self._currency = CopyFreshness(calls, clock)
         self._fed = False
         self._feed_lost = trio.Event()
         self._wanted = trio.Event()
@@ -123,8 +123,8 @@
         #: Called after a watch has brought all that was stored.
         self.on_current: Callable[[], None] = lambda: None
         #: Called when the next watch begins after a pause.
-        self.on_resumed: Callable[[], None] = lambda: None
-        calls.on_back(self.watch_anew)
+        self.on_watch_resumed: Callable[[], None] = lambda: None
+        calls.on_recovered(self.watch_anew)
 
     def items(self) -> Iterable[Item]:
         """Return the items of the copy."""
@@ -138,16 +138,16 @@
     @property
     def current_at(self) -> float:
         """Time at which the copy surely held all that was stored."""
-        return self._currency.find()
+        return self._currency.find_complete_time()
 
     def find_age(self) -> float:
         """Return the seconds since then; infinite before the first reading."""
         return self._clock.monotonic() - self.current_at
 
-    def note_current(self, revision: int, at: float) -> None:
+    def record_current(self, revision: int, at: float) -> None:
         """Note that the copy held all that was stored at a time, up to a revision."""
         self.revision = max(self.revision, revision)
-        self._currency.note(at)
+        self._currency.record_complete(at)
 
     def changes_after(self, revision: int) -> tuple[Change, ...] | None:
         """Return the latest change of each key after a revision; None if unknown."""
@@ -203,7 +203,7 @@
             await self._take(result)
         except StoreUnavailable:
             # Logged by the calls, which know whether it is the first failure.
-            await trio.sleep(self._backoff.advance().total_seconds())
+            await trio.sleep(self._backoff.next_delay().total_seconds())
 
     async def _wait_for_service(self) -> None:
         """Wait until it is worth to call again."""
@@ -231,7 +231,7 @@
         reading = await read_prefix(self._store, self.prefix, fresh)
         if fresh:
             # Before listeners hear of it: they pass on what is current.
-            self._currency.note(began_at)
+            self._currency.record_complete(began_at)
         self.replace(reading.items, reading.revision)
 
     def replace(
@@ -275,7 +275,7 @@
                 )
                 self._must_read = True
             case Changes(changes, revision):
-                whole = self._currency.take(changes)
+                whole = self._currency.record_changes(changes)
                 pause = self._pause.total_seconds()
                 if not self.apply(changes, revision):
                     pause *= IDLE_PAUSES
@@ -283,7 +283,7 @@
                     self.on_current()
                 if changes and whole:
                     await trio.sleep(pause)
-                    self.on_resumed()
+                    self.on_watch_resumed()
 
     def apply(
         self, changes: Iterable[Change], revision: int, origin: Origin = Origin()
--- a/walkcart/store/currency.py
+++ b/walkcart/store/freshness.py
@@ -1,7 +1,7 @@
 """At which time a copy surely held all that was stored.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, whose copies these are.
+    `walkcart.store.follower.PrefixFollower`, whose copies these are.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     return len(changes) >= FULL_CHANGES or size >= FULL_BYTES
 
 
-class Currency:
+class CopyFreshness:
     """Knows when a copy was surely complete.
 
     Args:
@@ -45,7 +45,7 @@
         #: Whether a watch waits.
         self.waiting = False
 
-    def find(self) -> float:
+    def find_complete_time(self) -> float:
         """Return the latest time at which the copy was surely complete."""
         if not self.waiting:
             return self._noted_at
@@ -64,7 +64,7 @@
             return self._watch_began + CUT_OFF_TIME
         return self._watch_began if self._interrupted else float("-inf")
 
-    def note(self, at: float) -> None:
+    def record_complete(self, at: float) -> None:
         """Note that the copy was complete at a time."""
         self._noted_at = max(self._noted_at, at)
 
@@ -81,10 +81,10 @@
         finally:
             self.waiting = False
 
-    def take(self, changes: Collection[Change]) -> bool:
+    def record_changes(self, changes: Collection[Change]) -> bool:
         """Note what a watch has brought; return whether that was surely all."""
         self._cut_off = is_full(changes)
         self._interrupted = False
         if not self._cut_off:
-            self.note(self._clock.monotonic())
+            self.record_complete(self._clock.monotonic())
         return not self._cut_off
--- a/walkcart/store/history.py
+++ b/walkcart/store/history.py
@@ -5,7 +5,7 @@
 depends on the keys that changed and not on how often they did.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which keeps one.
+    `walkcart.store.follower.PrefixFollower`, which keeps one.
 """
 
 from __future__ import annotations
--- a/walkcart/store/items.py
+++ b/walkcart/store/items.py
@@ -4,7 +4,7 @@
 watches prefixes and gives leases. The wire form is an adapter's.
 
 See Also:
-    `walkcart.store.following.PrefixFollower`, which keeps a copy of a prefix.
+    `walkcart.store.follower.PrefixFollower`, which keeps a copy of a prefix.
 """
 
 from __future__ import annotations
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseOver:
+class LeaseNotFound:
     """There is no such lease, or it has ended."""
 
 
@@ -161,7 +161,7 @@
 
     async def commit(
         self, transaction: Transaction
-    ) -> Committed | Rejected | LeaseOver:
+    ) -> Committed | Rejected | LeaseNotFound:
         """Make changes that depend on conditions."""
         ...
 
@@ -169,7 +169,7 @@
         """Return a new lease."""
         ...
 
-    async def renew_lease(self, lease: Lease) -> Lease | LeaseOver:
+    async def renew_lease(self, lease: Lease) -> Lease | LeaseNotFound:
         """Begin the time of a lease anew."""
         ...
 
--- a/walkcart/store/tests/test_client.py
+++ b/walkcart/store/tests/test_client.py
@@ -133,12 +133,12 @@
     from datetime import timedelta
 
     backoff = Backoff(timedelta(seconds=1), timedelta(seconds=8), Random(1))
-    waits = [backoff.advance().total_seconds() for _ in range(8)]
+    waits = [backoff.next_delay().total_seconds() for _ in range(8)]
     assert all(0.5 <= wait <= 8 for wait in waits)
     assert max(waits[:1]) <= 1
     assert min(waits[4:]) >= 4
     backoff.reset()
-    assert backoff.advance().total_seconds() <= 1
+    assert backoff.next_delay().total_seconds() <= 1
 
 
 def test_call_budget_holds_the_rate():
@@ -146,7 +146,7 @@
         budget = CallBudget(10, 5, TrioClock())
         start = trio.current_time()
         for _ in range(25):
-            await budget.take()
+            await budget.acquire()
         return trio.current_time() - start
 
     assert 1.9 <= run_mocked(run) <= 2.1
--- a/walkcart/store/tests/test_following.py
+++ b/walkcart/store/tests/test_following.py
@@ -9,7 +9,7 @@
 
 from walkcart.bench.harness import ManualClock
 from walkcart.store.backoff import Backoff
-from walkcart.store.following import PrefixFollower, differ
+from walkcart.store.follower import PrefixFollower, differ
 from walkcart.store.items import Item, Removal
 from walkcart.store.updates import Origin
 
@@ -32,7 +32,7 @@
         backoff,
         None,
         listen,
-        matters=matters,
+        is_significant=matters,
     )
 
 
--- a/walkcart/wire/__init__.py
+++ b/walkcart/wire/__init__.py
@@ -1,6 +1,6 @@
 """What passes between processes: verdicts, HTTP/1.1 by h11, peer messages."""
 
-from walkcart.lazyimport import attach_names
+from walkcart.lazyimport import make_lazy_getattr
 
 _MODULES = {
     "Answered": "verdicts",
@@ -30,4 +30,4 @@
 
 __all__ = sorted(_MODULES)
 
-__getattr__ = attach_names(__name__, _MODULES)
+__getattr__ = make_lazy_getattr(__name__, _MODULES)
