--- a/walkcart/platform/tests/crashingscenario.py
+++ b/walkcart/platform/tests/crashingscenario.py
@@ -20,7 +20,7 @@
     places=("north-a",),
     targets=(CRASHING_TARGET,),
 ):
-    """Run `act(crashing)` on a platform with shards and one service of four leaves.
+    """Run `action(crashing)` on a platform with shards and one service of four leaves.
 
     Args:
         action: async function that gets the `CrashingWorld`.
--- a/walkcart/platform/tests/platformworld.py
+++ b/walkcart/platform/tests/platformworld.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from walkcart.daemon.tenant import Tenant, TenantSurroundings, assemble_tenant
+from walkcart.daemon.tenant import Tenant, TenantEnvironment, assemble_tenant
 from walkcart.kernel.clock import TrioClock
 from walkcart.kernel.settings import HostPort
 from walkcart.platform.settings import PlatformSettings
@@ -167,10 +167,10 @@
             name, data_centre, self.store_address, self.repeat_allowance
         )
         site = self.network.at(site_name or data_centre, link)
-        surroundings = TenantEnvironment(
+        environment = TenantEnvironment(
             site, site.transport(), TrioClock(), Random(7), self.log
         )
-        tenant = await assemble_tenant(settings, surroundings)
+        tenant = await assemble_tenant(settings, environment)
         scope = await self.nursery.start(_run_tenant, tenant)
         self.tenants[name] = RunningTenant(tenant, settings, scope)
         return self.tenants[name]
--- a/walkcart/platform/tests/test_suspended_instances.py
+++ b/walkcart/platform/tests/test_suspended_instances.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from walkcart.daemon.tenant import TenantSurroundings, assemble_tenant
+from walkcart.daemon.tenant import TenantEnvironment, assemble_tenant
 from walkcart.intent.routekeeper import RouteKeeper
 from walkcart.kernel.clock import BootClock, TrioClock
 from walkcart.kernel.eventlog import EventLog
@@ -108,10 +108,10 @@
         trio.run(self._run, clock=BootClock(self.machine.read))
 
     async def _run(self):
-        surroundings = TenantEnvironment(
+        environment = TenantEnvironment(
             TcpNetwork(), NngTransport(), TrioClock(), Random(7), self.log
         )
-        self.tenant = await assemble_tenant(self.settings, surroundings)
+        self.tenant = await assemble_tenant(self.settings, environment)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.machine.suspend_on_request)
             await nursery.start(self.tenant.kernel.run)
