--- a/walkcart/platform/tests/crashingworld.py
+++ b/walkcart/platform/tests/crashingworld.py
@@ -99,7 +99,8 @@
 
         Args:
             target: target of the request.
-            after: seconds after the third crash under it from when it should be known.
+            after: time after the third crash under it from which no request of that
+                target may reach a leaf, in seconds.
         """
         ends = [item.at for item in self.ended if item.target == target]
         if len(ends) < 3:
--- a/walkcart/platform/tests/garbledlinks.py
+++ b/walkcart/platform/tests/garbledlinks.py
@@ -46,14 +46,14 @@
         self._random = random
         self._world = world
         self._deliver = world.network.deliver
-        self.spoiled = 0
+        self.fault_count = 0
         world.network.deliver = self.deliver  # type: ignore[method-assign]
 
     def deliver(self, site: str, address: Any, data: bytes, *left: float) -> None:
         """Deliver an envelope, perhaps garbled, and perhaps a second copy of it."""
         draw = self._random.random()
         if draw < GARBLED:
-            self.spoiled += 1
+            self.fault_count += 1
             data = self._garble(data)
         elif draw < GARBLED + DUPLICATED:
             self._repeat(site, address, data)
@@ -62,11 +62,11 @@
         self._deliver(site, address, data, *left)
 
     def _garble(self, data: bytes) -> bytes:
-        spoiled = bytearray(data)
+        garbled = bytearray(data)
         for _ in range(self._random.randint(1, 4)):
-            spoiled[self._random.randrange(len(spoiled))] = self._random.randrange(256)
-        end = self._random.choice([len(spoiled), self._random.randrange(len(spoiled))])
-        return bytes(spoiled[:end])
+            garbled[self._random.randrange(len(garbled))] = self._random.randrange(256)
+        end = self._random.choice([len(garbled), self._random.randrange(len(garbled))])
+        return bytes(garbled[:end])
 
     def _forge_sender(self, data: bytes) -> bytes:
         name = self._random.choice([*INSTANCES, "nobody"])
@@ -75,7 +75,7 @@
         )
 
     def _repeat(self, site: str, address: Any, data: bytes) -> None:
-        self.spoiled += 1
+        self.fault_count += 1
         delay = self._random.uniform(0.0, MAX_DELAY)
 
         async def deliver_later() -> None:
@@ -87,10 +87,10 @@
 
 def run_garbled_links(seed: int) -> dict[str, int]:
     """Send requests over faulty links; return the counts to check, by name."""
-    return run_mocked(_play, seed)
+    return run_mocked(_run, seed)
 
 
-async def _play(seed: int) -> dict[str, int]:
+async def _run(seed: int) -> dict[str, int]:
     async with open_platform() as world:
         leafs = CrashingWorld(world)
         names = await leafs.start_shards(SHARDS, places=DATA_CENTRES)
@@ -122,7 +122,7 @@
             for number in range(int(SECONDS / INTERVAL)):
                 nursery.start_soon(ask, number)
                 await trio.sleep(INTERVAL)
-        counts["spoiled"] = injector.spoiled
+        counts["spoiled"] = injector.fault_count
         counts["over_attempts"] = _count_over_attempts(world, leafs)
         return counts
 
--- a/walkcart/platform/tests/leafstandin.py
+++ b/walkcart/platform/tests/leafstandin.py
@@ -22,7 +22,7 @@
         status: status of every reply, if not 0.
         fail_first: status of every reply, sent without running the request, if not 0.
         drop: run every request, then close the connection without a reply.
-        drop_rate: fraction of the requests, chosen at random, that are dropped so.
+        drop_rate: fraction of the requests, chosen at random, to drop in this way.
         other_id: echo the id of another request.
         unstamped: omit the stamp of replies.
     """
--- a/walkcart/platform/tests/soak.py
+++ b/walkcart/platform/tests/soak.py
@@ -110,7 +110,7 @@
 
     def __init__(self, seed: int, folder: Path, nursery: trio.Nursery) -> None:
         self._random = Random(seed)
-        # Half of the seeds have teams: nothing may differ without them.
+        # Half of the seeds have teams; without teams, nothing else may differ.
         teams = SoakTeams(self._random) if seed % 2 == 0 else None
         self.environment = SoakEnvironment(nursery, self._random, teams)
         self.daemons = Daemons(folder, self.environment)
@@ -195,7 +195,7 @@
                 self.environment.change_routes()
 
     async def _kill_all(self, names: list[str]) -> None:
-        """Kill all running daemons and restart those; other series may stop some."""
+        """Kill and restart all running daemons; another series may have stopped some."""
         killed = []
         for name in names:
             if name in self.daemons.running:
--- a/walkcart/platform/tests/soakenvironment.py
+++ b/walkcart/platform/tests/soakenvironment.py
@@ -185,9 +185,9 @@
 
     def count_arrivals(self, place: str) -> int:
         """Return the number of requests that reached the leaves of a data centre."""
-        return sum(len(self.leafs[id].arrived) for id in self._find_leafs(place))
+        return sum(len(self.leafs[id].arrived) for id in self._find_leaves(place))
 
-    def _find_leafs(self, place: str) -> list[str]:
+    def _find_leaves(self, place: str) -> list[str]:
         return [id for id, where in self.leaf_places.items() if where == place]
 
     def configure(self, *routes: dict[str, Any]) -> None:
