--- a/walkcart/platform/tests/soak.py
+++ b/walkcart/platform/tests/soak.py
@@ -1,10 +1,9 @@
 """A randomised soak test of the real program on stand-ins of the platform.
 
-The daemons run as separate processes, with settings files like the platform's. The
-soak process contains the store, the leaves, the callers and loopback proxies between
-them. It stops, pauses, kills and restarts daemons by signals, and injects faults into
-connections, store, leaves and configuration, in overlapping series. It checks what
-callers and leaves see.
+Daemons run as processes of their own, with settings files like the platform's. The
+soak process contains store, leaves, callers and the proxies between them. It stops,
+pauses, kills and restarts daemons by signals, injects faults into connections, store,
+leaves and configuration, in overlapping series, and checks what callers and leaves see.
 
     python -m walkcart.platform.tests.soak --seed 1 --seeds 5 --minutes 0.5
 
@@ -69,7 +68,7 @@
     def _find_log(self, name: str) -> Path:
         return self._folder / f"{name}.log"
 
-    def has_begun_serving(self, name: str) -> bool:
+    def has_started(self, name: str) -> bool:
         """Return whether a daemon has begun to serve requests since its last start."""
         text = self._find_log(name).read_text(encoding="utf-8", errors="replace")
         return '"event": "started"' in text[self._log_starts[name] :]
@@ -167,9 +166,7 @@
             case "stop" if name in self.daemons.running:
                 code = await self.daemons.end(name, signal.SIGTERM)
                 # Until a daemon serves requests, the signal may kill it as any process.
-                early = code == -signal.SIGTERM and not self.daemons.has_begun_serving(
-                    name
-                )
+                early = code == -signal.SIGTERM and not self.daemons.has_started(name)
                 if code not in (0, -signal.SIGKILL) and not early:
                     self.broken.append(f"{name} ended a planned stop with {code}")
                 self.daemons.start(name)
@@ -195,7 +192,7 @@
                 self.environment.change_routes()
 
     async def _kill_all(self, names: list[str]) -> None:
-        """Kill and restart all running daemons; another series may have stopped some."""
+        """Kill and restart the running daemons; other series may have stopped some."""
         killed = []
         for name in names:
             if name in self.daemons.running:
@@ -242,10 +239,7 @@
                     self.broken.append(f"key of {holder} at {name}: {status}")
 
     async def _check_evacuation(self, names: list[str]) -> None:
-        """Check that no request goes to an evacuated data centre.
-
-        All daemons are connected by now, so all know of the evacuation.
-        """
+        """Check that no request goes to an evacuated data centre, once all know it."""
         place = DATA_CENTRES[0]
         self.environment.store.put(f"op/evacuate/{place}", {})
         await trio.sleep(3)
