--- a/walkcart/platform/tests/test_teams.py
+++ b/walkcart/platform/tests/test_teams.py
@@ -1,4 +1,4 @@
-"""Teams on the whole path: whose requests run, and what leafs and instances get."""
+"""Teams end to end: whose requests run, and what leaves and instances receive."""
 
 import msgspec
 import pytest
@@ -8,18 +8,18 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.platform.tests.platformworld import REGIONS, make_key_headers, make_team
 from walkcart.platform.tests.teamworld import (
-    CLAIMS,
     DATA_CENTRES,
     FITTERS,
+    FORGED_TEAM_HEADERS,
     IN_FORCE,
     PATHS,
     RIDERS,
     ROUTES,
     TEAMS,
+    inject_leaf_faults,
     list_arrived,
-    list_named,
-    trouble_leafs,
-    watch_messages,
+    list_team_headers,
+    record_messages,
     with_teams,
 )
 from walkcart.wire.delegations import DelegatedQuestion
@@ -28,33 +28,35 @@
 from walkcart.wire.relays import RelayChanges, RelayCopy
 
 
-def test_every_way_of_a_request_names_its_team_and_holds_no_key(monkeypatch):
-    sent = watch_messages(monkeypatch)
+def test_every_forwarded_request_names_its_team_and_contains_no_key(monkeypatch):
+    sent = record_messages(monkeypatch)
 
     async def act(world):
         for troubled in (False, True):
             if troubled:
-                trouble_leafs(world)
+                inject_leaf_faults(world)
             for path in PATHS:
                 for name in DATA_CENTRES * 3:
                     await world.ask(
-                        path, name, headers=CLAIMS + make_key_headers(RIDERS)
+                        path,
+                        name,
+                        headers=FORGED_TEAM_HEADERS + make_key_headers(RIDERS),
                     )
         return list_arrived(world)
 
     arrived = with_teams(act)
     assert len(arrived) > 150
-    assert list_named(arrived) == {((b"riders",), False)}
+    assert list_team_headers(arrived) == {((b"riders",), False)}
     questions = [item for item in sent if isinstance(item, DelegatedQuestion)]
     assert questions
-    assert list_named(questions) == {((b"riders",), False)}
+    assert list_team_headers(questions) == {((b"riders",), False)}
 
 
-def test_no_key_is_in_anything_that_an_instance_puts_out(monkeypatch):
-    sent = watch_messages(monkeypatch)
+def test_no_output_of_an_instance_contains_a_key(monkeypatch):
+    sent = record_messages(monkeypatch)
 
     async def act(world):
-        trouble_leafs(world)
+        inject_leaf_faults(world)
         for key in (RIDERS, FITTERS, "unknown-secret-key"):
             for path in (*PATHS, "/open/x", "/none/x"):
                 for name in DATA_CENTRES:
@@ -93,14 +95,14 @@
     assert not any(b"secret-key" in value for value in stored)
     assert not any("secret-key" in str(page) for page in pages)
     assert not any("secret-key" in table for table in tables)
-    # The configuration itself goes to instances that the store turns away as it is.
+    # Instances that the store refuses get the configuration itself unchanged.
     others = [item for item in sent if not isinstance(item, RelayChanges | RelayCopy)]
     assert others
     assert not any(b"secret-key" in msgspec.msgpack.encode(item) for item in others)
 
 
-def test_without_teams_requests_pass_as_they_came(monkeypatch):
-    sent = watch_messages(monkeypatch)
+def test_without_teams_requests_are_forwarded_unchanged(monkeypatch):
+    sent = record_messages(monkeypatch)
     headers = ((b"x-tenant", b"clerks"), *make_key_headers(RIDERS), (b"accept", b"*/*"))
 
     async def act(world):
@@ -120,13 +122,13 @@
         assert kept == headers
 
 
-def test_without_teams_a_fingerprint_is_what_it_always_was():
+def test_fingerprint_without_teams_is_stable():
     headers = ((b"host", b"shop"), (b"authorization", b"Bearer k"), (b"x-tenant", b"t"))
     request = HttpRequest("POST", "/one/x", headers, b"body")
     assert fingerprint_request(request).hex() == "3f50285b6db32ec9197b135c"
 
 
-def test_what_has_no_known_key_is_refused_at_once_and_nothing_is_sent():
+def test_request_without_a_known_key_is_refused_at_once_and_not_sent():
     async def act(world):
         start = trio.current_time()
         refused = [
@@ -163,12 +165,12 @@
 @pytest.mark.parametrize(
     ("headers", "told"),
     [
-        (CLAIMS, ()),
-        (CLAIMS + make_key_headers("unknown"), ()),
-        (CLAIMS + make_key_headers(FITTERS), (b"fitters",)),
+        (FORGED_TEAM_HEADERS, ()),
+        (FORGED_TEAM_HEADERS + make_key_headers("unknown"), ()),
+        (FORGED_TEAM_HEADERS + make_key_headers(FITTERS), (b"fitters",)),
     ],
 )
-def test_a_public_route_takes_all_and_tells_the_team_of_a_known_key(headers, told):
+def test_public_route_serves_all_and_names_the_team_of_a_known_key(headers, told):
     async def act(world):
         replies = [
             await world.ask("/open/x", name, headers=headers) for name in DATA_CENTRES
@@ -177,10 +179,10 @@
 
     statuses, arrived = with_teams(act)
     assert statuses == {200}
-    assert list_named(arrived) == {(told, False)}
+    assert list_team_headers(arrived) == {(told, False)}
 
 
-def test_an_empty_list_of_teams_lets_nobody_in_but_on_public_routes():
+def test_empty_list_of_teams_admits_requests_on_public_routes_only():
     async def act(world):
         one = await world.ask("/one/x", "north-a", headers=make_key_headers(RIDERS))
         public = await world.ask("/open/x", "north-a", headers=make_key_headers(RIDERS))
@@ -189,11 +191,11 @@
     assert with_teams(act, teams=[]) == (401, 200)
 
 
-def test_regions_of_a_team_bind_wherever_its_requests_are_gathered():
+def test_regions_of_a_team_apply_wherever_its_requests_are_gathered():
     teams = [make_team("riders", RIDERS, allowedRegions=["south"]), TEAMS[1]]
 
     async def act(world):
-        trouble_leafs(world)
+        inject_leaf_faults(world)
         statuses = set()
         for path in PATHS:
             for name in DATA_CENTRES * 2:
@@ -211,7 +213,7 @@
     assert 200 in statuses
 
 
-def test_a_region_that_only_a_team_names_and_nothing_is_in_is_logged_once():
+def test_unknown_region_of_a_team_is_logged_once():
     lost = [make_team("riders", RIDERS, allowedRegions=["west"]), TEAMS[1]]
 
     async def act(world):
