--- a/walkcart/bench/routed/__init__.py
+++ b/walkcart/bench/routed/__init__.py
@@ -1,12 +1,12 @@
-"""Trials of the decisions on routed requests, over emulated leafs.
+"""Trials of the routing decisions on requests to emulated leaves.
 
-Several instances with the real code that decides (pool, placement, sends, gathering,
-budget, delegation, entry) run in one process on a mocked clock. Leafs, their
-connections and the callers are emulated; there are no sockets and no HTTP. The same
-seed gives the same run.
+Several instances with walkcart's own decision code (pool, placement, sends,
+gathering, budget, delegation, entry) run in one process on a mocked clock. Leaves,
+their connections and the callers are emulated, without sockets or HTTP. Runs with the
+same seed are identical.
 
 See Also:
-    ``python -m walkcart.bench routed``, which plays scenarios under policies.
+    ``python -m walkcart.bench routed``, which runs scenarios under policies.
 """
 
 from walkcart.bench.routed.policies import POLICIES, Policy
--- a/walkcart/bench/routed/callers.py
+++ b/walkcart/bench/routed/callers.py
@@ -1,4 +1,4 @@
-"""Emulated callers: kinds of request, rates, patience and retries."""
+"""Emulated callers: kinds of request, rates, timeouts and retries."""
 
 from __future__ import annotations
 
@@ -20,38 +20,38 @@
 SUCCESS = 200
 REFUSED = 503
 FAILED = 502
-#: Headers by which the emulated protocol tells callers about an answer.
+#: Response headers of the emulated protocol: number of parts, and seconds to wait.
 PARTS = b"parts"
 RETRY_AFTER = b"retry-after"
-#: One way between a caller and the instances of its data centre, in seconds.
-CALLER_WAY = 0.001
-#: Callers wait as told at most this share of the time that they have left.
-MOST_WAIT = 1 / 3
+#: One-way latency between a caller and an instance, in seconds.
+CALLER_LATENCY = 0.001
+#: Callers obey a retry-after header for at most this fraction of their time left.
+MAX_WAIT_FRACTION = 1 / 3
 
 
 @dataclass(frozen=True, slots=True)
 class CallerKind:
-    """One kind of request.
+    """One kind of request that callers send.
 
     Args:
-        name: of the kind, and of its route.
-        rate: requests a second of all callers together.
-        work: mean seconds at a leaf.
-        objective: seconds within which an answer is of full value.
-        patience: seconds that a caller waits.
-        least_coverage: of an answer; 1 for a request to a single leaf.
-        value: of an answer in time.
-        late_value: of a later one.
-        retries: times that a caller asks again.
-        sharded: whether all shards are asked; else a service of its own.
-        rank: of the route; 0 is the most urgent.
+        name: the name of the kind and of its route.
+        rate: requests per second of all callers together.
+        work: mean work time at a leaf, in seconds.
+        objective: seconds within which an answer has its full value.
+        timeout: seconds that a caller waits, retries included.
+        least_coverage: minimum coverage of an answer; 1 for a request to a single leaf.
+        value: value of an answer within the objective.
+        late_value: value of a later answer.
+        retries: maximum number of retries.
+        sharded: whether it goes to all shards; otherwise to the service `single`.
+        rank: rank of the route; 0 is the most urgent.
     """
 
     name: str
     rate: float
     work: float
     objective: float
-    patience: float
+    timeout: float
     least_coverage: float
     value: float = 1.0
     late_value: float = 0.1
@@ -62,18 +62,18 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What the callers of one kind got.
+    """Counts of how the requests of one kind ended.
 
     Args:
-        asked: requests, retries not counted.
-        in_time: answered within the objective, counted from the first try.
+        asked: number of requests, without retries.
+        in_time: answered within the objective, counted from the first attempt.
         late: answered later.
-        refused: ended with a refusal.
-        failed: ended otherwise.
-        worth: value of the answers, by the square of the share of parts.
-        parts: sum of the shares of parts of all answers.
-        times: seconds until each answer.
-        refusal_times: seconds until each refusal of a try.
+        refused: refused at the last attempt.
+        failed: ended in any other way.
+        earned_value: sum of the answers' values, each times its coverage squared.
+        parts: sum of the coverage of all answers.
+        times: latency of each answer, in seconds.
+        refusal_times: latency of each refused attempt, in seconds.
     """
 
     asked: int = 0
@@ -81,35 +81,35 @@
     late: int = 0
     refused: int = 0
     failed: int = 0
-    worth: float = 0.0
+    earned_value: float = 0.0
     parts: float = 0.0
     times: list[float] = field(default_factory=list)
     refusal_times: list[float] = field(default_factory=list)
 
 
 class PlainProtocol:
-    """The callers' protocol of a trial, without a wire."""
+    """The callers' protocol of a trial, whose messages aren't encoded."""
 
     def read_request(self, request: HttpRequest) -> CallerRequest:
-        """Return what a request means."""
-        patience = timedelta(seconds=float(request.header(b"patience") or 0))
-        return CallerRequest(request.header(b"id") or "", "host", patience, request)
+        """Read the id and the timeout from the headers."""
+        timeout = timedelta(seconds=float(request.header(b"patience") or 0))
+        return CallerRequest(request.header(b"id") or "", "host", timeout, request)
 
     def attach_team(self, request: HttpRequest, team: str) -> HttpRequest:
-        """Return the request: no trial has teams."""
+        """Return the request unchanged: trials have no teams."""
         return request
 
     def render_merged(self, answer: RoutedAnswer, top: int) -> HttpReply:
-        """Return how many parts are in."""
+        """Return a reply with the number of parts that have arrived."""
         merged = merge_parts(answer)
         return HttpReply(SUCCESS, ((PARTS, b"%d" % len(set(merged.proofs))),))
 
     def render_single(self, answer: RoutedAnswer) -> HttpReply:
-        """Return the one part."""
+        """Return a reply with one part."""
         return HttpReply(SUCCESS, ((PARTS, b"1"),))
 
     def render_failure(self, failure: RoutedFailure) -> HttpReply:
-        """Return why there is no answer."""
+        """Return a refusal with a retry-after header if nothing ran, else a failure."""
         if isinstance(failure.verdict, NotRun):
             wait = failure.verdict.retry_after or timedelta()
             seconds = b"%.3f" % wait.total_seconds()
@@ -117,18 +117,18 @@
         return HttpReply(FAILED)
 
     def render_fault(self, fault: Fault) -> HttpReply:
-        """Return the answer to what is no request."""
+        """Return the reply to a malformed request."""
         return HttpReply(fault.value)
 
 
 class Callers:
-    """Sends requests of one kind and counts what comes back.
+    """Sends the requests of one kind and counts how they end.
 
     Args:
-        kind: of the requests.
-        instances: that take them; one of them is drawn for each try.
-        shards: that a whole answer covers.
-        random: draws arrivals and instances.
+        kind: the kind of request.
+        instances: receive the requests; each attempt goes to one drawn at random.
+        shards: number of parts in a complete answer.
+        random: draws the arrival times and the instances.
     """
 
     def __init__(
@@ -140,79 +140,79 @@
     ) -> None:
         self.kind = kind
         self.tally = Tally()
-        #: Times as many requests as usual, while many callers come at once.
-        self.burst = 1.0
+        #: Factor on the kind's rate; over 1 during a burst.
+        self.rate_factor = 1.0
         self._shards = shards
         self._random = random
         self._handlers = [make_handler(item, random) for item in instances]
         self._sent = 0
 
     async def run(self, until: float) -> None:
-        """Send requests until a time, and wait for the last."""
+        """Send requests until the time `until`, then wait until all have ended."""
         async with trio.open_nursery() as nursery:
             while True:
-                gap = self._random.expovariate(self.kind.rate * self.burst)
+                gap = self._random.expovariate(self.kind.rate * self.rate_factor)
                 await trio.sleep(gap)
                 if trio.current_time() >= until:
                     return
-                nursery.start_soon(self._ask)
+                nursery.start_soon(self._run_request)
 
-    async def _ask(self) -> None:
+    async def _run_request(self) -> None:
         kind, tally = self.kind, self.tally
         tally.asked += 1
         start = trio.current_time()
         for _ in range(kind.retries + 1):
-            left = kind.patience - (trio.current_time() - start)
+            left = kind.timeout - (trio.current_time() - start)
             if left <= 0:
                 break
-            began = trio.current_time()
+            attempt_start = trio.current_time()
             with trio.move_on_after(left) as waiting:
-                reply = await self._try(left)
+                reply = await self._send_attempt(left)
             if waiting.cancelled_caught:
                 break
             if reply.status == SUCCESS:
-                self._note_answer(reply, trio.current_time() - start)
+                self._record_answer(reply, trio.current_time() - start)
                 return
             if reply.status == REFUSED:
-                tally.refusal_times.append(trio.current_time() - began)
-            await self._wait_as_told(reply, kind.patience - (began - start))
+                tally.refusal_times.append(trio.current_time() - attempt_start)
+            await self._wait_retry_after(reply, kind.timeout - (attempt_start - start))
         else:
             if reply.status == REFUSED:
                 tally.refused += 1
                 return
         tally.failed += 1
 
-    async def _try(self, left: float) -> HttpReply:
+    async def _send_attempt(self, left: float) -> HttpReply:
         self._sent += 1
         headers = (
             (b"id", f"{self.kind.name}-{self._sent}".encode()),
             (b"patience", b"%.4f" % left),
         )
         request = HttpRequest("GET", f"/{self.kind.name}/", headers)
-        await trio.sleep(CALLER_WAY)
+        await trio.sleep(CALLER_LATENCY)
         reply = await self._random.choice(self._handlers).handle(request)
-        await trio.sleep(CALLER_WAY)
+        await trio.sleep(CALLER_LATENCY)
         return reply
 
-    async def _wait_as_told(self, reply: HttpReply, left: float) -> None:
+    async def _wait_retry_after(self, reply: HttpReply, left: float) -> None:
         told = float(reply.header(RETRY_AFTER) or 0)
-        await trio.sleep(max(0.0, min(told, left * MOST_WAIT)))
+        await trio.sleep(max(0.0, min(told, left * MAX_WAIT_FRACTION)))
 
-    def _note_answer(self, reply: HttpReply, elapsed: float) -> None:
+    def _record_answer(self, reply: HttpReply, elapsed: float) -> None:
         kind, tally = self.kind, self.tally
         share = float(reply.header(PARTS) or 0) / self._shards
         tally.times.append(elapsed)
         tally.parts += share
         if elapsed <= kind.objective:
             tally.in_time += 1
-            tally.worth += kind.value * share * share
+            tally.earned_value += kind.value * share * share
         else:
             tally.late += 1
-            tally.worth += kind.late_value * share * share
+            tally.earned_value += kind.late_value * share * share
 
 
 def make_handler(instance: TrialInstance, random: Random) -> RoutedHandler:
-    """Return the product's handler of routed requests at an instance."""
+    """Return walkcart's handler of routed requests for an instance."""
     return RoutedHandler(
         RoutedEntryTools(
             instance.keeper,
--- a/walkcart/bench/routed/instances.py
+++ b/walkcart/bench/routed/instances.py
@@ -1,7 +1,7 @@
-"""One instance of a trial: the product's services for routed requests, put together.
+"""One instance of a trial, assembled from walkcart's services for routed requests.
 
 See Also:
-    `walkcart.daemon.tenantserving`, which puts together the same for the platform.
+    `walkcart.daemon.tenantserving`, which assembles the same for the platform.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 import trio
 
-from walkcart.bench.routed.leafs import EmulatedLeaf
-from walkcart.bench.routed.links import EmulatedPool, Emulation
+from walkcart.bench.routed.emulatedleaf import EmulatedLeaf
+from walkcart.bench.routed.emulatedlinks import EmulatedPool, EmulationTools
 from walkcart.bench.routed.members import FixedRegistration
 from walkcart.bench.routed.policies import Policy
 from walkcart.bench.routed.timeline import Timeline
@@ -54,29 +54,29 @@
 from walkcart.standins.memory import MemoryNetwork
 from walkcart.store.updates import Origin
 
-#: One-way seconds by distance, as on the users' smaller deployments.
-WAYS = {
+#: One-way latency in seconds by distance, as on the users' smaller deployments.
+ONE_WAY_LATENCIES = {
     Distance.SAME_DATA_CENTRE: 0.0002,
     Distance.SAME_REGION: 0.0005,
     Distance.OTHER_REGION: 0.008,
 }
-#: Limits of repeats over all instances, as on the users' smaller deployments.
+#: Limits on repeats over all instances, as on the users' smaller deployments.
 REPEAT_LIMITS = RepeatLimits(0.2, 10.0, 54.0)
 NO_REPEATS = RepeatLimits(0.0, 10.0, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class TrialEnvironment:
     """What the instances of a trial share.
 
     Args:
-        network: between the instances.
-        timeline: of the leafs.
-        leafs: by id.
-        records: of the instances, by name.
-        document: in force at all of them.
-        work_of: returns the mean seconds of work of an attempt.
-        policy: of all instances.
+        network: the network between the instances.
+        timeline: schedules the events of the leaves.
+        leafs: the emulated leaves by id.
+        records: the records of the instances by name.
+        document: the routing document in force at all instances.
+        work_of: returns the mean work time of an attempt in seconds.
+        policy: the policy of all instances.
     """
 
     network: MemoryNetwork
@@ -89,17 +89,21 @@
 
 
 class TrialPool(EmulatedPool):
-    """The pool under a policy.
+    """The pool of walkcart with the changes that a policy makes.
 
     Args:
-        tools: of the product's pool.
-        emulation: of the leafs.
-        policy: what is switched off.
-        random: chooses where the policy says so.
+        tools: the tools of walkcart's pool.
+        emulation: the tools of the emulated links.
+        policy: says which mechanisms are switched off.
+        random: chooses leaves if the policy chooses at random.
     """
 
     def __init__(
-        self, tools: PoolTools, emulation: Emulation, policy: Policy, random: Random
+        self,
+        tools: PoolTools,
+        emulation: EmulationTools,
+        policy: Policy,
+        random: Random,
     ) -> None:
         super().__init__(tools, emulation)
         self._policy = policy
@@ -137,10 +141,10 @@
 
 
 class TrialInstance:
-    """Puts one instance together; `run` runs it."""
+    """One instance of a trial; `start` runs its services."""
 
     def __init__(
-        self, record: InstanceRecord, around: Surroundings, random: Random
+        self, record: InstanceRecord, environment: TrialEnvironment, random: Random
     ) -> None:
         self.record = record
         self.place = Location(record.region, record.data_centre)
@@ -148,13 +152,13 @@
         self.events = EventLog(record.name, clock, StringIO())
         self.metrics = Metrics(None, record.name)
         self.keeper = RouteKeeper(clock, self.events, self.metrics)
-        self.keeper.apply(around.document, Origin())
+        self.keeper.apply(environment.document, Origin())
         self.origins = RequestOrigins(self.keeper, b"team")
         self.directory = LeafDirectory(clock, self.events, lambda: float("-inf"))
-        registration = FixedRegistration(record, around.records)
+        registration = FixedRegistration(record, environment.records)
         tracer = Tracer(record.name, OUTPUT_NONE, 0.0)
         link = LinkTools(
-            around.network.at(record.data_centre),
+            environment.network.at(record.data_centre),
             clock,
             self.events,
             self.metrics,
@@ -169,21 +173,24 @@
             self.place,
             random,
         )
-        emulation = Emulation(
-            around.leafs, around.timeline, self._way_to, around.work_of
+        emulation = EmulationTools(
+            environment.leafs,
+            environment.timeline,
+            self._find_latency,
+            environment.work_of,
         )
-        self.pool = TrialPool(pool_tools, emulation, around.policy, random)
-        self._around = around
+        self.pool = TrialPool(pool_tools, emulation, environment.policy, random)
+        self._environment = environment
         self._registration = registration
         self._random = random
         self._clock = clock
         self.tracer = tracer
 
-    def _way_to(self, leaf: EmulatedLeaf) -> float:
-        return WAYS[measure_distance(leaf.place, self.place)]
+    def _find_latency(self, leaf: EmulatedLeaf) -> float:
+        return ONE_WAY_LATENCIES[measure_distance(leaf.place, self.place)]
 
-    def know_leafs(self) -> None:
-        """Take in the leafs that there are now."""
+    def update_directory(self) -> None:
+        """Update the directory to the leaves that exist now."""
         self.directory.set_entries(
             LeafEntry(
                 leaf.id,
@@ -194,33 +201,33 @@
                 leaf.shape.slots,
                 leaving=False,
             )
-            for leaf in self._around.leafs.values()
-            if not leaf.trouble.gone
+            for leaf in self._environment.leafs.values()
+            if not leaf.faults.gone
         )
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Connect to the others and serve."""
-        around, record = self._around, self.record
-        site = around.network.at(record.data_centre)
+        """Start the services in `nursery` and open the links to the other instances."""
+        environment, record = self._environment, self.record
+        site = environment.network.at(record.data_centre)
         host, _, port = record.peer_address.partition(":")
         transport = site.transport()
         listener = await transport.listen(HostPort(host, int(port)))
         links = PeerLinks(
             listener, transport, self._registration, self.events, self.metrics
         )
-        life = self._random.getrandbits(32)
+        incarnation = self._random.getrandbits(32)
         tools = DelegationTools(
             links,
             self._registration,
             PeerStats(),
-            IdSource("", life),
+            IdSource("", incarnation),
             self._clock,
             self._random,
             self.events,
-            self._make_gatherers(),
+            self._make_gathering_instances(),
         )
-        delegates = DelegationClient(tools)
-        limits = REPEAT_LIMITS if around.policy.repeat else NO_REPEATS
+        delegation_client = DelegationClient(tools)
+        limits = REPEAT_LIMITS if environment.policy.repeat else NO_REPEATS
         quarantines = Quarantines(
             Quarantine(),
             self._clock,
@@ -233,53 +240,53 @@
             self.pool,
             RepeatBudget(limits, self._clock.monotonic()),
             self._registration.count,
-            IdSource(record.name, life),
+            IdSource(record.name, incarnation),
             self._clock,
             self.metrics,
             self.events,
             self.place,
             self._random,
             quarantines,
-            delegates if around.policy.delegate else None,
+            delegation_client if environment.policy.delegate else None,
         )
-        carrier = DelegationServer(
+        delegation_server = DelegationServer(
             links,
             self._clock,
             self._gather,
-            self._find_usual_high,
+            self._find_high_latency,
             self.events,
             quarantines,
             self.origins,
         )
-        for service in (links, self.pool, delegates, carrier):
+        for service in (links, self.pool, delegation_client, delegation_server):
             await nursery.start(service.run)
-        delegates.open_links()
+        delegation_client.open_links()
 
-    def _make_gatherers(self) -> GatheringInstances:
-        gatherers = GatheringInstances(
+    def _make_gathering_instances(self) -> GatheringInstances:
+        gathering_instances = GatheringInstances(
             self._registration,
             self._clock,
             lambda: find_gathering_places(self.keeper.table, self.directory),
         )
-        self.directory.on_change(gatherers.invalidate_places)
-        self.pool.set_gathering(gatherers)
-        return gatherers
+        self.directory.on_change(gathering_instances.invalidate_places)
+        self.pool.set_gathering(gathering_instances)
+        return gathering_instances
 
     async def _gather(
         self, question: RoutedQuestion, top: int, handover: Handover
     ) -> Outcome:
         question = replace(question, rank=self.keeper.table.find_rank(question.kind))
-        handing = MergingHandover(handover, merge_parts)
-        gathering = RoutedGathering(self.gathering, question, handover=handing)
+        merging = MergingHandover(handover, merge_parts)
+        gathering = RoutedGathering(self.gathering, question, handover=merging)
         return (await gathering.run()).map(merge_parts)
 
-    def _find_usual_high(self, kind: str) -> float:
+    def _find_high_latency(self, kind: str) -> float:
         times = self.pool.times_of(kind, Distance.SAME_DATA_CENTRE)
         return times.high(self._clock.monotonic())
 
 
 def merge_parts(answer: RoutedAnswer) -> MergedAnswer:
-    """Return an answer's parts; their proofs are the services' names."""
+    """Merge an answer; each part's proof is the name of its service."""
     proofs = tuple(service.encode() for service, _ in answer.replies)
     proofs += tuple(proof for part in answer.merged for proof in part.proofs)
     return MergedAnswer(b"", proofs, answer.missing, answer.sent, answer.repeats)
--- a/walkcart/bench/routed/members.py
+++ b/walkcart/bench/routed/members.py
@@ -1,4 +1,4 @@
-"""The instances of a trial, as each of them knows the others."""
+"""The registration of the instances of a trial."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 
 class FixedRegistration:
-    """Knows all instances of a trial at once.
+    """A registration that lists all instances of a trial from the start.
 
-    The part of `walkcart.membership.registration.Registration` that decisions use.
+    It has the part of `walkcart.membership.registration.Registration` that routing
+    decisions use.
 
     Args:
-        own: this instance.
-        records: all instances by name, filled while they are started.
+        own: the record of this instance.
+        records: all instances by name; filled while the instances start.
     """
 
     def __init__(self, own: InstanceRecord, records: dict[str, InstanceRecord]) -> None:
@@ -22,7 +23,7 @@
         self._records = records
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Nothing changes during a trial."""
+        """Do nothing: the instances don't change during a trial."""
 
     def others(self) -> tuple[InstanceRecord, ...]:
         """Return the other instances."""
@@ -34,5 +35,5 @@
         return self._records.get(name)
 
     def count(self) -> int:
-        """Return the instances to divide by."""
+        """Return the number of instances that share the load."""
         return len(self._records)
--- a/walkcart/bench/routed/policies.py
+++ b/walkcart/bench/routed/policies.py
@@ -1,6 +1,6 @@
-"""What is switched off, or decided more simply, in a trial.
+"""The policies of trials: which mechanisms of walkcart are switched off.
 
-The switches are here and not in the product's settings: operators have no use for them.
+The switches aren't settings of walkcart, since operators have no use for them.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """How an instance decides.
+    """The mechanisms that the instances of a trial use.
 
     Args:
-        name: of the policy.
-        choose: whether the leaf is chosen by what is known of it; else at random.
-        eject: whether leafs that fail in a row are left alone for a while.
-        repeat: whether requests are sent again or beside late ones.
-        delegate: whether other instances gather parts.
-        good_share: whether the share of good replies counts in the choice.
-        room: whether leafs get no more than they have room for.
+        name: the name of the policy.
+        choose: whether a leaf is chosen by its recorded state; otherwise at random.
+        eject: whether leaves with consecutive failures are ejected for a while.
+        repeat: whether requests are retried and hedged.
+        delegate: whether parts are delegated to other instances.
+        good_share: whether the success rate of a leaf counts in the choice.
+        room: whether a leaf is only sent requests that it has room for.
     """
 
     name: str
@@ -31,7 +31,7 @@
     room: bool = True
 
 
-#: By name: the product as it is, each mechanism switched off, and the plainest of all.
+#: Policies by name: all mechanisms, each one switched off, and most of them off.
 POLICIES = {
     policy.name: policy
     for policy in (
--- a/walkcart/bench/routed/report.py
+++ b/walkcart/bench/routed/report.py
@@ -1,4 +1,4 @@
-"""Plays scenarios under policies with the same seeds and prints them side by side."""
+"""Runs scenarios under several policies with the same seeds; prints a table."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def run_and_print(options: argparse.Namespace) -> int:
-    """Run the trials that the options name; return the exit code."""
+    """Run the trials that the options select; return the exit code."""
     names = list(SCENARIOS) if options.scenario == [ALL] else options.scenario
     unknown = [name for name in names if name not in SCENARIOS]
     unknown += [name for name in options.policy if name not in POLICIES]
@@ -75,7 +75,7 @@
 def _make_row(
     scenario: str, policy: str, results: dict[tuple[str, str, int], TrialResult]
 ) -> list[str]:
-    """Return medians over the seeds, with the least and the most worth."""
+    """Return the medians over the seeds, and the lowest and highest worth."""
     found = [result for key, result in results.items() if key[:2] == (scenario, policy)]
     worths = [result.worth for result in found]
     shares = [
@@ -96,7 +96,7 @@
 
 
 def _share(result: TrialResult, name: str) -> float:
-    """Return the share of all requests that ended in one way."""
+    """Return the fraction of all requests that ended in the given way."""
     kinds = result.kinds.values()
     asked = max(1, sum(kind.asked for kind in kinds))
     return sum(kind.asked * getattr(kind, name) for kind in kinds) / asked
--- a/walkcart/bench/routed/scenarios.py
+++ b/walkcart/bench/routed/scenarios.py
@@ -1,4 +1,4 @@
-"""Shapes of deployments and what goes wrong there, named for the load."""
+"""Deployments for trials, and scenarios of faults and bursts."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from typing import TYPE_CHECKING
 
 from walkcart.bench.routed.callers import CallerKind
-from walkcart.bench.routed.leafs import LeafShape
+from walkcart.bench.routed.emulatedleaf import LeafShape
 from walkcart.routing.distance import Location
 
 if TYPE_CHECKING:
     from walkcart.bench.routed.trials import Trial
 
-PLACES = (
+LOCATIONS = (
     Location("north", "north-a"),
     Location("south", "south-a"),
     Location("east", "east-a"),
 )
 #: A long search that needs nearly all shards, a short one that needs fewer, and a
-#: request to a single leaf: rates, work, objectives and patience as the users state
-#: them for a smaller deployment.
+#: request to a single leaf. Rates, work times, objectives and timeouts are those that
+#: the users state for a smaller deployment.
 KINDS = (
     CallerKind("sweep", 33.8, 0.030, 0.233, 2.0, 0.89, value=2.0),
     CallerKind("lookup", 11.3, 0.0101, 0.111, 1.0, 0.75),
@@ -29,11 +29,11 @@
 )
 
 
-#: Brings trouble about, or ends it, during a trial.
-Act = Callable[["Trial"], None]
+#: Changes a running trial: starts or ends faults or bursts.
+TrialAction = Callable[["Trial"], None]
 
 
-#: An urgent short request beside a long one, on shards with three leafs.
+#: An urgent short request and a long one, for shards with three leaves.
 URGENT_KINDS = (
     CallerKind("sweep", 12.6, 0.0165, 0.171, 2.0, 0.95, 1.8, 0.089, rank=1),
     CallerKind("alert", 7.3, 0.0057, 0.088, 1.2, 0.85, 1.7, 0.068, rank=0),
@@ -42,16 +42,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """A deployment.
+    """The size and properties of a deployment.
 
     Args:
-        shards: of the index.
-        leafs: of each shard, in different data centres.
-        singles: leafs of the service of single requests.
-        instances: spread evenly over the data centres.
-        kinds: of requests.
-        leaf: what a shard's leafs are like.
-        single_leaf: what the others are like.
+        shards: number of shards of the index.
+        leafs: number of leaves per shard, in different data centres.
+        singles: number of leaves of the service for requests to a single leaf.
+        instances: number of instances, spread evenly over the data centres.
+        kinds: the kinds of request.
+        leaf: the properties of the shards' leaves.
+        single_leaf: the properties of the other leaves.
     """
 
     shards: int = 20
@@ -69,115 +69,117 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What happens during a trial.
+    """The faults and bursts of a trial.
 
     Args:
-        name: of the scenario.
-        acts: with their times, in seconds from the first request.
-        seconds: for which requests are sent.
-        cold: whether instances know no leaf's times at first and serve at once; else
-            they serve for some seconds before anything counts.
+        name: the name of the scenario.
+        actions: the actions with their times, in seconds after the warm-up.
+        seconds: duration for which requests are sent.
+        cold: whether results count from the start, when instances have recorded no
+            latencies yet; otherwise they count after a warm-up.
     """
 
     name: str
-    acts: tuple[tuple[float, Act], ...] = ()
+    actions: tuple[tuple[float, TrialAction], ...] = ()
     seconds: float = 12.0
     cold: bool = False
 
 
-def _spoil_three_shards(trial: Trial) -> None:
-    """One leaf of each of three shards goes dark, the other is eight times slower."""
+def _degrade_three_shards(trial: Trial) -> None:
+    """On three shards, stop one leaf's replies and make the others 8 times slower."""
     for service in trial.shard_names[:3]:
-        first, *others = trial.leafs_of(service)
-        first.trouble.dark = True
+        first, *others = trial.find_running_leaves(service)
+        first.faults.unresponsive = True
         for leaf in others:
-            leaf.trouble.slow = 8.0
+            leaf.faults.slowdown = 8.0
 
 
-def _slow_some(share: float, factor: float) -> Act:
-    def act(trial: Trial) -> None:
-        for leaf in trial.draw_leafs(share):
-            leaf.trouble.slow = factor
+def _slow_leaves(share: float, factor: float) -> TrialAction:
+    def action(trial: Trial) -> None:
+        for leaf in trial.sample_leaves(share):
+            leaf.faults.slowdown = factor
 
-    return act
+    return action
 
 
-def _burst_of(number: int, factor: float) -> Act:
-    """The callers of one kind ask several times as much."""
+def _multiply_rate_of(number: int, factor: float) -> TrialAction:
+    """Multiply the request rate of one kind."""
 
-    def act(trial: Trial) -> None:
-        trial.callers[number].burst = factor
+    def action(trial: Trial) -> None:
+        trial.callers[number].rate_factor = factor
 
-    return act
+    return action
 
 
-def _refuse_much(trial: Trial) -> None:
-    """A third of the leafs turns 60% of its requests away."""
-    for leaf in trial.draw_leafs(1 / 3):
-        leaf.trouble.refuse = 0.6
+def _refuse_requests(trial: Trial) -> None:
+    """A third of the leaves refuses 60% of its requests."""
+    for leaf in trial.sample_leaves(1 / 3):
+        leaf.faults.refusal_rate = 0.6
 
 
-def _darken_shard(trial: Trial) -> None:
-    for leaf in trial.leafs_of(trial.shard_names[0]):
-        leaf.trouble.dark = True
+def _stop_shard_responses(trial: Trial) -> None:
+    for leaf in trial.find_running_leaves(trial.shard_names[0]):
+        leaf.faults.unresponsive = True
 
 
 def _lose_answers(trial: Trial) -> None:
-    for leaf in trial.draw_leafs(0.5):
-        leaf.trouble.lose = 0.4
+    for leaf in trial.sample_leaves(0.5):
+        leaf.faults.loss_rate = 0.4
 
 
-def _burst(factor: float) -> Act:
-    def act(trial: Trial) -> None:
+def _multiply_all_rates(factor: float) -> TrialAction:
+    def action(trial: Trial) -> None:
         for callers in trial.callers:
-            callers.burst = factor
+            callers.rate_factor = factor
 
-    return act
+    return action
 
 
-def _end_trouble(trial: Trial) -> None:
+def _end_faults(trial: Trial) -> None:
     for leaf in trial.leafs.values():
-        leaf.trouble.dark = False
-        leaf.trouble.slow = 1.0
-        leaf.trouble.refuse = leaf.trouble.lose = 0.0
+        leaf.faults.unresponsive = False
+        leaf.faults.slowdown = 1.0
+        leaf.faults.refusal_rate = leaf.faults.loss_rate = 0.0
 
 
-def _replace_some(share: float) -> Act:
-    def act(trial: Trial) -> None:
-        trial.replace_leafs(share)
+def _replace_leaves(share: float) -> TrialAction:
+    def action(trial: Trial) -> None:
+        trial.replace_leaves(share)
 
-    return act
+    return action
 
 
 SCENARIOS = {
     scenario.name: scenario
     for scenario in (
         Scenario("pauses"),
-        Scenario("three-shards", ((3.0, _spoil_three_shards), (9.0, _end_trouble))),
-        Scenario("refusing-third", ((3.0, _refuse_much), (9.0, _end_trouble))),
-        Scenario("dark-shard", ((3.0, _darken_shard), (9.0, _end_trouble))),
-        Scenario("lost-answers", ((3.0, _lose_answers), (7.0, _end_trouble))),
-        Scenario("burst", ((3.0, _burst(3.0)), (6.0, _burst(1.0)))),
+        Scenario("three-shards", ((3.0, _degrade_three_shards), (9.0, _end_faults))),
+        Scenario("refusing-third", ((3.0, _refuse_requests), (9.0, _end_faults))),
+        Scenario("dark-shard", ((3.0, _stop_shard_responses), (9.0, _end_faults))),
+        Scenario("lost-answers", ((3.0, _lose_answers), (7.0, _end_faults))),
+        Scenario(
+            "burst", ((3.0, _multiply_all_rates(3.0)), (6.0, _multiply_all_rates(1.0)))
+        ),
         Scenario(
             "slow-burst",
             (
-                (2.0, _slow_some(0.15, 11.0)),
-                (3.0, _burst_of(0, 2.6)),
-                (5.0, _slow_some(0.1, 8.0)),
-                (8.0, _burst_of(0, 1.0)),
-                (10.0, _end_trouble),
+                (2.0, _slow_leaves(0.15, 11.0)),
+                (3.0, _multiply_rate_of(0, 2.6)),
+                (5.0, _slow_leaves(0.1, 8.0)),
+                (8.0, _multiply_rate_of(0, 1.0)),
+                (10.0, _end_faults),
             ),
         ),
         Scenario("fleet-started", cold=True, seconds=6.0),
         Scenario(
-            "release", tuple((3.0 + 0.5 * n, _replace_some(1 / 8)) for n in range(8))
+            "release", tuple((3.0 + 0.5 * n, _replace_leaves(1 / 8)) for n in range(8))
         ),
     )
 }
 
 
-def draw_shape(random: Random) -> Shape:
-    """Return a shape of another size, drawn at random."""
+def draw_random_shape(random: Random) -> Shape:
+    """Return a deployment of random size and load."""
     work = 10 ** random.uniform(-2.5, -1)
     shards = random.randint(5, 40)
     leafs = random.randint(2, 3)
--- a/walkcart/bench/routed/tests/test_trials.py
+++ b/walkcart/bench/routed/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""Decisions on routed requests, by what callers get in trials with fixed seeds."""
+"""Routing decisions, tested by the results of callers in trials with fixed seeds."""
 
 from dataclasses import replace
 from random import Random
@@ -7,9 +7,9 @@
 
 from walkcart.bench.routed import POLICIES, SCENARIOS, Shape, run_trial
 from walkcart.bench.routed.callers import CallerKind
-from walkcart.bench.routed.scenarios import URGENT_KINDS, draw_shape
+from walkcart.bench.routed.scenarios import URGENT_KINDS, draw_random_shape
 
-#: Small enough for a few seconds a trial.
+#: A deployment so small that a trial takes a few seconds.
 SMALL = Shape(
     shards=8,
     singles=2,
@@ -22,59 +22,59 @@
 SEED = 1
 
 
-def play(scenario, policy="walkcart", shape=SMALL, seed=SEED):
+def run_scenario(scenario, policy="walkcart", shape=SMALL, seed=SEED):
     return run_trial(SCENARIOS[scenario], POLICIES[policy], seed, shape)
 
 
-def test_the_same_seed_gives_the_same_run_and_another_one_another():
-    first = play("fleet-started")
-    assert first == play("fleet-started")
-    assert first != play("fleet-started", seed=SEED + 1)
+def test_runs_differ_only_by_seed():
+    first = run_scenario("fleet-started")
+    assert first == run_scenario("fleet-started")
+    assert first != run_scenario("fleet-started", seed=SEED + 1)
 
 
 @pytest.mark.parametrize("scenario", ["refusing-third", "lost-answers", "release"])
-def test_knowing_the_leafs_earns_more_than_choosing_at_random(scenario):
-    known, random = play(scenario), play(scenario, "random")
+def test_policy_earns_more_than_random_choice(scenario):
+    known, random = run_scenario(scenario), run_scenario(scenario, "random")
     assert known.worth > random.worth + 0.02
     assert known.kinds["sweep"].failed <= random.kinds["sweep"].failed
 
 
-def test_a_shard_without_leafs_costs_its_part_and_not_the_answer():
-    result = play("dark-shard")
+def test_unresponsive_shard_costs_only_its_part():
+    result = run_scenario("dark-shard")
     assert result.kinds["sweep"].in_time > 0.95
-    # Seven of eight parts are in while the shard has no leaf.
+    # Seven of eight parts arrive while no leaf of the shard replies.
     assert 0.85 <= result.kinds["sweep"].coverage < 1
 
 
-def test_pauses_of_single_leafs_are_hedged_within_little_load():
-    result, plain = play("pauses"), play("pauses", "no-repeats")
+def test_hedging_of_pauses_adds_little_load():
+    result, plain = run_scenario("pauses"), run_scenario("pauses", "no-repeats")
     assert result.worth >= plain.worth
     assert result.extra_load < 0.1
 
 
-def test_leafs_that_come_and_go_fail_nobody():
-    result = play("release")
+def test_replacing_leaves_fails_no_requests():
+    result = run_scenario("release")
     assert result.kinds["sweep"].failed < 0.01
     assert result.kinds["single"].failed == 0
 
 
-def test_urgent_requests_pass_a_burst_of_long_ones_beside_slow_leafs():
+def test_urgent_requests_overtake_burst_of_long_ones():
     kinds = tuple(replace(kind, rate=7 * kind.rate) for kind in URGENT_KINDS)
     shape = Shape(shards=4, leafs=3, singles=1, instances=3, kinds=kinds)
     result, plain = (
-        play("slow-burst", policy, shape) for policy in ("walkcart", "no-room")
+        run_scenario("slow-burst", policy, shape) for policy in ("walkcart", "no-room")
     )
     urgent, long = result.kinds["alert"], result.kinds["sweep"]
     assert urgent.in_time > plain.kinds["alert"].in_time + 0.1
     assert urgent.in_time > long.in_time
     assert long.in_time > plain.kinds["sweep"].in_time - 0.05
-    # Who isn't served is told so in time to ask again, and nobody is starved.
+    # Requests that aren't served are refused in time for a retry; none starve.
     assert max(urgent.failed, long.failed) < 0.01
     assert long.in_time + long.late > (urgent.in_time + urgent.late) / 4
 
 
-def test_on_a_shape_drawn_at_random_it_is_no_worse_than_chance():
-    shape = draw_shape(Random(SEED))
-    known = play("fleet-started", shape=shape)
-    random = play("fleet-started", "random", shape)
+def test_policy_is_no_worse_than_random_choice_on_random_shape():
+    shape = draw_random_shape(Random(SEED))
+    known = run_scenario("fleet-started", shape=shape)
+    random = run_scenario("fleet-started", "random", shape)
     assert known.worth >= random.worth - 0.02
--- a/walkcart/bench/routed/timeline.py
+++ b/walkcart/bench/routed/timeline.py
@@ -1,4 +1,4 @@
-"""Things that happen at set times, without a task for each."""
+"""A scheduler of callbacks, without a task for each of them."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class Timeline:
-    """Calls functions at their times, in order, on trio's clock."""
+    """Calls functions at set times on trio's clock, in the order of time."""
 
     def __init__(self) -> None:
         self._due: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count()
         self._wakeup = trio.Event()
 
-    def call_at(self, time: float, act: Callable[[], None]) -> None:
-        """Call `act` at a time; what was added first goes first among equals."""
-        heapq.heappush(self._due, (time, next(self._numbers), act))
-        if self._due[0][2] is act:
+    def call_at(self, time: float, callback: Callable[[], None]) -> None:
+        """Call `callback` at `time`; callbacks for one time run in the order added."""
+        heapq.heappush(self._due, (time, next(self._numbers), callback))
+        if self._due[0][2] is callback:
             self._wakeup.set()
 
-    def call_after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Call `act` some seconds from now."""
-        self.call_at(trio.current_time() + seconds, act)
+    def call_after(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call `callback` in `seconds` seconds from now."""
+        self.call_at(trio.current_time() + seconds, callback)
 
     async def run(self) -> None:
-        """Act until cancelled."""
+        """Run the callbacks until cancelled."""
         while True:
             while self._due and self._due[0][0] <= trio.current_time():
                 heapq.heappop(self._due)[2]()
--- a/walkcart/bench/routed/trials.py
+++ b/walkcart/bench/routed/trials.py
@@ -1,4 +1,4 @@
-"""One trial: a scenario on a shape under a policy, from a seed."""
+"""A trial: one scenario on one deployment under one policy, with a seed."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from trio.testing import MockClock
 
 from walkcart.bench.routed.callers import CallerKind, Callers, Tally
+from walkcart.bench.routed.emulatedleaf import EmulatedLeaf
 from walkcart.bench.routed.instances import (
-    WAYS,
-    Surroundings,
+    ONE_WAY_LATENCIES,
+    TrialEnvironment,
     TrialInstance,
 )
-from walkcart.bench.routed.leafs import EmulatedLeaf
 from walkcart.bench.routed.policies import Policy
-from walkcart.bench.routed.scenarios import PLACES, Scenario, Shape
+from walkcart.bench.routed.scenarios import LOCATIONS, Scenario, Shape
 from walkcart.bench.routed.timeline import Timeline
 from walkcart.intent.routes import (
     Route,
@@ -32,28 +32,28 @@
 from walkcart.routing.distance import Location, measure_distance
 from walkcart.standins.memory import MemoryNetwork
 
-#: Seconds of requests before anything is counted: times are learned by then.
-WARM_UP = 6.0
+#: Seconds of requests before results count; instances have learned latencies by then.
+WARM_UP_TIME = 6.0
 SINGLE_SERVICE = "single"
-MOST_ATTEMPTS = 2
+MAX_ATTEMPTS = 2
 FIRST_PORT = 30_000
-#: Seconds after which an instance has heard of leafs that came or went.
-NEWS_TIME = 0.5
+#: Seconds until the instances know of leaves that have started or stopped.
+DISCOVERY_DELAY = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class KindResult:
-    """What the callers of one kind got.
+    """The results of one kind of request.
 
     Args:
-        asked: requests, retries not counted.
-        in_time: share answered within the objective.
-        late: share answered later.
-        refused: share that ended refused.
-        failed: share that ended otherwise.
-        coverage: mean share of parts in answers.
-        p50: median time of an answer, in seconds.
-        worth: value earned as a share of what could be.
+        asked: number of requests, without retries.
+        in_time: fraction answered within the objective.
+        late: fraction answered later.
+        refused: fraction refused at the last attempt.
+        failed: fraction that ended in any other way.
+        coverage: mean coverage of the answers.
+        p50: median latency of the answers, in seconds.
+        worth: value of the answers as a fraction of the maximum.
     """
 
     asked: int
@@ -68,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TrialResult:
-    """What a trial came to.
+    """The results of a trial.
 
     Args:
-        kinds: by name.
-        worth: value earned by all kinds as a share of what could be.
-        extra_load: leaf requests that arrived beyond one for each shard asked.
-        wait: mean seconds that requests waited at leafs.
-        peer_bytes: between instances, a request.
+        kinds: the results by kind of request.
+        worth: value of all answers as a fraction of the maximum.
+        extra_load: leaf requests beyond one per shard, as a fraction of those needed.
+        wait: mean time that requests waited at leaves, in seconds.
+        peer_bytes: bytes sent between instances per request.
     """
 
     kinds: dict[str, KindResult]
@@ -86,7 +86,7 @@
 
 
 class Trial:
-    """A shape with its callers while a scenario is played."""
+    """A deployment with its callers during a scenario."""
 
     def __init__(self, shape: Shape, policy: Policy, random: Random) -> None:
         self.shape = shape
@@ -99,10 +99,10 @@
         self._kinds = {kind.name: kind for kind in shape.kinds}
         for number, service in enumerate(self.shard_names):
             for copy in range(shape.leafs):
-                self._start_leaf(service, PLACES[(number + copy) % len(PLACES)])
+                self._start_leaf(service, LOCATIONS[(number + copy) % len(LOCATIONS)])
         for number in range(shape.singles):
-            self._start_leaf(SINGLE_SERVICE, PLACES[number % len(PLACES)])
-        self._around = Surroundings(
+            self._start_leaf(SINGLE_SERVICE, LOCATIONS[number % len(LOCATIONS)])
+        self._environment = TrialEnvironment(
             MemoryNetwork(_find_latency),
             self.timeline,
             self.leafs,
@@ -113,46 +113,46 @@
         )
         self.instances = [self._make_instance(n) for n in range(shape.instances)]
 
-    def leafs_of(self, service: str) -> list[EmulatedLeaf]:
-        """Return the leafs of a service that run."""
+    def find_running_leaves(self, service: str) -> list[EmulatedLeaf]:
+        """Return the running leaves of a service."""
         return [
             leaf
             for leaf in self.leafs.values()
-            if leaf.service == service and not leaf.trouble.gone
+            if leaf.service == service and not leaf.faults.gone
         ]
 
-    def draw_leafs(self, share: float) -> list[EmulatedLeaf]:
-        """Return a share of the shards' leafs, drawn at random."""
+    def sample_leaves(self, share: float) -> list[EmulatedLeaf]:
+        """Return a random fraction of the shards' leaves."""
         leafs = [leaf for leaf in self.leafs.values() if leaf.service != SINGLE_SERVICE]
         return self.random.sample(leafs, round(share * len(leafs)))
 
-    def replace_leafs(self, share: float) -> None:
-        """Let new leafs take the places of some, which end when all know of them."""
-        ending = [leaf for leaf in self.draw_leafs(share) if not leaf.trouble.gone]
+    def replace_leaves(self, share: float) -> None:
+        """Replace a fraction of the leaves; old ones stop once the new ones are known."""
+        ending = [leaf for leaf in self.sample_leaves(share) if not leaf.faults.gone]
         for leaf in ending:
             self._start_leaf(leaf.service, leaf.place)
-        self.timeline.call_after(NEWS_TIME, self._spread_news)
+        self.timeline.call_after(DISCOVERY_DELAY, self._update_directories)
         for leaf in ending:
-            self.timeline.call_after(4 * NEWS_TIME, leaf.end)
-        self.timeline.call_after(5 * NEWS_TIME, self._spread_news)
+            self.timeline.call_after(4 * DISCOVERY_DELAY, leaf.crash)
+        self.timeline.call_after(5 * DISCOVERY_DELAY, self._update_directories)
 
-    async def play(self, scenario: Scenario) -> TrialResult:
-        """Play a scenario and return what came of it."""
+    async def run(self, scenario: Scenario) -> TrialResult:
+        """Run a scenario and return its results."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.timeline.run)
-            self._spread_news()
+            self._update_directories()
             for instance in self.instances:
                 await instance.start(nursery)
             if not scenario.cold:
                 await trio.sleep(0.5)
-                await self._send_requests(WARM_UP)
+                await self._send_requests(WARM_UP_TIME)
             for callers in self.callers:
                 callers.tally = Tally()
-            before = self._count()
-            for at, act in scenario.acts:
-                self.timeline.call_after(at, lambda act=act: act(self))
+            before = self._read_counters()
+            for at, action in scenario.actions:
+                self.timeline.call_after(at, lambda action=action: action(self))
             await self._send_requests(scenario.seconds)
-            result = self._sum_up(before)
+            result = self._summarize(before)
             nursery.cancel_scope.cancel()
         return result
 
@@ -170,12 +170,14 @@
         return Callers(kind, self.instances, shards, random)
 
     def _make_instance(self, number: int) -> TrialInstance:
-        place = PLACES[number % len(PLACES)]
+        place = LOCATIONS[number % len(LOCATIONS)]
         name = f"instance-{number:02}"
         address = f"127.0.0.1:{FIRST_PORT + number}"
         record = InstanceRecord(name, "", place.data_centre, place.region, address)
-        self._around.records[name] = record
-        return TrialInstance(record, self._around, Random(self.random.getrandbits(32)))
+        self._environment.records[name] = record
+        return TrialInstance(
+            record, self._environment, Random(self.random.getrandbits(32))
+        )
 
     def _start_leaf(self, service: str, place: Location) -> None:
         single = service == SINGLE_SERVICE
@@ -185,33 +187,33 @@
         random = Random(self.random.getrandbits(32))
         self.leafs[id] = EmulatedLeaf(id, service, place, shape, self.timeline, random)
 
-    def _spread_news(self) -> None:
+    def _update_directories(self) -> None:
         for instance in self.instances:
-            instance.know_leafs()
+            instance.update_directory()
 
     def _work_of(self, attempt: Attempt) -> float:
         assert attempt.caller_request is not None
         return self._kinds[attempt.caller_request.target.strip("/")].work
 
-    def _count(self) -> tuple[int, float, float]:
+    def _read_counters(self) -> tuple[int, float, float]:
         leafs = self.leafs.values()
         return (
             sum(leaf.arrived for leaf in leafs),
-            sum(leaf.waited for leaf in leafs),
+            sum(leaf.queue_time for leaf in leafs),
             sum(item.metrics.read("peer.bytes") for item in self.instances),
         )
 
-    def _sum_up(self, before: tuple[int, float, float]) -> TrialResult:
-        now = self._count()
+    def _summarize(self, before: tuple[int, float, float]) -> TrialResult:
+        now = self._read_counters()
         arrived, waited, sent_bytes = (a - b for a, b in zip(now, before, strict=True))
-        kinds = {item.kind.name: sum_up_kind(item) for item in self.callers}
+        kinds = {item.kind.name: summarize_kind(item) for item in self.callers}
         needed = sum(
             item.tally.asked * (self.shape.shards if item.kind.sharded else 1)
             for item in self.callers
         )
         asked = max(1, sum(item.tally.asked for item in self.callers))
         possible = sum(item.tally.asked * item.kind.value for item in self.callers)
-        earned = sum(item.tally.worth for item in self.callers)
+        earned = sum(item.tally.earned_value for item in self.callers)
         return TrialResult(
             kinds,
             earned / max(1e-9, possible),
@@ -221,8 +223,8 @@
         )
 
 
-def sum_up_kind(callers: Callers) -> KindResult:
-    """Return what the callers of one kind got."""
+def summarize_kind(callers: Callers) -> KindResult:
+    """Return the results of one kind of request."""
     tally, kind = callers.tally, callers.kind
     asked = max(1, tally.asked)
     answered = max(1, len(tally.times))
@@ -234,12 +236,12 @@
         tally.failed / asked,
         tally.parts / answered,
         median(tally.times) if tally.times else float("inf"),
-        tally.worth / (asked * kind.value),
+        tally.earned_value / (asked * kind.value),
     )
 
 
 def make_document(shape: Shape, shards: tuple[str, ...]) -> RoutingDocument:
-    """Return the routing document of a shape."""
+    """Return the routing document of a deployment."""
     routes = [
         Route(
             name=kind.name,
@@ -248,9 +250,9 @@
             target=ToShards(shards, 10, kind.least_coverage)
             if kind.sharded
             else ToService(SINGLE_SERVICE),
-            timeout=timedelta(seconds=kind.patience),
+            timeout=timedelta(seconds=kind.timeout),
             objective=timedelta(seconds=kind.objective),
-            most_attempts=MOST_ATTEMPTS,
+            most_attempts=MAX_ATTEMPTS,
             rank=kind.rank,
         )
         for kind in shape.kinds
@@ -261,8 +263,8 @@
 
 
 def _find_latency(one: str, other: str) -> float:
-    places = {place.data_centre: place for place in PLACES}
-    return WAYS[measure_distance(places[one], places[other])]
+    places = {place.data_centre: place for place in LOCATIONS}
+    return ONE_WAY_LATENCIES[measure_distance(places[one], places[other])]
 
 
 def run_trial(
@@ -271,15 +273,15 @@
     """Run one trial on a mocked clock.
 
     Args:
-        scenario: what happens.
-        policy: how instances decide.
-        seed: of all that is drawn; with it arrivals, work and trouble are the same.
-        shape: of the deployment; the users' smaller one when None.
+        scenario: the faults and bursts to run.
+        policy: the mechanisms that the instances use.
+        seed: seed of everything random; it fixes arrivals, work times and faults.
+        shape: the deployment; None for the users' smaller one.
     """
     random = Random(seed)
 
     async def run() -> TrialResult:
-        return await Trial(shape or Shape(), policy, random).play(scenario)
+        return await Trial(shape or Shape(), policy, random).run(scenario)
 
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(seed)
