--- a/walkcart/bench/routed/callers.py
+++ b/walkcart/bench/routed/callers.py
@@ -141,7 +141,7 @@
         self.kind = kind
         self.tally = Tally()
         #: Factor on the kind's rate; over 1 during a burst.
-        self.rate_factor = 1.0
+        self.burst = 1.0
         self._shards = shards
         self._random = random
         self._handlers = [make_handler(item, random) for item in instances]
@@ -151,7 +151,7 @@
         """Send requests until the time `until`, then wait until all have ended."""
         async with trio.open_nursery() as nursery:
             while True:
-                gap = self._random.expovariate(self.kind.rate * self.rate_factor)
+                gap = self._random.expovariate(self.kind.rate * self.burst)
                 await trio.sleep(gap)
                 if trio.current_time() >= until:
                     return
--- a/walkcart/bench/routed/emulatedleaf.py
+++ b/walkcart/bench/routed/emulatedleaf.py
@@ -183,7 +183,7 @@
         else:
             self._free_slot()
 
-    def crash(self) -> None:
+    def end(self) -> None:
         """Drop all requests without a reply, as a leaf that crashes does."""
         self.faults.gone = True
         for request in self._queue:
--- a/walkcart/bench/routed/instances.py
+++ b/walkcart/bench/routed/instances.py
@@ -215,18 +215,18 @@
         links = PeerLinks(
             listener, transport, self._registration, self.events, self.metrics
         )
-        incarnation = self._random.getrandbits(32)
+        life = self._random.getrandbits(32)
         tools = DelegationTools(
             links,
             self._registration,
             PeerStats(),
-            IdSource("", incarnation),
+            IdSource("", life),
             self._clock,
             self._random,
             self.events,
             self._make_gathering_instances(),
         )
-        delegation_client = DelegationClient(tools)
+        delegates = DelegationClient(tools)
         limits = REPEAT_LIMITS if environment.policy.repeat else NO_REPEATS
         quarantines = Quarantines(
             Quarantine(),
@@ -240,16 +240,16 @@
             self.pool,
             RepeatBudget(limits, self._clock.monotonic()),
             self._registration.count,
-            IdSource(record.name, incarnation),
+            IdSource(record.name, life),
             self._clock,
             self.metrics,
             self.events,
             self.place,
             self._random,
             quarantines,
-            delegation_client if environment.policy.delegate else None,
+            delegates if environment.policy.delegate else None,
         )
-        delegation_server = DelegationServer(
+        carrier = DelegationServer(
             links,
             self._clock,
             self._gather,
@@ -258,9 +258,9 @@
             quarantines,
             self.origins,
         )
-        for service in (links, self.pool, delegation_client, delegation_server):
+        for service in (links, self.pool, delegates, carrier):
             await nursery.start(service.run)
-        delegation_client.open_links()
+        delegates.open_links()
 
     def _make_gathering_instances(self) -> GatheringInstances:
         gathering_instances = GatheringInstances(
--- a/walkcart/bench/routed/scenarios.py
+++ b/walkcart/bench/routed/scenarios.py
@@ -86,7 +86,7 @@
 
 
 def _degrade_three_shards(trial: Trial) -> None:
-    """On three shards, stop one leaf's replies and make the others 8 times slower."""
+    """On three shards, one leaf stops replying and the other is eight times slower."""
     for service in trial.shard_names[:3]:
         first, *others = trial.find_running_leaves(service)
         first.faults.unresponsive = True
@@ -106,7 +106,7 @@
     """Multiply the request rate of one kind."""
 
     def action(trial: Trial) -> None:
-        trial.callers[number].rate_factor = factor
+        trial.callers[number].burst = factor
 
     return action
 
@@ -130,7 +130,7 @@
 def _multiply_all_rates(factor: float) -> TrialAction:
     def action(trial: Trial) -> None:
         for callers in trial.callers:
-            callers.rate_factor = factor
+            callers.burst = factor
 
     return action
 
--- a/walkcart/bench/routed/tests/test_large_fleet.py
+++ b/walkcart/bench/routed/tests/test_large_fleet.py
@@ -58,8 +58,8 @@
     links = []
     init = PeerLinks.__init__
 
-    def record_links(self, *args, **kwargs):
-        init(self, *args, **kwargs)
+    def record_links(self, *args, **more):
+        init(self, *args, **more)
         links.append(self)
 
     monkeypatch.setattr(PeerLinks, "__init__", record_links)
--- a/walkcart/bench/routed/trials.py
+++ b/walkcart/bench/routed/trials.py
@@ -127,13 +127,13 @@
         return self.random.sample(leafs, round(share * len(leafs)))
 
     def replace_leaves(self, share: float) -> None:
-        """Replace a fraction of the leaves; old ones stop once the new ones are known."""
+        """Replace a fraction of the leaves; old ones stop when the new are known."""
         ending = [leaf for leaf in self.sample_leaves(share) if not leaf.faults.gone]
         for leaf in ending:
             self._start_leaf(leaf.service, leaf.place)
         self.timeline.call_after(DISCOVERY_DELAY, self._update_directories)
         for leaf in ending:
-            self.timeline.call_after(4 * DISCOVERY_DELAY, leaf.crash)
+            self.timeline.call_after(4 * DISCOVERY_DELAY, leaf.end)
         self.timeline.call_after(5 * DISCOVERY_DELAY, self._update_directories)
 
     async def run(self, scenario: Scenario) -> TrialResult:
