--- a/walkcart/bench/__init__.py
+++ b/walkcart/bench/__init__.py
@@ -1,5 +1,5 @@
-"""Load, experiments and long randomised runs over the stand-ins.
+"""Load, experiments and long randomised runs with the stand-ins.
 
-It drives the real programs' code, in one process on a mocked or the real clock,
-or as separate processes; it is no cluster simulator.
+They run the code of the real programs, in one process on a mocked or real clock or as
+separate processes. It isn't a cluster simulator.
 """
--- a/walkcart/bench/__main__.py
+++ b/walkcart/bench/__main__.py
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """Run one of the bench's jobs; return its exit code."""
+    """Run the selected job of the bench; return its exit code."""
     parser = argparse.ArgumentParser(prog="python -m walkcart.bench")
     jobs = parser.add_subparsers(dest="job", required=True)
     jobs.add_parser("demo", help="the small estate of `make run`")
@@ -54,7 +54,7 @@
 
 
 def _dispatch(options: argparse.Namespace) -> int:
-    # Imported late: the demo needs neither plots nor processes.
+    # Imported late, so that the demo doesn't import the modules of other jobs.
     match options.job:
         case "demo":
             from walkcart.bench.demo import run_demo
--- a/walkcart/bench/caller.py
+++ b/walkcart/bench/caller.py
@@ -1,4 +1,4 @@
-"""A caller: asks questions and checks each answer from its marked rows."""
+"""A caller that sends requests, and checks of answers by their marked rows."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from walkcart.wire.http import ExchangeFailed, HttpConnection, HttpReply, HttpRequest
 from walkcart.wire.network import Network
 
-BODY_LIMIT = 8 << 20
+MAX_BODY_BYTES = 8 << 20
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """How one request ended for its caller.
+class RequestResult:
+    """The outcome of one request for its caller.
 
     Args:
-        status: HTTP status; 0 when there was no reply.
-        elapsed: seconds.
-        content: the reply's JSON, None without one.
-        headers: of the reply.
+        status: HTTP status; 0 without a reply.
+        elapsed: seconds from sending until the outcome.
+        content: the decoded JSON body; None if there is none.
+        headers: the headers of the reply.
         sent: whether the request may have reached the instance.
     """
 
@@ -35,12 +35,12 @@
 
     @property
     def verdict(self) -> str:
-        """The verdict in the reply; empty without a reply."""
+        """The verdict in the reply's headers; empty without a reply."""
         return self.headers.get(b"walkcart-verdict", b"").decode()
 
 
 class Caller:
-    """Asks instances with one partner's credential, one request a connection use.
+    """Sends requests with one partner's credential and reuses idle connections.
 
     Args:
         network: opens connections.
@@ -58,8 +58,8 @@
         service: str,
         query: Any,
         headers: tuple[tuple[bytes, bytes], ...] = (),
-    ) -> Asked:
-        """Ask a service all its shards."""
+    ) -> RequestResult:
+        """Send a query to all shards of a service."""
         body = msgspec.json.encode({"query": query})
         target = f"/v1/services/{service}/query"
         return await self.request(address, "POST", target, body, headers)
@@ -72,7 +72,7 @@
         key: str,
         headers: tuple[tuple[bytes, bytes], ...] = (),
         routing_key: str = "",
-    ) -> Asked:
+    ) -> RequestResult:
         """Send a non-repeatable request."""
         body = msgspec.json.encode({"command": command, "routing_key": routing_key})
         target = f"/v1/services/{service}/execute"
@@ -86,7 +86,7 @@
         target: str,
         body: bytes = b"",
         headers: tuple[tuple[bytes, bytes], ...] = (),
-    ) -> Asked:
+    ) -> RequestResult:
         """Send one request and read its reply."""
         start = trio.current_time()
         own = (
@@ -98,19 +98,19 @@
                 address, HttpRequest(method, target, (*own, *headers), body)
             )
         except ExchangeFailed as error:
-            return Asked(0, trio.current_time() - start, sent=error.sent)
+            return RequestResult(0, trio.current_time() - start, sent=error.sent)
         except OSError:
-            return Asked(0, trio.current_time() - start, sent=False)
+            return RequestResult(0, trio.current_time() - start, sent=False)
         content = msgspec.json.decode(reply.body) if reply.body else None
         elapsed = trio.current_time() - start
-        return Asked(reply.status, elapsed, content, dict(reply.headers))
+        return RequestResult(reply.status, elapsed, content, dict(reply.headers))
 
     async def _exchange(self, address: HostPort, request: HttpRequest) -> HttpReply:
         idle = self._idle.setdefault(address, [])
         connection = idle.pop() if idle else None
         if connection is None:
             stream = await self._network.connect(address)
-            connection = HttpConnection(stream, str(address), BODY_LIMIT)
+            connection = HttpConnection(stream, str(address), MAX_BODY_BYTES)
         try:
             reply = await connection.exchange(request)
         except BaseException:
@@ -131,13 +131,13 @@
         self._idle.clear()
 
 
-def find_violations(asked: Asked, scope: str, query: Any) -> list[str]:
-    """Return the promises that an answer breaks, from its marked rows.
+def find_violations(asked: RequestResult, scope: str, query: Any) -> list[str]:
+    """Return the promises that an answer breaks, judged by its marked rows.
 
     Args:
-        asked: the reply.
-        scope: the caller's.
-        query: what was asked.
+        asked: the result of the request.
+        scope: the scope of the caller.
+        query: the query that was sent.
     """
     if asked.status != 200 or "coverage" not in (asked.content or {}):
         return []
--- a/walkcart/bench/capacity.py
+++ b/walkcart/bench/capacity.py
@@ -1,7 +1,7 @@
-"""The tables of ``docs/CAPACITY.md``, worked out from ``docs/sources/slopes.json``.
+"""Computes the tables of ``docs/CAPACITY.md`` from ``docs/sources/slopes.json``.
 
-Every figure is either a line that was measured or is computed from such lines
-here, in steps that the page shows.
+Every figure is a measured line or is computed here from such lines, in steps that the
+page shows.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import msgspec
 
 DOCS = Path(__file__).resolve().parents[2] / "docs"
-NODES = 620
+INSTANCES = 620
 LEAVES = 4000
 QUESTIONS = 130_000
 SHARDS = 100
@@ -31,15 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Slopes:
-    """The measured lines."""
+    """The lines that were fitted to the measurements."""
 
     content: dict[str, Any]
 
     def at(self, measurement: str, quantity: str, size: float) -> float:
-        """Return the value on a line at a size, but none below what was measured.
+        """Return the value of a line at a size.
 
-        A line that falls, or that scatters around a constant, must not make a
-        large fleet look cheaper than a small one.
+        Beyond the measured sizes the value isn't below the largest measured one.
+        Otherwise a line that falls, or that scatters around a constant, would make
+        a large fleet look cheaper than a small one.
         """
         line = self.content[measurement][quantity]
         measured = max(value for _, value in line["points"])
@@ -48,27 +49,27 @@
         return max(measured, line["intercept"] + line["slope"] * size)
 
     def last(self, measurement: str, quantity: str) -> float:
-        """Return the value measured at the largest size."""
+        """Return the measured value at the largest size."""
         return self.content[measurement][quantity]["points"][-1][1]
 
     def slope(self, measurement: str, quantity: str) -> float:
-        """Return a line's slope."""
+        """Return the slope of a line."""
         return self.content[measurement][quantity]["slope"]
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What one role costs a node.
+    """The cost of one role of an instance.
 
     Args:
-        role: its name.
-        state: what it keeps.
-        how: the steps.
-        messages: a second, sent and received.
-        cpu: share of a core.
-        memory: MB.
-        bytes: a second.
-        mechanism: what carries it.
+        role: the name of the role.
+        state: the state that it keeps.
+        how: the steps of the computation.
+        messages: messages per second, sent and received.
+        cpu: fraction of a core.
+        memory: memory in MB.
+        bytes: bytes per second.
+        mechanism: the mechanism and the module that implements it.
     """
 
     role: str
@@ -82,15 +83,15 @@
 
 
 def load_slopes() -> Slopes:
-    """Return the committed measurements."""
+    """Load the committed measurements."""
     return Slopes(msgspec.json.decode((DOCS / "sources" / "slopes.json").read_bytes()))
 
 
 def control_costs(slopes: Slopes) -> list[Cost]:
-    """Return what control costs a node at the letter's size."""
-    fleet_cpu = slopes.at("fleet", "CPU s/s for each instance, mean", NODES)
-    fleet_bytes = slopes.at("fleet", "bytes/s for each instance, mean", NODES)
-    fleet_memory = slopes.slope("fleet", "resident MB, mean") * NODES
+    """Return the control costs of an instance at the size in the users' letter."""
+    fleet_cpu = slopes.at("fleet", "CPU s/s for each instance, mean", INSTANCES)
+    fleet_bytes = slopes.at("fleet", "bytes/s for each instance, mean", INSTANCES)
+    fleet_memory = slopes.slope("fleet", "resident MB, mean") * INSTANCES
     stored = slopes.at("configuration", "stored KB", OBJECTS) * 1000
     read = slopes.at("configuration", "CPU ms to read", OBJECTS) / 1000
     kept = slopes.at("configuration", "memory MB", OBJECTS)
@@ -101,16 +102,16 @@
         slopes.last("holding", "CPU ms for one instance to go and come") / 1000 * scale
     )
     holders = slopes.last("holding", "memory MB") * scale
-    leaf_changes = (RESTARTS_A_DAY + FAILURES_A_DAY) * LEAVES / NODES * 2
-    comings = RESTARTS_A_DAY + FAILURES_A_DAY
+    leaf_changes = (RESTARTS_A_DAY + FAILURES_A_DAY) * LEAVES / INSTANCES * 2
+    departures = RESTARTS_A_DAY + FAILURES_A_DAY
     mark = slopes.at("marks", "CPU us a message", 1) / 1e6
     mark_bytes = slopes.slope("marks", "bytes a message")
     return [
         Cost(
             "heartbeats, suspicion, news",
-            f"{NODES} records",
-            f"the fleet's lines at {NODES}",
-            slopes.at("fleet", "messages/s for each instance, mean", NODES),
+            f"{INSTANCES} records",
+            f"the fleet's lines at {INSTANCES}",
+            slopes.at("fleet", "messages/s for each instance, mean", INSTANCES),
             fleet_cpu,
             fleet_memory,
             fleet_bytes,
@@ -122,7 +123,7 @@
             f"{CHANGES_A_DAY} a day of {OBJECTS} objects: {stored / 1000:.1f} KB taken "
             f"and given once, {1000 * read:.1f} ms to read, {1000 * resolve:.1f} ms to "
             "resolve",
-            # A push to three peers, a pull and a document, there and back.
+            # A push to three peers, a pull and a document, each sent and answered.
             CHANGES_A_DAY * 10 / DAY,
             CHANGES_A_DAY * (read + resolve) / DAY,
             kept,
@@ -143,10 +144,10 @@
         Cost(
             "division of connections",
             f"30 candidates for each of {LEAVES:,} leaves",
-            f"{comings} goings and comings a day, {1000 * turn:.1f} ms each for "
+            f"{departures} goings and comings a day, {1000 * turn:.1f} ms each for "
             f"{LEAVES:,} leaves ({HELD_LEAVES_MEASURED} measured)",
             0.0,
-            comings * turn / DAY,
+            departures * turn / DAY,
             holders,
             0.0,
             "kept candidates (`routing/holders.py`)",
@@ -165,7 +166,7 @@
 
 
 def render_control(slopes: Slopes) -> str:
-    """Return the table of control costs with their sum and the limits."""
+    """Return the table of control costs with totals and limits."""
     costs = control_costs(slopes)
     lines = [
         "| role | state | worked out from | messages/s | CPU, % of a core "
@@ -211,7 +212,7 @@
 
 
 def render_points(slopes: Slopes, measurement: str) -> str:
-    """Return a table of the points of one measurement."""
+    """Return a table with the points of one measurement."""
     content = slopes.content[measurement]
     quantities = [name for name in content if name != "size"]
     sizes = [point[0] for point in content[quantities[0]]["points"]]
@@ -226,7 +227,7 @@
 
 
 def render_capacity() -> str:
-    """Return ``docs/CAPACITY.md``: its text with the figures put in."""
+    """Return ``docs/CAPACITY.md``: its source text with the figures inserted."""
     slopes = load_slopes()
     text = (DOCS / "sources" / "capacity.md").read_text(encoding="utf-8")
     figures = {
@@ -243,15 +244,15 @@
 
 
 def _data_figures(slopes: Slopes) -> dict[str, str]:
-    """Return the figures of the data path."""
-    each_node = QUESTIONS / NODES
+    """Return the figures of the data path by placeholder."""
+    each_node = QUESTIONS / INSTANCES
     requests = each_node * SHARDS
     leaf_ms = slopes.last("leaf_requests", "CPU ms a leaf request")
     alone = slopes.at("forwarding", "CPU us a message, both ends", 1)
     slope = slopes.slope("forwarding", "CPU us a message, both ends")
     fixed = alone - slope
-    pair = requests / NODES
-    # Both ends of the ask and of the reply fall on some node each.
+    pair = requests / INSTANCES
+    # The request and the reply each cost CPU time at both ends, on some instance.
     unbatched = requests * 2 * alone / 1e6
     messages = each_node * 8
     batched = (messages * 2 * fixed + requests * 2 * slope) / 1e6
@@ -276,11 +277,11 @@
         "store_watch": f"{base * DATA_CENTRES:.1f}",
         "store_slope": f"{stores:.2g}",
         "store_claims": f"{claims:.0f}",
-        "change_seconds": (f"{slopes.last('fleet', _CHANGE):.2f}"),
-        "kill_seconds": f"{slopes.last('fleet', _KILL):.1f}",
+        "change_seconds": (f"{slopes.last('fleet', _CHANGE_QUANTITY):.2f}"),
+        "kill_seconds": f"{slopes.last('fleet', _KILL_QUANTITY):.1f}",
         "ratio": f"{slopes.last('leaf_requests', 'ratio to the bare client'):.2f}",
     }
 
 
-_CHANGE = "seconds until a change is in force everywhere, max of 5"
-_KILL = "seconds until a kill is seen by all"
+_CHANGE_QUANTITY = "seconds until a change is in force everywhere, max of 5"
+_KILL_QUANTITY = "seconds until a kill is seen by all"
--- a/walkcart/bench/experiments.py
+++ b/walkcart/bench/experiments.py
@@ -1,7 +1,7 @@
-"""Experiments: one scenario under several policies, in one run each.
+"""Experiments: one scenario under several policies, with one run for each.
 
-On the network in memory under a mocked clock: the figures depend on the seed
-alone, not on what else the machine does.
+They use a network in memory and a mocked clock. The figures depend on the seed only,
+not on the load of the machine.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     StoreDown,
     bring_about,
 )
-from walkcart.bench.load import Load, Plan, Tally
+from walkcart.bench.load import LoadGenerator, LoadPlan, Tally
 from walkcart.bench.shapes import SHAPES, Shape
 from walkcart.bench.world import World, make_partner, make_service
 from walkcart.kernel.invariants import Invariants
@@ -37,19 +37,19 @@
 
 INSTANCES = 7
 CLIENT_SITE = "client"
-SETTLE = 4.0
+SETTLE_TIME = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What happens during an experiment.
+    """The load and the faults of an experiment.
 
     Args:
-        name: of the scenario.
-        faults: that are brought about; times count from the first question.
-        rate: questions a second.
-        seconds: how long questions are sent.
-        warm_up: seconds that aren't measured.
+        name: the name of the scenario.
+        faults: the faults to inject; their times count from the first question.
+        rate: questions per second.
+        seconds: duration of the load.
+        warm_up: seconds at the start that aren't measured.
     """
 
     name: str
@@ -80,7 +80,7 @@
     )
 }
 
-#: TOML fields of the routing intent that make a policy.
+#: TOML fields of the routing intent for each policy.
 POLICIES = {
     "walkcart": "",
     "random": 'replica_policy = "random"\nhedge_budget = 0.0\n',
@@ -94,23 +94,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What one run gave.
+    """The results of one run.
 
     Args:
-        scenario: its name.
-        policy: its name.
-        shape: its name.
-        seed: of the run.
-        quantiles_ms: latency of the answers by share.
-        outcomes: questions by how they ended.
-        violations: broken promises by kind, as callers saw them.
-        reasons: of the questions without an answer.
-        by_partner: answers by partner.
-        coverage: shards answered for each asked, over the answers.
-        extra_load: leaf requests for each shard asked, less one.
-        goodput: answers a second.
-        most_connections: at any leaf, at once.
-        broken_invariants: as the program saw them.
+        scenario: the name of the scenario.
+        policy: the name of the policy.
+        shape: the name of the shape.
+        seed: the seed of the run.
+        quantiles_ms: latency of the answers in milliseconds, by quantile.
+        outcomes: number of questions by outcome.
+        violations: number of broken promises by kind, as observed by callers.
+        reasons: number of questions without an answer, by reason.
+        by_partner: number of answers by partner.
+        coverage: fraction of the asked shards that answered, over all answers.
+        extra_load: leaf requests per shard asked, minus one.
+        goodput: answers per second.
+        most_connections: maximum number of simultaneous connections at any leaf.
+        broken_invariants: number of broken invariants that instances detected.
         timeline: (second, latency, outcome) of each question.
     """
 
@@ -148,14 +148,14 @@
         balancer = BalancerStandin(network, addresses)
         await nursery.start(balancer.watch)
         callers = {name: Caller(network, f"{name}-token") for name in shape.partners}
-        plan = Plan(
+        plan = LoadPlan(
             shape.service,
             scenario.rate,
             scenario.seconds,
             scenario.warm_up,
             shape.partners,
         )
-        load = Load(plan, balancer, callers, Random(seed))
+        load = LoadGenerator(plan, balancer, callers, Random(seed))
         for fault in scenario.faults:
             nursery.start_soon(bring_about, fault, world, shape.service)
         tally = await load.run()
@@ -165,7 +165,7 @@
 
 
 async def start_estate(world: World, shape: Shape, intent: str) -> None:
-    """Start platform, leaves, instances and the shape's configuration."""
+    """Start the platform, leaves and instances, and apply the shape's configuration."""
     await world.start_platform()
     await world.start_group(shape.service, shape.shards, 2, list(shape.regions))
     for number in range(INSTANCES):
@@ -173,11 +173,11 @@
         await world.start_instance(f"instance-{number}", region, site)
     accepted = await world.apply(make_estate(shape, intent))
     await world.wait_in_force(accepted.revision)
-    await trio.sleep(SETTLE)
+    await trio.sleep(SETTLE_TIME)
 
 
 def make_estate(shape: Shape, intent: str) -> str:
-    """Return the shape's configuration as TOML."""
+    """Return the configuration of the shape as TOML."""
     values = dict(line.split(" = ", 1) for line in shape.intent.splitlines())
     values.update(line.split(" = ", 1) for line in intent.splitlines())
     lines = [f"{name} = {value}" for name, value in values.items()]
@@ -216,13 +216,13 @@
     )
 
 
-def median_of(values: list[float]) -> float:
-    """Return the median; of an even count the lower one."""
+def find_low_median(values: list[float]) -> float:
+    """Return the median, or the lower of the two middle values."""
     return sorted(values)[(len(values) - 1) // 2]
 
 
 def to_plain(figures: Figures) -> dict[str, Any]:
-    """Return figures as plain values, without the timeline."""
+    """Return the figures as plain values, without the timeline."""
     plain = {name: getattr(figures, name) for name in Figures.__dataclass_fields__}
     del plain["timeline"]
     return plain
--- a/walkcart/bench/faults.py
+++ b/walkcart/bench/faults.py
@@ -1,4 +1,4 @@
-"""Faults of an experiment, as data, and how each is brought about."""
+"""The faults of experiments as data, and their injection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowLeaf:
-    """One leaf of each shard in `shards` takes `factor` times as long."""
+    """One leaf of each shard in `shards` becomes `factor` times slower."""
 
     at: float
     factor: float
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stalls:
-    """A share of all leaf requests stalls."""
+    """A fraction `share` of the requests at all leaves stalls for `time` seconds."""
 
     at: float
     share: float
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KillLeaf:
-    """One leaf ends at once; the list shows it as live still."""
+    """One leaf stops abruptly; the instance list still contains it."""
 
     at: float
     shard: int = 0
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainLeaf:
-    """One leaf says that it is leaving and refuses new work."""
+    """One leaf reports that it is leaving and refuses new requests."""
 
     at: float
     shard: int = 0
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndexRoll:
-    """Every leaf takes the next version, one after the other."""
+    """The leaves load a version one after the other, `gap` seconds apart."""
 
     at: float
     version: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Repartition:
-    """A new layout with more shards comes up; operators then name it."""
+    """Leaves with a layout of more shards start; operators then configure it."""
 
     at: float
     shards: int
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KillInstance:
-    """One instance ends at once."""
+    """One instance stops abruptly."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class StoreDown:
-    """The store fails every call for a while."""
+    """The store fails all calls for `seconds`."""
 
     at: float
     seconds: float
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupOutage:
-    """Every leaf hangs for a while."""
+    """All leaves refuse requests for `seconds`."""
 
     at: float
     seconds: float
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LyingLoad:
-    """One leaf of each shard states no load, and is slow."""
+    """One leaf of each shard is `factor` times slower but reports a load of 0."""
 
     at: float
     factor: float
@@ -106,7 +106,7 @@
 
 
 async def bring_about(fault: Fault, world: World, group: str) -> None:
-    """Wait for the fault's time, then bring it about."""
+    """Wait until the time of the fault, then inject it."""
     await trio.sleep(fault.at)
     leaves = [item for item in world.leaves.values() if item.leaf.spec.group == group]
     match fault:
@@ -119,9 +119,9 @@
                 item.leaf.faults.stall_share = share
                 item.leaf.faults.stall_time = time
         case KillLeaf(_, shard):
-            world.kill_leaf(_first_of(leaves, shard))
+            world.kill_leaf(_find_leaf_name(leaves, shard))
         case DrainLeaf(_, shard):
-            world.leaves[_first_of(leaves, shard)].leaf.faults.leaving = True
+            world.leaves[_find_leaf_name(leaves, shard)].leaf.faults.leaving = True
         case IndexRoll(_, version, gap):
             for item in leaves:
                 item.leaf.load_version(version)
@@ -135,7 +135,7 @@
             await trio.sleep(seconds)
             world.store.faults.down = False
         case GroupOutage(_, seconds):
-            await _hang(leaves, seconds)
+            await _shed_requests(leaves, seconds)
         case LyingLoad(_, factor):
             for item in leaves:
                 if item.leaf.spec.name[-1] == "0":
@@ -143,11 +143,11 @@
                     item.leaf.faults.slow = factor
 
 
-def _first_of(leaves: list, shard: int) -> str:
+def _find_leaf_name(leaves: list, shard: int) -> str:
     return next(item.leaf.spec.name for item in leaves if item.leaf.spec.shard == shard)
 
 
-async def _hang(leaves: list, seconds: float) -> None:
+async def _shed_requests(leaves: list, seconds: float) -> None:
     for item in leaves:
         item.leaf.faults.shed = True
     await trio.sleep(seconds)
@@ -156,7 +156,7 @@
 
 
 async def _repartition(world: World, group: str, shards: int) -> None:
-    """Start the new layout's leaves, then name the layout."""
+    """Start the leaves of the new layout, then add it to the configuration."""
     old = [item for item in world.leaves.values() if item.leaf.spec.group == group]
     sites = sorted({(item.leaf.spec.labels["region"], item.site) for item in old})
     epoch = max(item.leaf.spec.layout for item in old) + 1
--- a/walkcart/bench/fitting.py
+++ b/walkcart/bench/fitting.py
@@ -1,4 +1,4 @@
-"""Lines through measured points."""
+"""Fits straight lines to measured points."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     """A straight line fitted to points.
 
     Args:
-        slope: change of the value for one more of the size.
-        intercept: value at size 0.
-        r2: share of the variance that the line explains.
-        points: that were measured.
+        slope: change of the value per unit of the size.
+        intercept: the value at size 0.
+        r2: fraction of the variance that the line explains.
+        points: the measured points.
     """
 
     slope: float
@@ -38,9 +38,11 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread_x = sum((x - mean_x) ** 2 for x, _ in points)
-    spread_y = sum((y - mean_y) ** 2 for _, y in points)
-    both = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    slope = both / spread_x if spread_x else 0.0
-    explained = both**2 / (spread_x * spread_y) if spread_x and spread_y else 1.0
+    variance_x = sum((x - mean_x) ** 2 for x, _ in points)
+    variance_y = sum((y - mean_y) ** 2 for _, y in points)
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    slope = covariance / variance_x if variance_x else 0.0
+    explained = (
+        covariance**2 / (variance_x * variance_y) if variance_x and variance_y else 1.0
+    )
     return Line(slope, mean_y - slope * mean_x, explained, tuple(points))
--- a/walkcart/bench/fleet.py
+++ b/walkcart/bench/fleet.py
@@ -1,7 +1,7 @@
-"""Real processes on this machine: stand-ins and daemons on free ports.
+"""Stand-ins and daemons as real processes on free ports of this machine.
 
 Used by the tests of whole processes and by the measurement of slopes. The
-programs themselves start no process.
+programs themselves start no processes.
 """
 
 from __future__ import annotations
@@ -25,32 +25,32 @@
 
 OPERATOR_TOKEN = "operators"
 HOST = "127.0.0.1"
-TRIES = 600
-POLL_TIME = 0.1
+MAX_TRIES = 600
+POLL_INTERVAL = 0.1
 CLOCK_TICK = os.sysconf("SC_CLK_TCK")
 PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
 
 
 class _Ports:
-    """Gives runs of ports, none of them twice in this process.
+    """Allocates runs of consecutive ports, each port once in this process.
 
-    They lie below the range from which the system takes ports for outgoing
-    connections; one of those could take a port between its choice and its use.
+    The ports are below the range that the system uses for outgoing connections.
+    Such a connection could take a port between its allocation and its use.
     """
 
     FIRST, LAST = 10_000, 32_000
 
     def __init__(self) -> None:
-        # Processes that run side by side start in different places.
+        # Processes that run at the same time begin at different ports.
         self._next = self.FIRST + os.getpid() * 97 % (self.LAST - self.FIRST)
 
-    def take(self, count: int) -> list[int]:
-        """Return a run of free ports.
+    def allocate(self, count: int) -> list[int]:
+        """Return a run of `count` free ports.
 
         Raises:
-            OSError: there is none.
+            OSError: no such run was found.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             if self._next + count > self.LAST:
                 self._next = self.FIRST
             ports = list(range(self._next, self._next + count))
@@ -63,13 +63,17 @@
 _PORTS = _Ports()
 
 
-def take_ports(count: int) -> list[int]:
-    """Return free ports, in a run one after the other."""
-    return _PORTS.take(count)
+def allocate_ports(count: int) -> list[int]:
+    """Return `count` consecutive free ports.
+
+    Raises:
+        OSError: no such run was found.
+    """
+    return _PORTS.allocate(count)
 
 
 def is_free(port: int) -> bool:
-    """Return whether nobody listens at `port`."""
+    """Return whether nothing is bound to `port`."""
     with socket.socket() as probe:
         try:
             probe.bind((HOST, port))
@@ -79,15 +83,15 @@
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    """Poll until `condition` holds.
+    """Poll until `condition` returns true.
 
     Raises:
-        TimeoutError: it never did.
+        TimeoutError: it was still false after `MAX_TRIES` polls.
     """
-    for _ in range(TRIES):
+    for _ in range(MAX_TRIES):
         if condition():
             return
-        time.sleep(POLL_TIME)
+        time.sleep(POLL_INTERVAL)
     raise TimeoutError("the condition never held")
 
 
@@ -98,7 +102,7 @@
     headers: dict[str, str] | None = None,
     method: str | None = None,
 ) -> tuple[int, bytes]:
-    """Return status and body of one HTTP exchange; status 0 without a reply."""
+    """Send one HTTP request; return status and body, or status 0 without a reply."""
     url = f"http://{address}{path}"
     request = urllib.request.Request(url, data, headers or {}, method=method)
     try:
@@ -111,15 +115,15 @@
 
 
 def is_ready(address: str) -> bool:
-    """Return whether an instance says that it is ready."""
+    """Return whether an instance reports that it is ready."""
     return fetch(address, "/readyz")[0] == 200
 
 
 class Processes:
-    """Starts programs and ends them all.
+    """Starts, signals and stops processes by name.
 
     Args:
-        log_folder: where their output goes.
+        log_folder: the folder for the logs with their output.
     """
 
     def __init__(self, log_folder: Path) -> None:
@@ -127,7 +131,7 @@
         self.running: dict[str, subprocess.Popen] = {}
 
     def start(self, name: str, module: str, *words: str) -> None:
-        """Start ``python -m module words`` under a name."""
+        """Start ``python -m module words`` as the process `name`."""
         environment = {
             key: value
             for key, value in os.environ.items()
@@ -142,11 +146,11 @@
             )
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to a process."""
         self.running[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process and wait for its end."""
         self.signal(name, signal.SIGKILL)
         self.running.pop(name).wait()
 
@@ -155,11 +159,11 @@
         return self.running.pop(name).wait()
 
     def read_log(self, name: str) -> str:
-        """Return what a process wrote."""
+        """Return the output of a process so far."""
         return (self.log_folder / f"{name}.log").read_text()
 
     def stop_all(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         for process in self.running.values():
             process.kill()
         for process in self.running.values():
@@ -180,15 +184,15 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Stand-ins and daemons as processes.
+    """A deployment of stand-ins and daemons as processes.
 
     Args:
-        processes: that run.
-        folder: for files.
-        store: address of the store.
-        listing: address of the instance list.
-        entries: addresses for callers by daemon.
-        leaves: addresses of all leaves.
+        processes: starts and stops the processes.
+        folder: the folder for configuration files.
+        store: the address of the store.
+        listing: the address of the instance list.
+        entries: the addresses for callers by name of the daemon.
+        leaves: the addresses of all leaves.
     """
 
     processes: Processes
@@ -206,15 +210,15 @@
         settings: Iterable[str] = (),
         listed: Iterable[str] = (),
     ) -> None:
-        """Start the platform, leaves and daemons.
+        """Start the store, the instance list, the leaves and the daemons.
 
         Args:
-            daemons: how many.
-            leaves: ``GROUP:SHARDS:REPLICAS``; each is a process of its own.
-            settings: further flags of every daemon.
-            listed: ``GROUP:SHARDS:REPLICAS:IP:PORT`` of leaves that run already.
+            daemons: number of daemons.
+            leaves: groups as ``GROUP:SHARDS:REPLICAS``, one process for each group.
+            settings: further flags for all daemons.
+            listed: groups that already run, as ``GROUP:SHARDS:REPLICAS:IP:PORT``.
         """
-        ports = take_ports(2 + 2 * daemons)
+        ports = allocate_ports(2 + 2 * daemons)
         self.store, self.listing = (f"{HOST}:{port}" for port in ports[:2])
         module = "walkcart.standins.main"
         self.processes.start("store", module, "store", "--listen", self.store)
@@ -232,7 +236,7 @@
 
     def _start_leaves(self, words: str) -> str:
         group, shards, replicas = words.split(":")
-        ports = take_ports(int(shards) * int(replicas))
+        ports = allocate_ports(int(shards) * int(replicas))
         full = f"{words}:{HOST}:{ports[0]}"
         self.leaves += [f"{HOST}:{port}" for port in ports]
         self.processes.start(
@@ -254,17 +258,17 @@
         )
 
     def restart_daemon(self, name: str) -> None:
-        """Start a daemon again that has ended."""
+        """Restart a daemon that has ended, with the same ports and flags."""
         entry, peer, settings = self._started[name]
         self.start_daemon(name, entry, peer, *settings)
 
     def wait_healthy(self) -> None:
-        """Wait until every daemon answers."""
+        """Wait until all daemons reply to health checks."""
         for entry in self.entries.values():
             wait_until(lambda entry=entry: fetch(entry, "/healthz")[0] == 200)
 
     def wait_ready(self) -> None:
-        """Wait until every daemon is ready."""
+        """Wait until all daemons are ready."""
         for entry in self.entries.values():
             wait_until(lambda entry=entry: is_ready(entry))
 
@@ -287,7 +291,7 @@
         )
 
     def status(self, name: str) -> dict[str, Any]:
-        """Return what a daemon tells operators."""
+        """Return the status that a daemon reports to operators."""
         headers = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
         _, body = fetch(self.entries[name], "/v1/status", headers=headers)
         return msgspec.json.decode(body)
--- a/walkcart/bench/harness.py
+++ b/walkcart/bench/harness.py
@@ -1,4 +1,4 @@
-"""What the tests of several subpackages share: a small estate on a mocked clock."""
+"""Test helpers shared by several subpackages: a small deployment, a mocked clock."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class ManualClock:
-    """A monotonic clock that the test moves, in seconds."""
+    """A monotonic clock whose time, in seconds, is set by the test."""
 
     def __init__(self) -> None:
         self.time = 100.0
 
     def monotonic(self) -> float:
-        """Return what the test has set."""
+        """Return the time that the test has set."""
         return self.time
 
 
 def run_mocked(action: Callable[..., Awaitable[Any]], *words: Any) -> Any:
-    """Run an action on a mocked clock, the same every time."""
+    """Run an async function deterministically on a mocked clock."""
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(0)
     return trio.run(action, *words, clock=MockClock(autojump_threshold=0))
@@ -45,7 +45,7 @@
     changes: dict[str, Any] | None = None,
     **details: Any,
 ):
-    """Open a world with the services ``parts`` (sharded) and ``cards`` (writes)."""
+    """Run a deployment with the services ``parts`` (sharded) and ``cards`` (writes)."""
     places = sites or ONE_SITE
     async with trio.open_nursery() as nursery:
         world = World(nursery, seed, MemoryNetwork(), changes)
@@ -63,12 +63,12 @@
 
 
 def make_estate(shards: int, intent: str) -> str:
-    """Return the estate's configuration as TOML."""
+    """Return the configuration of the deployment as TOML."""
     text = "".join(make_partner(name, token) for name, token in TOKENS.items())
     text += make_service("parts", shards) + make_service("cards", 1, True)
     return f'{text}[[routing_intent]]\nname = "all"\nselector = ""\n{intent}'
 
 
 def make_caller(world: World, partner: str = "red") -> Caller:
-    """Return a caller with a partner's credential."""
+    """Return a caller with the credential of `partner`."""
     return Caller(world.network("client"), TOKENS[partner])
--- a/walkcart/bench/injection.py
+++ b/walkcart/bench/injection.py
@@ -1,4 +1,4 @@
-"""Faults by chance for the long randomised runs."""
+"""Injection of random faults for the long randomised runs."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 from walkcart.standins.leaf_faults import LeafFaults
 from walkcart.standins.store import StoreFaults
 
-#: Mean seconds between two faults; each lasts for a few.
-FAULT_GAP = 2.5
-SHORTEST, LONGEST = 0.2, 8.0
+#: Mean seconds between the starts of two faults.
+MEAN_FAULT_INTERVAL = 2.5
+#: Bounds of the duration of a fault, in seconds.
+MIN_FAULT_TIME, MAX_FAULT_TIME = 0.2, 8.0
 REPLY_FAULTS = (
     "drop_reply",
     "garbage",
@@ -31,13 +32,13 @@
 
 
 class FaultInjector:
-    """Brings faults about until it is cancelled, then heals them all.
+    """Injects faults until it is cancelled; `heal` then ends them all.
 
     Args:
-        world: what they happen to.
-        random: decides.
-        balancer: told of instances that start again.
-        group: whose index rolls and whose layout changes.
+        world: the deployment that gets the faults.
+        random: draws the faults, their times and their targets.
+        balancer: gets the addresses of instances that are restarted.
+        group: the group whose index version and layout change.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         self._shards = 0
         self._lives = 0
         self._accepted: list[int] = []
-        self.made: Counter[str] = Counter()
+        self.fault_counts: Counter[str] = Counter()
         self.broken: list[str] = []
         self._kinds: list[Callable[[], Awaitable[None]]] = [
             self._slow_leaf,
@@ -77,16 +78,16 @@
         ]
 
     async def run(self) -> None:
-        """Bring about a fault now and then."""
+        """Start a random fault at random intervals."""
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(self._random.expovariate(1 / FAULT_GAP))
+                await trio.sleep(self._random.expovariate(1 / MEAN_FAULT_INTERVAL))
                 kind = self._random.choice(self._kinds)
-                self.made[kind.__name__.lstrip("_")] += 1
+                self.fault_counts[kind.__name__.lstrip("_")] += 1
                 nursery.start_soon(kind)
 
     async def heal(self) -> None:
-        """End all faults; start again what was ended."""
+        """End all faults and restart the stopped leaves."""
         self._world.store.faults = StoreFaults()
         self._world.listing.down = False
         assert self._world.memory is not None
@@ -102,45 +103,45 @@
         running = [item for item in self._world.leaves.values() if not item.stopped]
         return self._random.choice(running)
 
-    async def _last(self) -> None:
-        await trio.sleep(self._random.uniform(SHORTEST, LONGEST))
+    async def _wait_fault_time(self) -> None:
+        await trio.sleep(self._random.uniform(MIN_FAULT_TIME, MAX_FAULT_TIME))
 
-    async def _hold(self, faults: object, **values: Any) -> None:
-        """Set fields of a stand-in's faults for a while, then end those faults."""
+    async def _set_temporarily(self, faults: object, **values: Any) -> None:
+        """Set fields of a stand-in's faults for a random time, then reset them."""
         for name, value in values.items():
             setattr(faults, name, value)
-        await self._last()
+        await self._wait_fault_time()
         healthy = type(faults)()
         for name in values:
             setattr(faults, name, getattr(healthy, name))
 
     async def _slow_leaf(self) -> None:
         factor = self._random.choice([3.0, 10.0])
-        await self._hold(self._pick_leaf().leaf.faults, slow=factor)
+        await self._set_temporarily(self._pick_leaf().leaf.faults, slow=factor)
 
     async def _hang_leaf(self) -> None:
-        await self._hold(self._pick_leaf().leaf.faults, hang=True)
+        await self._set_temporarily(self._pick_leaf().leaf.faults, hang=True)
 
     async def _corrupt_replies(self) -> None:
         name = self._random.choice(REPLY_FAULTS)
         share = self._random.choice([0.2, 1.0])
-        await self._hold(self._pick_leaf().leaf.faults, **{name: share})
+        await self._set_temporarily(self._pick_leaf().leaf.faults, **{name: share})
 
     async def _shed_leaf(self) -> None:
-        await self._hold(self._pick_leaf().leaf.faults, shed=True)
+        await self._set_temporarily(self._pick_leaf().leaf.faults, shed=True)
 
     async def _kill_leaf(self) -> None:
         item = self._pick_leaf()
         name = item.leaf.spec.name
         self._world.kill_leaf(name, listed=self._random.random() < 0.5)
-        await self._last()
+        await self._wait_fault_time()
         await self._restart(name)
 
     async def _drain_leaf(self) -> None:
         item = self._pick_leaf()
         item.leaf.faults.leaving = True
         item.leaf.faults.mute_leaving = self._random.random() < 0.3
-        await self._last()
+        await self._wait_fault_time()
         name = item.leaf.spec.name
         if not item.stopped:
             self._world.kill_leaf(name)
@@ -152,11 +153,11 @@
             await self._world.restart_leaf(name)
 
     async def _partial_leaf(self) -> None:
-        await self._hold(self._pick_leaf().leaf.faults, partial=True)
+        await self._set_temporarily(self._pick_leaf().leaf.faults, partial=True)
 
     async def _unpinned_leaf(self) -> None:
         faults = self._pick_leaf().leaf.faults
-        await self._hold(faults, no_pin=True, late_version=True)
+        await self._set_temporarily(faults, no_pin=True, late_version=True)
 
     async def _roll_index(self) -> None:
         self._version += 1
@@ -168,7 +169,7 @@
                 await trio.sleep(self._random.uniform(0.0, 0.2))
 
     async def _repartition(self) -> None:
-        """Once a run: a layout with two more shards."""
+        """Once per run, change to a layout with two more shards."""
         if self._shards:
             return
         old = [
@@ -186,7 +187,7 @@
         await self._world.apply(text, patience=30.0)
 
     def _pick_instance(self) -> str | None:
-        """Return an instance that may end, None while too few run."""
+        """Return a random instance that may be stopped; None if fewer than four run."""
         running = {
             name: item
             for name, item in self._world.instances.items()
@@ -200,7 +201,7 @@
             return
         running = self._world.instances[name]
         await self._world.kill_instance(name, listed=self._random.random() < 0.5)
-        await self._last()
+        await self._wait_fault_time()
         await self._start_instance(name, running.region, running.site)
 
     async def _stop_instance(self) -> None:
@@ -211,7 +212,7 @@
         running.stopping = True
         if not await self._world.stop_instance(name):
             self.broken.append(f"{name} reached the bound of its planned stop")
-        await self._last()
+        await self._wait_fault_time()
         await self._start_instance(name, running.region, running.site)
 
     async def _start_instance(self, name: str, region: str, site: str) -> None:
@@ -221,25 +222,29 @@
         self._balancer.instances.append(running.address)
 
     async def _store_down(self) -> None:
-        await self._hold(self._world.store.faults, down=True)
+        await self._set_temporarily(self._world.store.faults, down=True)
 
     async def _store_slow(self) -> None:
         delay = self._random.choice([0.3, 1.5])
-        await self._hold(self._world.store.faults, delay=delay)
+        await self._set_temporarily(self._world.store.faults, delay=delay)
 
     async def _store_loses(self) -> None:
         late_by = self._random.choice([0.05, 0.5, 3.0])
         faults = self._world.store.faults
-        await self._hold(faults, lose_reply=0.3, late_write=0.2, late_by=late_by)
+        await self._set_temporarily(
+            faults, lose_reply=0.3, late_write=0.2, late_by=late_by
+        )
 
     async def _store_lags(self) -> None:
         mute = self._random.random() < 0.5
         faults = self._world.store.faults
-        await self._hold(faults, stale_read=0.3, garbage=0.1, mute_watches=mute)
+        await self._set_temporarily(
+            faults, stale_read=0.3, garbage=0.1, mute_watches=mute
+        )
 
     async def _list_down(self) -> None:
         self._world.listing.down = True
-        await self._last()
+        await self._wait_fault_time()
         self._world.listing.down = False
 
     async def _cut_region(self) -> None:
@@ -247,7 +252,7 @@
         assert memory is not None
         for site in ("north-a", "north-b"):
             memory.cut(site, "south-a")
-        await self._last()
+        await self._wait_fault_time()
         for site in ("north-a", "north-b"):
             memory.heal(site, "south-a")
 
@@ -255,11 +260,11 @@
         memory = self._world.memory
         assert memory is not None
         memory.lose = lambda: self._random.random() < 0.2
-        await self._last()
+        await self._wait_fault_time()
         memory.lose = lambda: False
 
     async def _race_operators(self) -> None:
-        """Two operators change the same intent, a third another one."""
+        """Let two operators change the same intent and a third one another."""
         async with trio.open_nursery() as nursery:
             for name, field in (("all", 10), ("all", 11), ("other", 12)):
                 nursery.start_soon(self._change, name, field)
--- a/walkcart/bench/judgement.py
+++ b/walkcart/bench/judgement.py
@@ -1,12 +1,12 @@
-"""Whether a run of the demo shows what the README promises, from what was recorded.
+"""Checks whether a run of the demo keeps the promises of the README.
 
-Nothing here knows how fast the machine was: a run with more failures never passes where
-one with fewer fails.
+The result doesn't depend on the speed of the machine. If a run fails, no run with more
+failures passes.
 
 Examples:
     >>> judge_run(Record(answers=170, failures=1)).passed
     True
-    >>> judge_run(Record(answers=170, broken={"one snapshot": 1})).complaints
+    >>> judge_run(Record(answers=170, broken={"one snapshot": 1})).problems
     ('one snapshot: broken 1 times',)
 """
 
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from types import MappingProxyType
 
-#: What must hold of every reply, each with what the demo looks at.
+#: The promises about every reply, each with what the demo checks.
 PROMISES = MappingProxyType(
     {
         "one snapshot": "no answer mixes index versions",
@@ -26,20 +26,20 @@
         "own checks": "no instance found one of its invariants broken",
     }
 )
-#: Share of the questions that may end without an answer: a leaf of one of fifty shards
-#: is killed under them, and only those that it has at that moment can fail. A product
-#: that leaves one caller in twenty without an answer is broken.
-MOST_UNANSWERED = 0.05
+#: Maximum share of questions that may end without an answer. The demo kills a leaf of
+#: one of fifty shards, which can only fail the questions in progress there. Software
+#: that leaves one question in twenty without an answer is broken.
+MAX_UNANSWERED_SHARE = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What came of a run's questions.
+    """The outcomes of the questions of a run.
 
     Args:
-        answers: questions with an answer, whole or partial.
-        failures: questions with a truthful failure, or no reply.
-        broken: how often each promise was seen broken.
+        answers: number of questions with a complete or partial answer.
+        failures: number of questions with a truthful failure or no reply.
+        broken: number of times that each promise was broken.
     """
 
     answers: int
@@ -49,30 +49,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Judgement:
-    """What a run comes to.
+    """The assessment of a run.
 
     Args:
-        complaints: why it doesn't pass; none if it does.
+        problems: the reasons why it fails; empty if it passes.
     """
 
-    complaints: tuple[str, ...]
+    problems: tuple[str, ...]
 
     @property
     def passed(self) -> bool:
-        """Whether the run shows what is promised."""
-        return not self.complaints
+        """Whether the run keeps the promises."""
+        return not self.problems
 
 
 def judge_run(record: Record) -> Judgement:
-    """Return what a run comes to."""
-    complaints = [
+    """Assess a run from its recorded outcomes."""
+    problems = [
         f"{promise}: broken {count} times"
         for promise, count in record.broken.items()
         if count
     ]
     asked = record.answers + record.failures
     if not record.answers:
-        complaints.append("no question was answered")
-    elif record.failures > MOST_UNANSWERED * asked:
-        complaints.append(f"{record.failures} of {asked} questions had no answer")
-    return Judgement(tuple(complaints))
+        problems.append("no question was answered")
+    elif record.failures > MAX_UNANSWERED_SHARE * asked:
+        problems.append(f"{record.failures} of {asked} questions had no answer")
+    return Judgement(tuple(problems))
--- a/walkcart/bench/load.py
+++ b/walkcart/bench/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load: a slow answer doesn't slow the asker."""
+"""Open-loop load: slow answers don't reduce the rate of questions."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from walkcart.bench.caller import Asked, Caller, find_violations
+from walkcart.bench.caller import Caller, RequestResult, find_violations
 from walkcart.kernel.settings import HostPort
 from walkcart.standins.balancer import BalancerStandin
 
 MICROSECONDS = 1_000_000
-LONGEST = 60 * MICROSECONDS
+#: Largest latency that the histogram records, in microseconds.
+MAX_LATENCY = 60 * MICROSECONDS
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What is asked.
+class LoadPlan:
+    """The questions that a load consists of.
 
     Args:
-        service: that is asked.
-        rate: questions a second.
-        seconds: how long questions are sent.
+        service: the service that gets the questions.
+        rate: questions per second.
+        seconds: duration of the load.
         warm_up: seconds at the start that aren't measured.
-        partners: whose turn it is, in order; with repeats for weights.
-        headers: of each question.
+        partners: the partners that take turns; repeated ones have more weight.
+        headers: the headers of each question.
     """
 
     service: str
@@ -40,12 +41,12 @@
 
 def make_histogram() -> HdrHistogram:
     """Return an empty histogram of microseconds."""
-    return HdrHistogram(1, LONGEST, 3)
+    return HdrHistogram(1, MAX_LATENCY, 3)
 
 
 @dataclass(slots=True)
 class Tally:
-    """What came of the questions after the warm-up."""
+    """The results of the questions after the warm-up."""
 
     latencies: HdrHistogram = field(default_factory=make_histogram)
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -58,22 +59,22 @@
     timeline: list[tuple[float, float, str]] = field(default_factory=list)
 
     def quantile(self, share: float) -> float:
-        """Return a latency of the answers, in milliseconds."""
+        """Return a quantile of the answers' latency, in milliseconds."""
         return self.latencies.get_value_at_percentile(share * 100) / 1000
 
     @property
     def extra_load(self) -> float:
-        """Leaf requests sent for each shard asked, less one."""
+        """Leaf requests per shard asked, minus one."""
         return self.leaf_requests / self.shards_asked - 1 if self.shards_asked else 0.0
 
     @property
     def coverage(self) -> float:
-        """Shards answered for each shard asked, over all answers."""
+        """Fraction of the asked shards that answered, over all answers."""
         return self.shards_answered / self.shards_asked if self.shards_asked else 0.0
 
-    def add(self, asked: Asked, partner: str, query: object, at: float) -> None:
-        """Count one question."""
-        name = name_outcome(asked)
+    def add(self, asked: RequestResult, partner: str, query: object, at: float) -> None:
+        """Add the result of one question."""
+        name = classify_outcome(asked)
         self.outcomes[name] += 1
         self.timeline.append((at, asked.elapsed, name))
         for violation in find_violations(asked, partner, query):
@@ -90,8 +91,8 @@
         self.leaf_requests += int(asked.headers[b"walkcart-leaf-requests"])
 
 
-def name_outcome(asked: Asked) -> str:
-    """Return how a question ended: complete, partial, refused, uncertain, lost."""
+def classify_outcome(asked: RequestResult) -> str:
+    """Return the outcome: complete, partial, refused, uncertain or lost."""
     if asked.status == 200:
         return "complete" if asked.content["coverage"]["complete"] else "partial"
     if asked.status == 0:
@@ -99,19 +100,19 @@
     return "refused" if asked.verdict == "not_run" else "uncertain"
 
 
-class Load:
-    """Sends questions by a plan through a balancer.
+class LoadGenerator:
+    """Sends the questions of a plan through a balancer.
 
     Args:
-        plan: what is asked.
-        balancer: chooses the instance.
-        callers: by partner.
-        random: decides the arrivals.
+        plan: the questions and their rate.
+        balancer: chooses the instance for each question.
+        callers: the callers by partner.
+        random: draws the arrival times.
     """
 
     def __init__(
         self,
-        plan: Plan,
+        plan: LoadPlan,
         balancer: BalancerStandin,
         callers: dict[str, Caller],
         random: Random,
@@ -123,7 +124,7 @@
         self.tally = Tally()
 
     async def run(self) -> Tally:
-        """Send all questions and wait for their ends."""
+        """Send all questions and wait for their outcomes."""
         start = trio.current_time()
         at = 0.0
         number = 0
@@ -132,16 +133,18 @@
                 await trio.sleep_until(start + at)
                 partner = self._plan.partners[number % len(self._plan.partners)]
                 measured = at >= self._plan.warm_up
-                nursery.start_soon(self._ask, partner, number, at, measured)
+                nursery.start_soon(self._send_question, partner, number, at, measured)
                 number += 1
                 at += self._random.expovariate(self._plan.rate)
         return self.tally
 
-    async def _ask(self, partner: str, number: int, at: float, measured: bool) -> None:
+    async def _send_question(
+        self, partner: str, number: int, at: float, measured: bool
+    ) -> None:
         address: HostPort | None = self._balancer.choose()
         query = {"question": number}
         if address is None:
-            asked = Asked(0, 0.0, sent=False)
+            asked = RequestResult(0, 0.0, sent=False)
         else:
             asked = await self._callers[partner].query(
                 address, self._plan.service, query, self._plan.headers
--- a/walkcart/bench/pages.py
+++ b/walkcart/bench/pages.py
@@ -1,4 +1,4 @@
-"""Pages of the documentation that are made from the code."""
+"""Generates pages of the documentation from the code."""
 
 from __future__ import annotations
 
--- a/walkcart/bench/replay.py
+++ b/walkcart/bench/replay.py
@@ -1,18 +1,18 @@
-"""Replay of recorded traces against stated outcomes.
+"""Replays recorded traces and compares the results with expected outcomes.
 
-A trace is JSON lines in the order of time. Each line has ``at`` (seconds) and
+A trace is a file of JSON lines in order of time. Each line has ``at`` (seconds) and
 one of:
 
-* ``estate``: what to start, in the first line;
-* ``question``: ``caller``, ``service``, ``query`` and optional ``headers``;
+* ``estate``: the deployment to start; only in the first line;
+* ``question``: ``caller``, ``service``, ``query`` and optionally ``headers``;
 * ``execution``: ``caller``, ``service``, ``command``, ``key`` (a number that
   stands for an idempotency key);
 * ``fault``: its ``name`` and fields, see `walkcart.bench.faults`, or one of
   ``store`` with fields of the store's faults;
 * ``change``: the TOML that an operator applies, with ``author``.
 
-Beside it stands ``NAME.outcome.json``: bounds that must hold, each a name with
-``min`` or ``max`` or ``equals``.
+The file ``NAME.outcome.json`` in the same folder has the expected outcome: for each
+name, bounds of its value as ``min``, ``max`` or ``equals``.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from walkcart.bench import faults
 from walkcart.bench.caller import Caller, find_violations
 from walkcart.bench.harness import TOKENS, run_mocked
-from walkcart.bench.load import name_outcome
+from walkcart.bench.load import classify_outcome
 from walkcart.bench.world import World, make_partner, make_service
 from walkcart.intent.applying import Accepted, ChangeConflict
 from walkcart.intent.distribution import ConfigurationKeeper
@@ -46,19 +46,19 @@
     "kill-instance": faults.KillInstance,
     "store-down": faults.StoreDown,
 }
-SETTLE = 3.0
-END_TIME = 10.0
+SETTLE_TIME = 3.0
+RECOVERY_TIME = 10.0
 
 
 class BadTrace(ValueError):
-    """A trace that can't be replayed; the text says which line and why."""
+    """A trace can't be replayed; the message names the line and the reason."""
 
 
 def read_trace(path: Path) -> list[dict[str, Any]]:
     """Return the lines of a trace.
 
     Raises:
-        BadTrace: no JSON, or out of order.
+        BadTrace: a line isn't JSON, the first has no estate, or times decrease.
     """
     lines = []
     for number, text in enumerate(path.read_text(encoding="utf-8").splitlines(), 1):
@@ -75,14 +75,14 @@
 
 
 def replay(path: Path) -> dict[str, float]:
-    """Replay a trace on the mocked clock; return what came of it."""
+    """Replay a trace on the mocked clock; return its results by name."""
     return run_mocked(_Replay(read_trace(path)).run)
 
 
 def check_outcome(path: Path, seen: dict[str, float]) -> list[str]:
-    """Return where `seen` leaves the outcome stated beside the trace."""
+    """Return how the results `seen` differ from the expected outcome of the trace."""
     stated = msgspec.json.decode(path.with_suffix(".outcome.json").read_bytes())
-    wrong = []
+    mismatches = []
     for name, bounds in stated.items():
         value = seen.get(name, 0)
         for kind, bound in bounds.items():
@@ -92,25 +92,27 @@
                 "equals": value == bound,
             }[kind]
             if not holds:
-                wrong.append(f"{name} is {value}, stated {kind} {bound}")
-    return wrong
+                mismatches.append(f"{name} is {value}, stated {kind} {bound}")
+    return mismatches
 
 
 def replay_files(paths: list[str]) -> int:
-    """Replay traces; return 1 when an outcome isn't as stated, 2 for a bad file."""
+    """Replay traces; return 1 if a result isn't as expected, 2 for a bad file."""
     failed = 0
     for text in paths:
         path = Path(text)
         try:
             seen = replay(path)
-            wrong = check_outcome(path, seen)
+            mismatches = check_outcome(path, seen)
         except (BadTrace, OSError) as error:
             print(f"{path}: {error}")
             return 2
-        print(f"{path.name}: {'as stated' if not wrong else 'NOT as stated'}: {seen}")
-        for line in wrong:
+        print(
+            f"{path.name}: {'as stated' if not mismatches else 'NOT as stated'}: {seen}"
+        )
+        for line in mismatches:
             print(f"  {line}")
-        failed += bool(wrong)
+        failed += bool(mismatches)
     return 1 if failed else 0
 
 
@@ -119,12 +121,12 @@
 
     def __init__(self, lines: list[dict[str, Any]]) -> None:
         self._lines = lines
-        self._seen: Counter[str] = Counter()
+        self._counts: Counter[str] = Counter()
         self._latencies: list[float] = []
         self._keys: dict[int, str] = {}
 
     async def run(self) -> dict[str, float]:
-        """Start the estate, do what the lines say, count."""
+        """Start the deployment, replay the lines and return the counts."""
         estate = self._lines[0]["estate"]
         async with trio.open_nursery() as nursery:
             self._world = World(nursery, estate.get("seed", 1), MemoryNetwork())
@@ -133,11 +135,11 @@
             async with trio.open_nursery() as acting:
                 for line in self._lines[1:]:
                     await trio.sleep_until(start + line["at"])
-                    acting.start_soon(self._act, line)
-            await trio.sleep(END_TIME)
+                    acting.start_soon(self._apply_line, line)
+            await trio.sleep(RECOVERY_TIME)
             self._summarise()
             nursery.cancel_scope.cancel()
-        return dict(sorted(self._seen.items()))
+        return dict(sorted(self._counts.items()))
 
     async def _start(self, estate: dict[str, Any]) -> None:
         world = self._world
@@ -154,18 +156,18 @@
             await world.start_instance(f"instance-{number}", region, site)
         outcome = await world.apply(text + estate.get("intents", ""))
         await world.wait_in_force(outcome.revision)
-        await trio.sleep(SETTLE)
+        await trio.sleep(SETTLE_TIME)
         network = world.network("client")
         self._callers = {name: Caller(network, TOKENS[name]) for name in TOKENS}
 
-    def _address(self, number: int):
+    def _choose_address(self, number: int):
         running = sorted(self._world.instances)
         return self._world.instances[running[number % len(running)]].address
 
-    async def _act(self, line: dict[str, Any]) -> None:
+    async def _apply_line(self, line: dict[str, Any]) -> None:
         match line:
             case {"question": question}:
-                await self._ask(question)
+                await self._send_question(question)
             case {"execution": execution}:
                 await self._execute(execution)
             case {"change": text, "author": author}:
@@ -180,58 +182,61 @@
             case _:
                 raise BadTrace(f"can't be read: {line}")
 
-    async def _ask(self, question: dict[str, Any]) -> None:
-        self._seen["questions"] += 1
-        number = self._seen["questions"]
+    async def _send_question(self, question: dict[str, Any]) -> None:
+        self._counts["questions"] += 1
+        number = self._counts["questions"]
         caller = question["caller"]
         headers = tuple(
             (key.encode(), value.encode())
             for key, value in question.get("headers", {}).items()
         )
         asked = await self._callers[caller].query(
-            self._address(number), question["service"], question["query"], headers
+            self._choose_address(number),
+            question["service"],
+            question["query"],
+            headers,
         )
-        self._seen[name_outcome(asked)] += 1
+        self._counts[classify_outcome(asked)] += 1
         for violation in find_violations(asked, caller, question["query"]):
-            self._seen[violation] += 1
+            self._counts[violation] += 1
         if asked.status == 200:
             self._latencies.append(asked.elapsed)
 
     async def _execute(self, execution: dict[str, Any]) -> None:
-        self._seen["executions"] += 1
+        self._counts["executions"] += 1
         number = execution["key"]
         if number not in self._keys:
             self._keys[number] = make_key(self._world.clock.now(), Random(number))
         asked = await self._callers[execution["caller"]].execute(
-            self._address(self._seen["executions"]),
+            self._choose_address(self._counts["executions"]),
             execution["service"],
             execution["command"],
             self._keys[number],
         )
-        self._seen[f"executions {asked.verdict or 'lost'}"] += 1
+        self._counts[f"executions {asked.verdict or 'lost'}"] += 1
 
     async def _change(self, text: str, author: str) -> None:
         outcome = await self._world.apply(text, author=author, patience=60.0)
         match outcome:
             case Accepted():
-                self._seen["changes accepted"] += 1
+                self._counts["changes accepted"] += 1
             case ChangeConflict():
-                self._seen["changes in conflict"] += 1
+                self._counts["changes in conflict"] += 1
             case _:
-                self._seen["changes otherwise"] += 1
+                self._counts["changes otherwise"] += 1
 
     def _summarise(self) -> None:
         runs: Counter[str] = Counter()
         for leaf in self._world.leaves_ever:
             runs.update(leaf.once)
-        self._seen["most runs of a key"] = max(runs.values(), default=0)
+        self._counts["most runs of a key"] = max(runs.values(), default=0)
         revisions = {
             item.find("keeper", ConfigurationKeeper).document.revision
             for item in self._world.instances.values()
         }
-        self._seen["revisions at the end"] = len(revisions)
-        self._seen["newest revision"] = max(revisions)
+        self._counts["revisions at the end"] = len(revisions)
+        self._counts["newest revision"] = max(revisions)
         times = sorted(self._latencies)
         if times:
             worst = timedelta(seconds=times[int(len(times) * 0.99)])
-            self._seen["p99 ms"] = round(worst.total_seconds() * 1000)
+            self._counts["p99 ms"] = round(worst.total_seconds() * 1000)
--- a/walkcart/bench/report.py
+++ b/walkcart/bench/report.py
@@ -1,4 +1,4 @@
-"""Runs experiments, prints ratios in one run, writes JSON and a plot."""
+"""Runs experiments, prints a table, and writes JSON and plots."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     POLICIES,
     SCENARIOS,
     Figures,
-    median_of,
+    find_low_median,
     run_experiment,
     to_plain,
 )
@@ -27,14 +27,14 @@
 
 
 def run_and_report(options: argparse.Namespace) -> int:
-    """Run what the options name; return 1 when a promise broke."""
+    """Run the selected experiments; return 1 if a promise was broken."""
     names = list(SCENARIOS) if options.scenario == ["all"] else options.scenario
-    strange = [name for name in names if name not in SCENARIOS]
-    strange += [name for name in options.policy if name not in POLICIES]
-    strange += [options.shape] if options.shape not in SHAPES else []
-    if strange:
+    unknown = [name for name in names if name not in SCENARIOS]
+    unknown += [name for name in options.policy if name not in POLICIES]
+    unknown += [options.shape] if options.shape not in SHAPES else []
+    if unknown:
         known = f"scenarios {', '.join(SCENARIOS)}; policies {', '.join(POLICIES)}"
-        print(f"unknown: {', '.join(strange)}; {known}", file=sys.stderr)
+        print(f"unknown: {', '.join(unknown)}; {known}", file=sys.stderr)
         return EXIT_USAGE
     jobs = [
         (scenario, policy, options.shape, seed)
@@ -56,7 +56,7 @@
 
 
 def summarise(figures: list[Figures]) -> list[dict[str, Any]]:
-    """Return a row for each scenario and policy: medians over the seeds."""
+    """Return a row of medians over the seeds for each scenario and policy."""
     groups: dict[tuple[str, str], list[Figures]] = {}
     for item in figures:
         groups.setdefault((item.scenario, item.policy), []).append(item)
@@ -66,12 +66,12 @@
 def _make_row(scenario: str, policy: str, items: list[Figures]) -> dict[str, Any]:
     row: dict[str, Any] = {"scenario": scenario, "policy": policy, "runs": len(items)}
     for name in QUANTILES:
-        row[f"{name} ms"] = median_of([item.quantiles_ms[name] for item in items])
+        row[f"{name} ms"] = find_low_median([item.quantiles_ms[name] for item in items])
     p99s = [item.quantiles_ms["p99"] for item in items]
     row["p99 range"] = f"{min(p99s):.0f}-{max(p99s):.0f}"
-    row["extra load"] = median_of([item.extra_load for item in items])
+    row["extra load"] = find_low_median([item.extra_load for item in items])
     row["coverage"] = min(item.coverage for item in items)
-    row["answers/s"] = median_of([item.goodput for item in items])
+    row["answers/s"] = find_low_median([item.goodput for item in items])
     for name in ("partial", "refused", "uncertain", "lost"):
         row[name] = sum(item.outcomes.get(name, 0) for item in items)
     row["most connections"] = max(item.most_connections for item in items)
@@ -80,13 +80,13 @@
 
 
 def write_json(path: Path, figures: list[Figures], rows: list[dict[str, Any]]) -> None:
-    """Write the runs and their medians."""
+    """Write the results of the runs and their medians as JSON."""
     content = {"medians": rows, "runs": [to_plain(item) for item in figures]}
     path.write_bytes(msgspec.json.format(msgspec.json.encode(content), indent=1))
 
 
 def plot_quantiles(path: Path, figures: list[Figures]) -> None:
-    """Draw latency by quantile, a panel for each scenario, first seed."""
+    """Plot latency by quantile for seed 1, with a panel for each scenario."""
     pyplot = load_pyplot()
     scenarios = list(dict.fromkeys(item.scenario for item in figures))
     figure, axes = pyplot.subplots(
@@ -107,7 +107,7 @@
 
 
 def plot_timelines(path: Path, figures: list[Figures]) -> None:
-    """Draw latency over time, a panel for each scenario, first seed."""
+    """Plot latency over time for seed 1, with a panel for each scenario."""
     pyplot = load_pyplot()
     scenarios = list(dict.fromkeys(item.scenario for item in figures))
     figure, axes = pyplot.subplots(
@@ -130,7 +130,7 @@
 
 
 def load_pyplot():
-    """Return matplotlib's pyplot, drawing to files only."""
+    """Return matplotlib's pyplot with a backend that only draws to files."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/walkcart/bench/shapes.py
+++ b/walkcart/bench/shapes.py
@@ -1,4 +1,4 @@
-"""The users' shapes: groups, sites and latencies as the brief gives them."""
+"""The users' deployments: groups, sites and latencies as their brief states them."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """One user's estate, cut down to one sharded service.
+    """One user's deployment, reduced to one sharded service.
 
     Args:
-        name: of the user.
-        service: the sharded service.
-        shards: of the service.
+        name: the name of the user.
+        service: the name of the sharded service.
+        shards: number of shards of the service.
         regions: (region, data centre) pairs of leaves and instances.
-        between_regions: one-way seconds.
-        to_clients: one-way seconds.
-        partners: names; the token of each is ``NAME-token``.
-        intent: TOML fields of the routing intent.
+        inter_region_latency: one-way latency between regions, in seconds.
+        client_latency: one-way latency to clients, in seconds.
+        partners: the names of the partners, whose tokens are ``NAME-token``.
+        intent: the TOML fields of the routing intent.
     """
 
     name: str
     service: str
     shards: int
     regions: tuple[tuple[str, str], ...]
-    between_regions: float
-    to_clients: float
+    inter_region_latency: float
+    client_latency: float
     partners: tuple[str, ...]
     intent: str
 
     def latency(self, one: str, other: str) -> float:
-        """Return the one-way seconds between two sites."""
+        """Return the one-way latency between two sites, in seconds."""
         if "client" in (one, other):
-            return self.to_clients
+            return self.client_latency
         regions = {site: region for region, site in self.regions}
         if regions.get(one, "") != regions.get(other, "") and "platform" not in (
             one,
             other,
         ):
-            return self.between_regions
+            return self.inter_region_latency
         return 0.0 if one == other else 0.0005
 
 
@@ -47,8 +47,8 @@
     service="pack-finder",
     shards=20,
     regions=(("hobart", "hobart-a"), ("hobart", "hobart-b")),
-    between_regions=0.008,
-    to_clients=0.001,
+    inter_region_latency=0.008,
+    client_latency=0.001,
     partners=("courier", "fleet"),
     intent="deadline = 0.6\nhedge_budget = 0.1\nleast_coverage = 0.8\n",
 )
@@ -57,8 +57,8 @@
     service="stores-ledger",
     shards=30,
     regions=(("nottingham", "nottingham-a"), ("nottingham", "nottingham-b")),
-    between_regions=0.012,
-    to_clients=0.003,
+    inter_region_latency=0.012,
+    client_latency=0.003,
     partners=("fitters", "members"),
     intent="deadline = 2.0\nhedge_budget = 0.1\nretry_budget = 0.5\n",
 )
@@ -71,8 +71,8 @@
         ("launceston", "launceston-a"),
         ("burnie", "burnie-a"),
     ),
-    between_regions=0.008,
-    to_clients=0.001,
+    inter_region_latency=0.008,
+    client_latency=0.001,
     partners=("courier", "fleet"),
     intent="deadline = 0.6\nhedge_budget = 0.1\nleast_coverage = 0.8\n",
 )
--- a/walkcart/bench/slopes.py
+++ b/walkcart/bench/slopes.py
@@ -1,7 +1,7 @@
-"""Costs over several sizes, and the lines through them, for ``docs/CAPACITY.md``.
+"""Measures costs at several sizes and fits lines, for ``docs/CAPACITY.md``.
 
-What grows with the number of instances is measured on real processes; what
-grows with data is measured on the real modules in this process.
+Costs that grow with the number of instances are measured on real processes. Costs that
+grow with data are measured on the real modules in this process.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
     """One kind of measurement.
 
     Args:
-        size: what is made larger, with its unit.
-        run: measures; the points of each quantity, named with its unit.
+        size: the quantity that is varied, with its unit.
+        run: measures and returns the points by quantity and unit.
     """
 
     size: str
@@ -66,12 +66,12 @@
 
 
 def run_slopes(out: str, only: list[str] | None) -> int:
-    """Measure, print the lines and write them as JSON."""
+    """Measure, print the fitted lines and write them as JSON."""
     names = only or list(MEASUREMENTS)
-    strange = [name for name in names if name not in MEASUREMENTS]
-    if strange:
+    unknown = [name for name in names if name not in MEASUREMENTS]
+    if unknown:
         known = ", ".join(MEASUREMENTS)
-        print(f"unknown: {', '.join(strange)}; expected {known}", file=sys.stderr)
+        print(f"unknown: {', '.join(unknown)}; expected {known}", file=sys.stderr)
         return 2
     path = Path(out)
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -92,7 +92,7 @@
 
 
 def describe_line(name: str, quantity: str, size: str, line: Line) -> str:
-    """Return a line of text."""
+    """Return a one-line description of a fitted line."""
     first, last = line.points[0][0], line.points[-1][0]
     return (
         f"{name}: {quantity}: {line.slope:.6g} for each of {size}, "
@@ -101,7 +101,7 @@
 
 
 def to_plain(line: Line) -> dict[str, Any]:
-    """Return a line as plain values."""
+    """Return a fitted line as plain values."""
     return {
         "slope": line.slope,
         "intercept": line.intercept,
--- a/walkcart/bench/slopes_data.py
+++ b/walkcart/bench/slopes_data.py
@@ -1,4 +1,4 @@
-"""Slopes of data: configuration, leaves, marks, forwarding, claims, admission."""
+"""Slopes by data: configuration, leaves, marks, forwarding, claims, admission."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 OBJECT_COUNTS = (100, 500, 1000, 2000, 4000)
 VALUE_SIZES = (50, 250, 500, 1000)
-#: Stored bytes of a service of `measure_document`, about.
+#: Approximate stored size of one service in `measure_document`, in bytes.
 BYTES_OF_SERVICE = 63
 LEAF_COUNTS = (500, 1000, 2000, 4000)
 MARK_COUNTS = (0, 8, 16, 32)
@@ -66,8 +66,8 @@
 Measured = dict[str, list[Point]]
 
 
-def time_cpu(action: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Return the least CPU seconds of several runs."""
+def measure_cpu_time(action: Callable[[], object], repeats: int = REPEATS) -> float:
+    """Return the minimum CPU time of several runs, in seconds."""
     times = []
     for _ in range(repeats):
         start = time.process_time()
@@ -76,8 +76,8 @@
     return min(times)
 
 
-def weigh(action: Callable[[], object]) -> float:
-    """Return the MB that the result of an action takes."""
+def measure_memory(action: Callable[[], object]) -> float:
+    """Return the memory that the result of an action uses, in MB."""
     tracemalloc.start()
     kept = action()
     size = tracemalloc.get_traced_memory()[0]
@@ -106,7 +106,7 @@
 
 
 def measure_configuration(folder: Path) -> Measured:
-    """Measure the stored form of configurations of several sizes."""
+    """Measure stored configurations of several sizes."""
     found: Measured = {}
     change = Change("id", 1, "operator", "2026-01-01T00:00:00", ())
     for count in OBJECT_COUNTS:
@@ -115,8 +115,9 @@
         data = document.data
         points = {
             "stored KB": len(data) / 1000,
-            "CPU ms to read": 1000 * time_cpu(lambda data=data: read_document(data)),
-            "memory MB": weigh(lambda data=data: read_document(data)),
+            "CPU ms to read": 1000
+            * measure_cpu_time(lambda data=data: read_document(data)),
+            "memory MB": measure_memory(lambda data=data: read_document(data)),
         }
         for quantity, value in points.items():
             found.setdefault(quantity, []).append((count, value))
@@ -124,7 +125,7 @@
 
 
 def measure_document(folder: Path) -> Measured:
-    """Measure stored values up to their limit, with labels that don't compress."""
+    """Measure stored values up to the size limit, with incompressible labels."""
     found: Measured = {}
     random = Random(1)
     change = Change("id", 1, "operator", "2026-01-01T00:00:00", ())
@@ -138,10 +139,13 @@
         )
         data = document.data
         found.setdefault("CPU ms to read", []).append(
-            (len(data) / 1000, 1000 * time_cpu(lambda data=data: read_document(data)))
+            (
+                len(data) / 1000,
+                1000 * measure_cpu_time(lambda data=data: read_document(data)),
+            )
         )
         found.setdefault("memory MB", []).append(
-            (len(data) / 1000, weigh(lambda data=data: read_document(data)))
+            (len(data) / 1000, measure_memory(lambda data=data: read_document(data)))
         )
     return found
 
@@ -172,14 +176,14 @@
             return table
 
         found.setdefault("CPU ms to resolve", []).append(
-            (count, 1000 * time_cpu(resolve))
+            (count, 1000 * measure_cpu_time(resolve))
         )
-        found.setdefault("memory MB", []).append((count, weigh(resolve)))
+        found.setdefault("memory MB", []).append((count, measure_memory(resolve)))
     return found
 
 
 def measure_marks(folder: Path) -> Measured:
-    """Measure messages that carry drain marks."""
+    """Measure messages with drain marks."""
     found: Measured = {}
     own = MemberRecord("a", 1, 0, 0, "127.0.0.1:1", "127.0.0.1:2", "dc", "r", 1)
     for count in MARK_COUNTS:
@@ -199,13 +203,13 @@
 
         found.setdefault("bytes a message", []).append((count, pass_on()))
         found.setdefault("CPU us a message", []).append(
-            (count, 1e6 * time_cpu(pass_on, 50))
+            (count, 1e6 * measure_cpu_time(pass_on, 50))
         )
     return found
 
 
 def measure_forwarding(folder: Path) -> Measured:
-    """Measure one message there over nng by the attempts that it carries."""
+    """Measure one message over nng, one way, by the number of attempts in it."""
     found: Measured = {}
     for size in BATCH_SIZES:
         attempt = ForwardedAttempt(
@@ -246,7 +250,7 @@
 
 
 def measure_claims(folder: Path) -> Measured:
-    """Measure the store's writes for non-repeatable requests, at 7 instances."""
+    """Measure store writes for non-repeatable requests, with 7 instances."""
     found: Measured = {}
     for rate in CLAIM_RATES:
         for quantity, value in run_mocked(_claim_at, rate).items():
@@ -288,7 +292,7 @@
 
 
 def measure_holding(folder: Path) -> Measured:
-    """Measure the division of connections over instances, for 400 leaves."""
+    """Measure the division of the connections to 400 leaves among instances."""
     found: Measured = {}
     leaves = [
         SharedLeaf(f"127.0.0.1:{7000 + n}", "north", ConnectionShares(25))
@@ -309,9 +313,10 @@
             table.set_instances(all)
 
         points = {
-            "CPU ms to rank all": 1000 * time_cpu(rank_all),
-            "CPU ms for one instance to go and come": 1000 * time_cpu(come_and_go),
-            "memory MB": weigh(rank_all),
+            "CPU ms to rank all": 1000 * measure_cpu_time(rank_all),
+            "CPU ms for one instance to go and come": 1000
+            * measure_cpu_time(come_and_go),
+            "memory MB": measure_memory(rank_all),
         }
         for quantity, value in points.items():
             found.setdefault(quantity, []).append((count, value))
@@ -319,7 +324,7 @@
 
 
 def measure_admission(folder: Path) -> Measured:
-    """Measure admitting and leaving while others wait."""
+    """Measure the admission and release of requests while others wait."""
     points = [(count, trio.run(_admit, count) * 1e6) for count in WAITING_COUNTS]
     return {"CPU us a request": points}
 
--- a/walkcart/bench/slopes_fleet.py
+++ b/walkcart/bench/slopes_fleet.py
@@ -1,4 +1,4 @@
-"""Slopes on real processes: heartbeats, propagation, connections, leaf requests."""
+"""Slopes of real processes: heartbeats, propagation, connections, leaf requests."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from walkcart.bench.caller import Caller
 from walkcart.bench.fitting import Point
-from walkcart.bench.fleet import HOST, Fleet, Processes, take_ports
+from walkcart.bench.fleet import HOST, Fleet, Processes, allocate_ports
 from walkcart.bench.world import make_partner, make_service
 from walkcart.kernel.settings import HostPort, parse_host_port
 from walkcart.wire.http import HttpConnection, HttpRequest
 from walkcart.wire.network import TcpNetwork
 
 INSTANCE_COUNTS = (5, 10, 20, 40)
-WINDOW = 12.0
-SETTLE = 8.0
-#: Further seconds for each instance until the news of the start has gone round.
-SETTLE_EACH = 0.5
+MEASURING_TIME = 12.0
+SETTLE_TIME = 8.0
+#: Further seconds per instance until all instances know of each other.
+SETTLE_TIME_PER_INSTANCE = 0.5
 CHANGES = 5
 LEAF_COUNTS = (40, 100, 200, 400)
 SHARD_COUNTS = (5, 20, 50, 100)
@@ -30,7 +30,7 @@
 
 
 def measure_fleet(folder: Path) -> dict[str, list[Point]]:
-    """Measure the control of fleets of several sizes, without callers."""
+    """Measure the control traffic of fleets of several sizes, without callers."""
     found: dict[str, list[Point]] = {}
     for count in INSTANCE_COUNTS:
         fleet = Fleet(Processes(folder), folder)
@@ -47,11 +47,11 @@
     fleet.wait_healthy()
     text = make_partner("fitters", TOKEN) + make_service("parts", 4)
     fleet.apply(text, "--wait")
-    time.sleep(SETTLE + SETTLE_EACH * count)
+    time.sleep(SETTLE_TIME + SETTLE_TIME_PER_INSTANCE * count)
     names = list(fleet.entries)
     before = [_read_daemon(fleet, name) for name in names]
     start = time.monotonic()
-    time.sleep(WINDOW)
+    time.sleep(MEASURING_TIME)
     elapsed = time.monotonic() - start
     after = [_read_daemon(fleet, name) for name in names]
     changes = [
@@ -84,7 +84,7 @@
 
 
 def _time_change(fleet: Fleet, number: int) -> float:
-    """Return the seconds from a change's acceptance until all have it."""
+    """Return the seconds from the acceptance of a change until all daemons have it."""
     text = f'[[routing_intent]]\nname = "i"\nselector = ""\npriority = {number}\n'
     applied = fleet.apply(text)
     start = time.monotonic()
@@ -96,22 +96,22 @@
 
 
 def _time_kill(fleet: Fleet, victim: str) -> float:
-    """Return the seconds until no other instance holds the victim live."""
+    """Return the seconds until no other instance considers the victim live."""
     fleet.processes.kill(victim)
     start = time.monotonic()
     watching = [name for name in fleet.entries if name != victim]
     while watching:
-        watching = [name for name in watching if _holds_live(fleet, name, victim)]
+        watching = [name for name in watching if _sees_live(fleet, name, victim)]
     return time.monotonic() - start
 
 
-def _holds_live(fleet: Fleet, name: str, victim: str) -> bool:
+def _sees_live(fleet: Fleet, name: str, victim: str) -> bool:
     members = fleet.status(name)["members"]
     return any(item["name"] == victim and item["state"] == "live" for item in members)
 
 
 def measure_connections(folder: Path) -> dict[str, list[Point]]:
-    """Measure an idle daemon that holds connections to many leaves."""
+    """Measure an idle daemon with connections to many leaves."""
     found: dict[str, list[Point]] = {}
     for count in LEAF_COUNTS:
         fleet = Fleet(Processes(folder), folder)
@@ -120,12 +120,12 @@
             fleet.start(1, (f"parts:{shards}:2",))
             fleet.wait_healthy()
             fleet.apply(make_service("parts", shards), "--wait")
-            time.sleep(SETTLE)
+            time.sleep(SETTLE_TIME)
             before = fleet.processes.cpu_seconds("daemon-0")
-            time.sleep(WINDOW)
+            time.sleep(MEASURING_TIME)
             used = fleet.processes.cpu_seconds("daemon-0") - before
             resident = fleet.processes.resident_mb("daemon-0")
-            found.setdefault("CPU s/s", []).append((count, used / WINDOW))
+            found.setdefault("CPU s/s", []).append((count, used / MEASURING_TIME))
             found.setdefault("resident MB", []).append((count, resident))
         finally:
             fleet.processes.stop_all()
@@ -133,7 +133,7 @@
 
 
 def measure_leaf_requests(folder: Path) -> dict[str, list[Point]]:
-    """Measure a daemon's CPU for one question against a bare h11 client's."""
+    """Measure a daemon's CPU time per question and that of a bare h11 client."""
     found: dict[str, list[Point]] = {}
     for shards in SHARD_COUNTS:
         fleet = Fleet(Processes(folder), folder)
@@ -146,17 +146,17 @@
             fleet.wait_ready()
             time.sleep(4)
             address = next(iter(fleet.entries.values()))
-            trio.run(_ask_many, address, 20)
+            trio.run(_send_questions, address, 20)
             before = fleet.processes.cpu_seconds("daemon-0")
             start = time.monotonic()
-            trio.run(_ask_many, address, QUESTIONS)
+            trio.run(_send_questions, address, QUESTIONS)
             elapsed = time.monotonic() - start
             used = fleet.processes.cpu_seconds("daemon-0") - before
         finally:
             fleet.processes.stop_all()
         bare = measure_bare_client(folder)
         each = used / QUESTIONS
-        add = _adder(found, shards)
+        add = _make_point_adder(found, shards)
         add("CPU ms a question", each * 1000)
         add("CPU ms a leaf request", each * 1000 / shards)
         add("bare h11 client, CPU ms a request", bare * 1000)
@@ -167,7 +167,7 @@
 
 
 def measure_questions(folder: Path) -> dict[str, list[Point]]:
-    """Measure a daemon's CPU and traffic by the rate of questions, at 20 shards."""
+    """Measure a daemon's CPU time and memory by the rate of questions, at 20 shards."""
     found: dict[str, list[Point]] = {}
     fleet = Fleet(Processes(folder), folder)
     try:
@@ -180,9 +180,9 @@
         address = parse_host_port(next(iter(fleet.entries.values())))
         for rate in QUESTION_RATES:
             before = fleet.processes.cpu_seconds("daemon-0")
-            trio.run(_ask_at, address, rate)
+            trio.run(_send_at_rate, address, rate)
             used = fleet.processes.cpu_seconds("daemon-0") - before
-            add = _adder(found, rate)
+            add = _make_point_adder(found, rate)
             add("CPU s/s", used / RATE_SECONDS)
             add("resident MB", fleet.processes.resident_mb("daemon-0"))
     finally:
@@ -190,8 +190,8 @@
     return found
 
 
-async def _ask_at(address: HostPort, rate: int) -> None:
-    """Ask at a rate, not waiting for answers."""
+async def _send_at_rate(address: HostPort, rate: int) -> None:
+    """Send questions at a fixed rate without waiting for answers."""
     caller = Caller(TcpNetwork(), TOKEN)
     async with trio.open_nursery() as nursery:
         for number in range(int(rate * RATE_SECONDS)):
@@ -199,15 +199,15 @@
             await trio.sleep(1 / rate)
 
 
-def _adder(found: dict[str, list[Point]], size: float):
+def _make_point_adder(found: dict[str, list[Point]], size: float):
     def add(quantity: str, value: float) -> None:
         found.setdefault(quantity, []).append((size, value))
 
     return add
 
 
-async def _ask_many(address: str, count: int) -> None:
-    """Ask four questions at a time."""
+async def _send_questions(address: str, count: int) -> None:
+    """Send `count` questions, at most four at a time."""
     caller = Caller(TcpNetwork(), TOKEN)
 
     async def ask_some() -> None:
@@ -221,10 +221,10 @@
 
 
 def measure_bare_client(folder: Path, requests: int = 3000) -> float:
-    """Return the CPU seconds of one leaf request with h11 and trio alone."""
+    """Return the CPU seconds per leaf request with only h11 and trio."""
     fleet = Fleet(Processes(folder), folder)
     try:
-        port = take_ports(1)[0]
+        port = allocate_ports(1)[0]
         words = f"bare:1:1:{HOST}:{port}"
         module = "walkcart.standins.main"
         fleet.processes.start("bare", module, "leaves", words, "--median-ms", "0.01")
@@ -235,7 +235,7 @@
 
 
 async def _time_bare(address: HostPort, requests: int) -> float:
-    """Exchange what a daemon exchanges with a leaf, and do nothing else."""
+    """Exchange the same messages with a leaf as a daemon does, and nothing else."""
     stream = await TcpNetwork().connect(address)
     connection = HttpConnection(stream, str(address), 1 << 20)
     request = HttpRequest("POST", "/query", _BARE_HEADERS, b"17")
--- a/walkcart/bench/soak.py
+++ b/walkcart/bench/soak.py
@@ -1,8 +1,9 @@
-"""Long randomised runs: all faults at once, the promises checked all the time.
+"""Long randomised runs that check the promises under all kinds of faults.
 
-One process on a mocked clock and a network in memory, the same for the same
-seed. Instances run with fatal invariants; what callers see is checked from the
-stand-ins' marked rows and records; after the faults end, the estate must heal.
+A run uses one process, a mocked clock and a network in memory; runs with the same
+seed are identical. Instances run with fatal invariants. The answers to callers are
+checked against the stand-ins' marked rows and records. After the faults end, the
+whole deployment must recover.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 import trio
 from trio.testing import MockClock
 
-from walkcart.bench.caller import Asked, Caller, find_violations
+from walkcart.bench.caller import Caller, RequestResult, find_violations
 from walkcart.bench.injection import FaultInjector
 from walkcart.bench.world import World, make_partner, make_service
 from walkcart.intent.distribution import ConfigurationKeeper
@@ -29,24 +30,24 @@
 CLIENT_SITE = "client"
 INSTANCES = 6
 QUERY_SHARDS = 6
-QUERIES_A_SECOND = 8.0
-EXECUTIONS_A_SECOND = 4.0
-#: Callers that send the same key at about the same time.
-REPEATS = 3
-HEAL_TIME = 40.0
-CHECKED_AT_END = 20
+QUERY_RATE = 8.0
+EXECUTION_RATE = 4.0
+#: Maximum number of requests that send one key at about the same time.
+MAX_REPEATS = 3
+RECOVERY_TIME = 40.0
+FINAL_QUERIES = 20
 
 
 @dataclass(slots=True)
 class SoakReport:
-    """What one run saw.
+    """The results of one run.
 
     Args:
-        seed: of the run.
-        outcomes: requests by kind and how they ended.
-        broken: promises broken, one line each.
-        faults: brought about, by name.
-        seconds: of mocked time.
+        seed: the seed of the run.
+        outcomes: number of requests by kind and outcome.
+        broken: broken promises, one line each.
+        faults: number of injected faults by name.
+        seconds: length of the run in mocked time.
     """
 
     seed: int
@@ -57,7 +58,7 @@
 
 
 def run_soak(seed: int, minutes: float) -> SoakReport:
-    """Run one soak on the mocked clock."""
+    """Run one seed on the mocked clock."""
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(seed)
     clock = MockClock(autojump_threshold=0)
@@ -65,7 +66,7 @@
 
 
 def run_soaks(first: int, count: int, minutes: float) -> int:
-    """Run soaks of several seeds; return 1 when a promise broke in any."""
+    """Run several seeds and print the results; return 1 if any broke a promise."""
     failed = 0
     for seed in range(first, first + count):
         report = run_soak(seed, minutes)
@@ -80,7 +81,7 @@
     return 1 if failed else 0
 
 
-def _latency(one: str, other: str) -> float:
+def _find_latency(one: str, other: str) -> float:
     if one == other:
         return 0.0001
     return 0.008 if "south-a" in (one, other) else 0.0005
@@ -99,9 +100,9 @@
         self._accepted = 0
 
     async def run(self) -> SoakReport:
-        """Start the estate, make injector, ask, heal, check."""
+        """Start the deployment, send requests under faults, end the faults, check."""
         async with trio.open_nursery() as nursery:
-            self._world = World(nursery, self._seed, MemoryNetwork(_latency))
+            self._world = World(nursery, self._seed, MemoryNetwork(_find_latency))
             await self._start()
             network = self._world.network(CLIENT_SITE)
             addresses = [item.address for item in self._world.instances.values()]
@@ -114,12 +115,12 @@
             with trio.move_on_after(self._seconds):
                 async with trio.open_nursery() as busy:
                     busy.start_soon(injector.run)
-                    busy.start_soon(self._ask_queries, nursery)
-                    busy.start_soon(self._ask_executions, nursery)
+                    busy.start_soon(self._send_queries, nursery)
+                    busy.start_soon(self._send_executions, nursery)
                     busy.start_soon(self._watch_revisions)
-            self._report.faults = injector.made
+            self._report.faults = injector.fault_counts
             await injector.heal()
-            await trio.sleep(HEAL_TIME)
+            await trio.sleep(RECOVERY_TIME)
             await self._check_healed()
             self._check_records()
             self._report.broken += injector.broken
@@ -142,12 +143,12 @@
         await world.wait_in_force(outcome.revision)
         await trio.sleep(3)
 
-    def _break(self, text: str) -> None:
+    def _record_violation(self, text: str) -> None:
         self._report.broken.append(f"t={trio.current_time():.2f} {text}")
 
-    async def _ask_queries(self, nursery: trio.Nursery) -> None:
+    async def _send_queries(self, nursery: trio.Nursery) -> None:
         while True:
-            await trio.sleep(self._random.expovariate(QUERIES_A_SECOND))
+            await trio.sleep(self._random.expovariate(QUERY_RATE))
             self._number += 1
             nursery.start_soon(self._query, self._number)
 
@@ -159,18 +160,18 @@
             return
         query = {"number": number}
         asked = await self._callers[partner].query(address, "parts", query)
-        self._count("query", asked)
+        self._count_outcome("query", asked)
         for violation in find_violations(asked, partner, query):
-            self._break(f"{violation} in the answer to query {number}")
+            self._record_violation(f"{violation} in the answer to query {number}")
         if asked.verdict == "not_run":
             self._not_run.append(msgspec.json.encode(query))
 
-    async def _ask_executions(self, nursery: trio.Nursery) -> None:
+    async def _send_executions(self, nursery: trio.Nursery) -> None:
         while True:
-            await trio.sleep(self._random.expovariate(EXECUTIONS_A_SECOND))
+            await trio.sleep(self._random.expovariate(EXECUTION_RATE))
             self._number += 1
             key = make_key(self._world.clock.now(), self._random)
-            for _ in range(self._random.randint(1, REPEATS)):
+            for _ in range(self._random.randint(1, MAX_REPEATS)):
                 delay = self._random.choice([0.0, 0.001, 0.3, 2.0])
                 nursery.start_soon(self._execute, self._number, key, delay)
 
@@ -182,11 +183,11 @@
         command = {"card": number}
         partner = ("red", "blue")[number % 2]
         asked = await self._callers[partner].execute(address, "cards", command, key)
-        self._count("execute", asked)
+        self._count_outcome("execute", asked)
         if asked.status == 200 and asked.content["rows"][0]["query"] != command:
-            self._break(f"execution {number} got another's reply")
+            self._record_violation(f"execution {number} got another's reply")
 
-    def _count(self, kind: str, asked: Asked) -> None:
+    def _count_outcome(self, kind: str, asked: RequestResult) -> None:
         name = asked.verdict or "no reply"
         if kind == "query" and name == "answered":
             complete = asked.content["coverage"]["complete"]
@@ -194,7 +195,7 @@
         self._report.outcomes[f"{kind} {name}"] += 1
 
     async def _watch_revisions(self) -> None:
-        """No instance's revision ever goes down, within its life."""
+        """Check that the revision of a running instance never decreases."""
         seen: dict[ConfigurationKeeper, int] = {}
         while True:
             await trio.sleep(0.1)
@@ -202,45 +203,51 @@
                 keeper = item.find("keeper", ConfigurationKeeper)
                 revision = keeper.document.revision
                 if revision < seen.get(keeper, 0):
-                    self._break(f"{item.name} went back to revision {revision}")
+                    self._record_violation(
+                        f"{item.name} went back to revision {revision}"
+                    )
                 seen[keeper] = revision
 
     async def _check_healed(self) -> None:
-        """All instances hold the newest revision, and answers are whole again."""
+        """Check that all instances have the same revision and answers are complete."""
         revisions = {
             item.find("keeper", ConfigurationKeeper).document.revision
             for item in self._world.instances.values()
         }
         if len(revisions) != 1:
-            self._break(f"after healing the revisions are {sorted(revisions)}")
-        for number in range(CHECKED_AT_END):
+            self._record_violation(
+                f"after healing the revisions are {sorted(revisions)}"
+            )
+        for number in range(FINAL_QUERIES):
             await trio.sleep(0.05)
             address = self._balancer.choose()
             if address is None:
-                self._break("after healing no instance is ready")
+                self._record_violation("after healing no instance is ready")
                 return
             asked = await self._callers["red"].query(address, "parts", {"end": number})
             if asked.status != 200 or not asked.content["coverage"]["complete"]:
-                self._break(f"after healing a question ended {_describe(asked)}")
+                self._record_violation(
+                    f"after healing a question ended {_describe(asked)}"
+                )
 
     def _check_records(self) -> None:
-        """Hold the leaves' own records against what callers were told."""
+        """Compare the leaves' records with the replies that callers received."""
         ran: set[bytes] = set()
         once: Counter[str] = Counter()
         for item in self._world.leaves_ever:
             ran.update(run.body for run in item.runs)
             once.update(item.once)
             if item.peak_connections > item.spec.connections:
-                self._break(f"{item.spec.name} had too many connections")
+                self._record_violation(f"{item.spec.name} had too many connections")
         for body in self._not_run:
             if body in ran:
-                self._break(f"{body!r} was told not run, and ran")
+                self._record_violation(f"{body!r} was told not run, and ran")
         for key, count in once.items():
             if count > 1:
-                self._break(f"key {key} ran {count} times")
+                self._record_violation(f"key {key} ran {count} times")
 
 
-def _describe(asked: Asked) -> str:
+def _describe(asked: RequestResult) -> str:
     content: Any = asked.content or {}
     detail = content.get("detail") or content.get("coverage", {}).get("missing")
     return f"{asked.status} {asked.verdict} {detail}"
--- a/walkcart/bench/soak_processes.py
+++ b/walkcart/bench/soak_processes.py
@@ -1,8 +1,8 @@
 """A bounded randomised run over real processes: kills, pauses, planned stops.
 
-Unlike `walkcart.bench.soak` it isn't the same each time: the machine's timing
-decides too. What it checks are the same promises, from the callers' replies and
-the leaves' own records.
+Unlike in `walkcart.bench.soak`, runs with the same seed differ, since they depend on
+the timing of the machine. It checks the same promises, with the replies to callers and
+the leaves' records.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 TOKEN = "soak"
 LEAVES = ("parts:4:2", "cards:1:3")
 SETTINGS = ("--fatal-invariants", "yes", "--stop-grace", "0.3")
-QUERY_GAP = 0.05
-EXECUTE_GAP = 0.1
-FAULT_GAP = 2.0
-END_TIME = 8.0
+QUERY_INTERVAL = 0.05
+EXECUTE_INTERVAL = 0.1
+MEAN_FAULT_INTERVAL = 2.0
+RECOVERY_TIME = 8.0
 
 
 def run_process_soak(seed: int, minutes: float) -> int:
-    """Run; return 1 when a promise broke."""
+    """Run and print the results; return 1 if a promise was broken."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Processes(Path(folder)), Path(folder))
         try:
@@ -68,26 +68,26 @@
         self.seen: Counter[str] = Counter()
 
     async def run(self, seconds: float) -> None:
-        """Ask during faults, then check the leaves' records and a last answer."""
+        """Send requests under faults, then check records and last answers."""
         self._clock = TrioClock()
         async with trio.open_nursery() as asking:
             with trio.move_on_after(seconds):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._ask_queries, asking)
-                    nursery.start_soon(self._ask_executions, asking)
-                    nursery.start_soon(self._bring_faults)
+                    nursery.start_soon(self._send_queries, asking)
+                    nursery.start_soon(self._send_executions, asking)
+                    nursery.start_soon(self._inject_faults)
             self._restart_ended()
-        await trio.sleep(END_TIME)
+        await trio.sleep(RECOVERY_TIME)
         await self._check_end()
         self._check_records()
 
-    def _address(self) -> HostPort:
+    def _choose_address(self) -> HostPort:
         name = self._random.choice(sorted(self._fleet.entries))
         return parse_host_port(self._fleet.entries[name])
 
-    async def _ask_queries(self, asking: trio.Nursery) -> None:
+    async def _send_queries(self, asking: trio.Nursery) -> None:
         while True:
-            await trio.sleep(QUERY_GAP)
+            await trio.sleep(QUERY_INTERVAL)
             self._number += 1
             asking.start_soon(self._query, self._number)
 
@@ -95,7 +95,7 @@
         query = {"number": number}
         caller = Caller(TcpNetwork(), TOKEN)
         with trio.move_on_after(20):
-            asked = await caller.query(self._address(), "parts", query)
+            asked = await caller.query(self._choose_address(), "parts", query)
             self.seen[f"query {asked.verdict or 'no reply'}"] += 1
             for violation in find_violations(asked, "soak", query):
                 self.broken.append(f"{violation} in the answer to {number}")
@@ -103,9 +103,9 @@
                 self._not_run.append(msgspec.json.encode(query).decode())
         await caller.close()
 
-    async def _ask_executions(self, asking: trio.Nursery) -> None:
+    async def _send_executions(self, asking: trio.Nursery) -> None:
         while True:
-            await trio.sleep(EXECUTE_GAP)
+            await trio.sleep(EXECUTE_INTERVAL)
             self._number += 1
             key = make_key(self._clock.now(), self._random)
             for delay in (0.0, self._random.choice([0.0, 0.2, 1.0])):
@@ -115,13 +115,13 @@
         await trio.sleep(delay)
         caller = Caller(TcpNetwork(), TOKEN)
         with trio.move_on_after(20):
-            asked = await caller.execute(self._address(), "cards", number, key)
+            asked = await caller.execute(self._choose_address(), "cards", number, key)
             self.seen[f"execute {asked.verdict or 'no reply'}"] += 1
         await caller.close()
 
-    async def _bring_faults(self) -> None:
+    async def _inject_faults(self) -> None:
         while True:
-            await trio.sleep(self._random.uniform(0.5, 1.5) * FAULT_GAP)
+            await trio.sleep(self._random.uniform(0.5, 1.5) * MEAN_FAULT_INTERVAL)
             name = self._random.choice(sorted(self._fleet.entries))
             kind = self._random.choice(["kill", "pause", "stop"])
             self.faults[kind] += 1
@@ -144,7 +144,7 @@
                     self._fleet.restart_daemon(name)
 
     def _restart_ended(self) -> None:
-        """Bring back what the end of the faults left paused or ended."""
+        """Continue paused daemons and restart stopped ones after the faults."""
         for name in self._fleet.entries:
             if name in self._fleet.processes.running:
                 self._fleet.processes.signal(name, signal.SIGCONT)
--- a/walkcart/bench/sun.py
+++ b/walkcart/bench/sun.py
@@ -1,7 +1,7 @@
-"""The sun moves: operators point one intent at the busy region through the day.
+"""The busy region moves during the day, and operators change one intent to follow.
 
-Load by region is recorded over time, and so is how long a change takes until
-the load follows.
+The run records the load by region over time, and the time from a change until the
+load follows it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from walkcart.bench.caller import Caller
 from walkcart.bench.experiments import make_estate, start_estate
 from walkcart.bench.harness import run_mocked
-from walkcart.bench.load import Load, Plan
+from walkcart.bench.load import LoadGenerator, LoadPlan
 from walkcart.bench.report import load_pyplot
 from walkcart.bench.shapes import SWAPLINE_REGIONS
 from walkcart.bench.world import World
@@ -22,15 +22,15 @@
 from walkcart.standins.memory import MemoryNetwork
 
 RATE = 30.0
-PHASE = 8.0
+PHASE_TIME = 8.0
 REGIONS = ("hobart", "launceston", "burnie")
-FOLLOWED = 0.9
+FOLLOWED_FRACTION = 0.9
 
 Sample = tuple[float, dict[str, int]]
 
 
 def run_sun(folder: str) -> int:
-    """Run, print how fast the load followed, draw it."""
+    """Run, print how fast the load followed, and plot it."""
     samples = run_mocked(_run)
     for number, region in enumerate(REGIONS):
         print(f"{region}: {describe_following(samples, number, region)}")
@@ -41,18 +41,24 @@
 
 
 def describe_following(samples: list[Sample], number: int, region: str) -> str:
-    """Return when the load of a phase followed its region, and its share there."""
+    """Return the final share of load in a phase's region, and when it was reached."""
     phase = [
-        item for item in samples if number * PHASE <= item[0] < (number + 1) * PHASE
+        item
+        for item in samples
+        if number * PHASE_TIME <= item[0] < (number + 1) * PHASE_TIME
+    ]
+    shares = [
+        (at - number * PHASE_TIME, find_share(counts, region)) for at, counts in phase
     ]
-    shares = [(at - number * PHASE, share_of(counts, region)) for at, counts in phase]
     final = shares[-1][1]
-    followed = next((at for at, share in shares if share >= FOLLOWED * final), None)
+    followed = next(
+        (at for at, share in shares if share >= FOLLOWED_FRACTION * final), None
+    )
     return f"share {final:.2f}, nine tenths of it after {followed:.1f} s"
 
 
-def share_of(counts: dict[str, int], region: str) -> float:
-    """Return the share of the leaf requests that went to a region."""
+def find_share(counts: dict[str, int], region: str) -> float:
+    """Return the fraction of the leaf requests that went to a region."""
     total = sum(counts.values())
     return counts.get(region, 0) / total if total else 0.0
 
@@ -69,23 +75,25 @@
         )
         await nursery.start(balancer.watch)
         callers = {name: Caller(network, f"{name}-token") for name in shape.partners}
-        plan = Plan(shape.service, RATE, PHASE * len(REGIONS), 0.0, shape.partners)
+        plan = LoadPlan(
+            shape.service, RATE, PHASE_TIME * len(REGIONS), 0.0, shape.partners
+        )
         nursery.start_soon(_sample, world, samples)
-        nursery.start_soon(_move, world)
-        await Load(plan, balancer, callers, Random(1)).run()
+        nursery.start_soon(_move_preference, world)
+        await LoadGenerator(plan, balancer, callers, Random(1)).run()
         nursery.cancel_scope.cancel()
     return samples
 
 
-async def _move(world: World) -> None:
+async def _move_preference(world: World) -> None:
     for region in REGIONS[1:]:
-        await trio.sleep(PHASE)
+        await trio.sleep(PHASE_TIME)
         text = make_estate(SWAPLINE_REGIONS, f'prefer = "region={region}"\n')
         await world.apply(text)
 
 
 async def _sample(world: World, samples: list[Sample]) -> None:
-    """Count the leaf requests by region, twice a second."""
+    """Record the number of leaf requests by region twice per second."""
     start = trio.current_time()
     before: dict[str, int] = {}
     while True:
@@ -100,7 +108,7 @@
 
 
 def plot_samples(path: Path, samples: list[Sample]) -> None:
-    """Draw leaf requests by region over time."""
+    """Plot leaf requests by region over time."""
     pyplot = load_pyplot()
     figure, axis = pyplot.subplots(figsize=(9, 3.5))
     for region in REGIONS:
--- a/walkcart/bench/tests/test_replay.py
+++ b/walkcart/bench/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Recorded traces end as stated beside them, and the same every time."""
+"""Recorded traces give the expected outcomes, and the same ones every time."""
 
 from pathlib import Path
 
@@ -18,11 +18,11 @@
     check("hobart-morning")
 
 
-def test_trentside_line_stop_with_a_repartition():
+def test_trentside_line_stop_with_repartition():
     check("trentside-line-stop")
 
 
-def test_operators_race_with_a_store_outage():
+def test_operators_race_with_store_outage():
     check("operators-race")
 
 
@@ -31,7 +31,7 @@
     assert replay(path) == replay(path)
 
 
-def test_traces_that_cannot_be_read(tmp_path):
+def test_unreadable_traces_raise(tmp_path):
     path = tmp_path / "bad.jsonl"
     for text in ('{"at": 0}\n', "rubbish\n", '{"at": 2, "estate": {}}\n{"at": 1}\n'):
         path.write_text(text)
--- a/walkcart/bench/tests/test_soak.py
+++ b/walkcart/bench/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A few seeds of the long randomised runs; more are run by hand."""
+"""A few seeds of the long randomised runs; more seeds are run by hand."""
 
 from walkcart.bench.soak import run_soak
 
@@ -13,15 +13,17 @@
     check(3)
 
 
-def test_seed_7_once_opened_connections_without_pause():
+def test_seed_7():
+    # Guards against instances that open connections without a pause.
     check(7)
 
 
-def test_seed_16_once_passed_rubbish_on():
+def test_seed_16():
+    # Guards against garbage that instances pass on.
     check(16)
 
 
-def test_same_seed_gives_the_same_run():
+def test_same_seed_gives_same_run():
     first, second = run_soak(5, 0.2), run_soak(5, 0.2)
     assert first.outcomes == second.outcomes
     assert first.faults == second.faults
--- a/walkcart/bench/world.py
+++ b/walkcart/bench/world.py
@@ -1,7 +1,7 @@
-"""A small world in one process: stand-ins and real instances.
+"""A small deployment in one process: stand-ins and real walkcart instances.
 
-On a network in memory under a mocked clock it is fast and the same for the same
-seed; on TCP it is the main job of ``make run``.
+With a network in memory and a mocked clock it is fast, and runs with the same seed
+are identical. With TCP it is the main job of ``make run``.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class RunningLeaf:
-    """A leaf stand-in and its server."""
+    """A running leaf stand-in with its server."""
 
     leaf: LeafStandin
     server: StandinServer
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class RunningInstance:
-    """A walkcart instance that runs in this process."""
+    """A running walkcart instance in this process."""
 
     name: str
     instance: Instance
@@ -70,24 +70,24 @@
     ended: trio.Event = field(default_factory=trio.Event)
 
     def find(self, name: str, kind: type) -> Any:
-        """Return a service of the instance."""
+        """Return the instance's service called `name`."""
         return self.instance.kernel.find(name, kind)
 
     @property
     def address(self) -> HostPort:
-        """Address for callers."""
+        """The address for callers."""
         return self.instance.address
 
 
 class World:
-    """Stand-ins and instances.
+    """A deployment of stand-ins and walkcart instances.
 
     Args:
-        nursery: where everything runs.
-        seed: decides all that is left to chance.
-        memory: the network in memory; None takes TCP.
-        changes: settings of every instance that differ from the defaults.
-        log: where the instances' events go; None drops them.
+        nursery: runs all tasks of the deployment.
+        seed: seed of everything random.
+        memory: the network in memory; None for TCP.
+        changes: settings of all instances that differ from the defaults.
+        log: receives the instances' events; None drops them.
     """
 
     def __init__(
@@ -105,10 +105,10 @@
         self.store = StoreStandin(Random(self.random.random()))
         self.listing = ListStandin()
         self.leaves: dict[str, RunningLeaf] = {}
-        #: Every life of every leaf, for checks of what ran.
+        #: All leaf stand-ins, also those before a restart, for checks of what ran.
         self.leaves_ever: list[LeafStandin] = []
         self.instances: dict[str, RunningInstance] = {}
-        #: Whether the instance list tells the leaves' incarnations.
+        #: Whether the instance list states the incarnations of leaves.
         self.lists_incarnations = True
         self._changes = changes or {}
         self._log = log
@@ -121,7 +121,7 @@
         """Return the network as seen from `site`."""
         return self.memory.at(site) if self.memory else TcpNetwork()
 
-    def _transport(self, site: str) -> PeerTransport:
+    def _make_transport(self, site: str) -> PeerTransport:
         return self.memory.at(site).transport() if self.memory else NngTransport()
 
     async def start_platform(self) -> None:
@@ -141,9 +141,9 @@
         address: HostPort = ANY_ADDRESS,
         incarnation: int = 1,
     ) -> RunningLeaf:
-        """Start a leaf and list it."""
-        chance = Random(self.random.random())
-        leaf = LeafStandin(spec, chance, versions, incarnation)
+        """Start a leaf and add it to the instance list."""
+        random = Random(self.random.random())
+        leaf = LeafStandin(spec, random, versions, incarnation)
         server = leaf.make_server()
         taken = await self._nursery.start(server.run, self.network(site), address)
         running = RunningLeaf(leaf, server, taken, site)
@@ -170,7 +170,7 @@
         versions: tuple[int, ...] = (1,),
         **details: Any,
     ) -> list[RunningLeaf]:
-        """Start the leaves of a group, replicas spread over (region, site) pairs."""
+        """Start the leaves of a group, spread over (region, site) pairs."""
         started = []
         for shard in range(shards):
             for replica in range(replicas):
@@ -188,14 +188,14 @@
         return started
 
     def kill_leaf(self, name: str, listed: bool = True) -> None:
-        """End a leaf at once; unless `listed`, the list drops it."""
+        """Stop a leaf abruptly; remove it from the instance list unless `listed`."""
         self.leaves[name].server.stop()
         self.leaves[name].stopped = True
         if not listed:
             self.listing.remove(name)
 
     async def restart_leaf(self, name: str) -> RunningLeaf:
-        """Start a leaf again at the same address, as a later life."""
+        """Restart a leaf at the same address with the next incarnation."""
         old = self.leaves[name]
         return await self.start_leaf(
             old.leaf.spec,
@@ -208,7 +208,7 @@
     async def start_instance(
         self, name: str, region: str = "local", site: str = "local", **changes: Any
     ) -> RunningInstance:
-        """Start a walkcart instance and list it."""
+        """Start a walkcart instance and add it to the instance list."""
         self._lives += 1
         values = {
             "instance": name,
@@ -223,14 +223,14 @@
             **self._changes,
             **changes,
         }
-        around = Environment(
+        environment = Environment(
             self.network(site),
-            self._transport(site),
+            self._make_transport(site),
             self.clock,
             Random(self.random.random()),
             self._log or StringIO(),
         )
-        instance = await assemble_instance(Settings(**values), around)
+        instance = await assemble_instance(Settings(**values), environment)
         running = RunningInstance(name, instance, trio.CancelScope(), region, site)
         self.instances[name] = running
         self.listing.put(
@@ -253,7 +253,7 @@
         running.ended.set()
 
     async def kill_instance(self, name: str, listed: bool = False) -> None:
-        """End an instance at once; unless `listed`, the list drops it."""
+        """Stop an instance abruptly; remove it from the list unless `listed`."""
         running = self.instances.pop(name)
         running.scope.cancel()
         await running.ended.wait()
@@ -261,7 +261,7 @@
             self.listing.remove(name)
 
     async def stop_instance(self, name: str) -> bool:
-        """Stop an instance as SIGTERM does; return whether nothing was cut."""
+        """Stop an instance as SIGTERM does; return whether all its requests ended."""
         running = self.instances[name]
         ended = await running.instance.stop.stop()
         del self.instances[name]
@@ -271,7 +271,7 @@
         return ended
 
     def make_store_client(self, site: str = PLATFORM_SITE) -> StoreClient:
-        """Return a client of the store, as the operators' tool has."""
+        """Return a client of the store like that of the operators' tool."""
         events = EventLog("operator", self.clock, StringIO())
         return StoreClient(
             StoreCalls(
@@ -292,7 +292,14 @@
         author: str = "operator",
         patience: float = 10.0,
     ) -> Outcome:
-        """Apply a TOML text or an edit, as the operators' tool does."""
+        """Apply a TOML text or an edit in the same way as the operators' tool.
+
+        Args:
+            text: a configuration in TOML, merged into the current one.
+            edit: returns the changed configuration; used if `text` is None.
+            author: the name recorded with the change.
+            patience: seconds for which an unreachable store is retried.
+        """
         if text is not None:
             loaded = load_toml(text)
             assert not loaded.faults, loaded.faults
@@ -312,7 +319,11 @@
         return await applier.apply(proposal)
 
     async def wait_in_force(self, revision: int, limit: float = 30.0) -> float:
-        """Wait until every instance has `revision`; return the seconds it took."""
+        """Wait until all instances have `revision`; return the seconds it took.
+
+        Raises:
+            trio.TooSlowError: it took more than `limit` seconds.
+        """
         start = trio.current_time()
         with trio.fail_after(limit):
             while any(
@@ -324,7 +335,7 @@
 
 
 def make_partner(name: str, token: str, scope: str | None = None) -> str:
-    """Return the TOML of a partner with a bearer token."""
+    """Return the TOML of a partner with the bearer token `token`."""
     digest = sha256(token.encode()).hexdigest()
     return (
         f'[[partner]]\nname = "{name}"\ncredential_sha256 = "{digest}"\n'
@@ -339,7 +350,7 @@
     layouts: tuple[tuple[int, int], ...] = (),
     **details: Any,
 ) -> str:
-    """Return the TOML of a service over a group of its own name."""
+    """Return the TOML of a service and of its shard group of the same name."""
     rows = layouts or ((1, shards),)
     lines = [f'[[shard_group]]\nname = "{name}"']
     lines += [f"{key} = {value}" for key, value in details.items()]
