--- a/walkcart/bench/capacity.py
+++ b/walkcart/bench/capacity.py
@@ -13,19 +13,25 @@
 import msgspec
 
 DOCS = Path(__file__).resolve().parents[2] / "docs"
+#: Size of the fleet in the users' letter.
 INSTANCES = 620
 LEAVES = 4000
+#: Questions per second.
 QUESTIONS = 130_000
 SHARDS = 100
 CHANGES_A_DAY = 730
 RESTARTS_A_DAY = 710
 FAILURES_A_DAY = 6
 DATA_CENTRES = 5
+#: Seconds of a day.
 DAY = 86_400
+#: Limits of the control costs of an instance: fraction of a core, MB, bytes per second.
 CPU_LIMIT = 0.017
 MEMORY_LIMIT = 32.0
 BYTES_LIMIT = 28_000
+#: Objects of the configuration.
 OBJECTS = 4000
+#: Number of leaves in `measure_holding`; its costs are scaled up from them.
 HELD_LEAVES_MEASURED = 400
 
 
--- a/walkcart/bench/demo.py
+++ b/walkcart/bench/demo.py
@@ -90,18 +90,18 @@
     def _start_leaves(self, group: str, shards: int) -> str:
         """Start the leaves of a group; the one to be killed has a separate process."""
         ports = allocate_ports(shards * 2)
-        words = f"{group}:{shards}:2:{HOST}:{ports[0]}"
+        spec = f"{group}:{shards}:2:{HOST}:{ports[0]}"
         for number, port in enumerate(ports):
             name = f"{group}-{number // 2}-{number % 2}"
             self._leaves[name] = f"{HOST}:{port}"
         start = self._fleet.processes.start
         module = "walkcart.standins.main"
         if KILLED_LEAF not in self._leaves or not KILLED_LEAF.startswith(group):
-            start(f"leaves-{group}", module, "leaves", words)
-            return words
-        start(f"leaves-{group}", module, "leaves", words, "--without", KILLED_LEAF)
-        start(KILLED_LEAF, module, "leaves", words, "--only", KILLED_LEAF)
-        return words
+            start(f"leaves-{group}", module, "leaves", spec)
+            return spec
+        start(f"leaves-{group}", module, "leaves", spec, "--without", KILLED_LEAF)
+        start(KILLED_LEAF, module, "leaves", spec, "--only", KILLED_LEAF)
+        return spec
 
     async def send_questions(self) -> None:
         """Send questions at a fixed mean rate while faults are injected."""
@@ -114,12 +114,14 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._inject_faults)
             nursery.start_soon(self._show_progress)
-            async with trio.open_nursery() as asking:
+            async with trio.open_nursery() as request_nursery:
                 while at < SECONDS:
                     await trio.sleep_until(start + at)
                     question = questions[number % len(questions)]
                     caller = callers[question["partner"]]
-                    asking.start_soon(self._send_question, caller, question, number, at)
+                    request_nursery.start_soon(
+                        self._send_question, caller, question, number, at
+                    )
                     number += 1
                     at += random.expovariate(RATE)
             nursery.cancel_scope.cancel()
--- a/walkcart/bench/experiments.py
+++ b/walkcart/bench/experiments.py
@@ -37,6 +37,7 @@
 
 INSTANCES = 7
 CLIENT_SITE = "client"
+#: Seconds from the configuration until the first question.
 SETTLE_TIME = 4.0
 
 
--- a/walkcart/bench/fleet.py
+++ b/walkcart/bench/fleet.py
@@ -25,7 +25,9 @@
 
 OPERATOR_TOKEN = "operators"
 HOST = "127.0.0.1"
+#: Maximum number of polls, and of runs of ports that are tried.
 MAX_TRIES = 600
+#: Seconds between two polls.
 POLL_INTERVAL = 0.1
 CLOCK_TICK = os.sysconf("SC_CLK_TCK")
 PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
@@ -57,7 +59,7 @@
             self._next += count
             if all(is_free(port) for port in ports):
                 return ports
-        raise OSError(f"no run of {count} free ports")
+        raise OSError(f"found no run of {count} free ports")
 
 
 _PORTS = _Ports()
@@ -92,7 +94,7 @@
         if condition():
             return
         time.sleep(POLL_INTERVAL)
-    raise TimeoutError("the condition never held")
+    raise TimeoutError("the condition didn't become true in time")
 
 
 def fetch(
@@ -130,8 +132,8 @@
         self.log_folder = log_folder
         self.running: dict[str, subprocess.Popen] = {}
 
-    def start(self, name: str, module: str, *words: str) -> None:
-        """Start ``python -m module words`` as the process `name`."""
+    def start(self, name: str, module: str, *arguments: str) -> None:
+        """Start ``python -m module arguments`` as the process `name`."""
         environment = {
             key: value
             for key, value in os.environ.items()
@@ -139,7 +141,7 @@
         }
         with (self.log_folder / f"{name}.log").open("wb") as log:
             self.running[name] = subprocess.Popen(
-                [sys.executable, "-m", module, *words],
+                [sys.executable, "-m", module, *arguments],
                 stdout=log,
                 stderr=log,
                 env=environment,
@@ -222,27 +224,27 @@
         self.store, self.listing = (f"{HOST}:{port}" for port in ports[:2])
         module = "walkcart.standins.main"
         self.processes.start("store", module, "store", "--listen", self.store)
-        words = ["list", "--listen", self.listing]
-        for words_of_group in leaves:
-            words += ["--leaves", self._start_leaves(words_of_group)]
-        for words_of_group in listed:
-            words += ["--leaves", words_of_group]
+        arguments = ["list", "--listen", self.listing]
+        for spec in leaves:
+            arguments += ["--leaves", self._start_leaves(spec)]
+        for spec in listed:
+            arguments += ["--leaves", spec]
         pairs = list(zip(ports[2::2], ports[3::2], strict=True))
         for number, (entry, peer) in enumerate(pairs):
-            words += ["--instance", f"daemon-{number},{HOST}:{entry},{HOST}:{peer}"]
-        self.processes.start("list", module, *words)
+            arguments += ["--instance", f"daemon-{number},{HOST}:{entry},{HOST}:{peer}"]
+        self.processes.start("list", module, *arguments)
         for number, (entry, peer) in enumerate(pairs):
             self.start_daemon(f"daemon-{number}", entry, peer, *settings)
 
-    def _start_leaves(self, words: str) -> str:
-        group, shards, replicas = words.split(":")
+    def _start_leaves(self, spec: str) -> str:
+        group, shards, replicas = spec.split(":")
         ports = allocate_ports(int(shards) * int(replicas))
-        full = f"{words}:{HOST}:{ports[0]}"
+        full_spec = f"{spec}:{HOST}:{ports[0]}"
         self.leaves += [f"{HOST}:{port}" for port in ports]
         self.processes.start(
-            f"leaves-{group}", "walkcart.standins.main", "leaves", full
+            f"leaves-{group}", "walkcart.standins.main", "leaves", full_spec
         )
-        return full
+        return full_spec
 
     def start_daemon(self, name: str, entry: int, peer: int, *settings: str) -> None:
         """Start one daemon."""
@@ -272,17 +274,17 @@
         for entry in self.entries.values():
             wait_until(lambda entry=entry: is_ready(entry))
 
-    def apply(self, text: str, *words: str) -> subprocess.CompletedProcess:
+    def apply(self, text: str, *arguments: str) -> subprocess.CompletedProcess:
         """Apply a configuration with the operators' tool."""
         path = self.folder / "configuration.toml"
         path.write_text(text)
-        return self.run_tool("apply", str(path), *words)
+        return self.run_tool("apply", str(path), *arguments)
 
-    def run_tool(self, *words: str) -> subprocess.CompletedProcess:
+    def run_tool(self, *arguments: str) -> subprocess.CompletedProcess:
         """Run the operators' tool."""
         return subprocess.run(
             [
-                *(sys.executable, "-m", "walkcart.cli.main", *words),
+                *(sys.executable, "-m", "walkcart.cli.main", *arguments),
                 *("--store", self.store, "--token", OPERATOR_TOKEN),
                 *("--instance", next(iter(self.entries.values()))),
             ],
--- a/walkcart/bench/harness.py
+++ b/walkcart/bench/harness.py
@@ -28,11 +28,11 @@
         return self.time
 
 
-def run_mocked(action: Callable[..., Awaitable[Any]], *words: Any) -> Any:
+def run_mocked(action: Callable[..., Awaitable[Any]], *args: Any) -> Any:
     """Run an async function deterministically on a mocked clock."""
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(0)
-    return trio.run(action, *words, clock=MockClock(autojump_threshold=0))
+    return trio.run(action, *args, clock=MockClock(autojump_threshold=0))
 
 
 @asynccontextmanager
--- a/walkcart/bench/replay.py
+++ b/walkcart/bench/replay.py
@@ -46,6 +46,7 @@
     "kill-instance": faults.KillInstance,
     "store-down": faults.StoreDown,
 }
+#: Seconds from the configuration until the first line, and after the last line.
 SETTLE_TIME = 3.0
 RECOVERY_TIME = 10.0
 
@@ -132,10 +133,10 @@
             self._world = World(nursery, estate.get("seed", 1), MemoryNetwork())
             await self._start(estate)
             start = trio.current_time()
-            async with trio.open_nursery() as acting:
+            async with trio.open_nursery() as line_nursery:
                 for line in self._lines[1:]:
                     await trio.sleep_until(start + line["at"])
-                    acting.start_soon(self._apply_line, line)
+                    line_nursery.start_soon(self._apply_line, line)
             await trio.sleep(RECOVERY_TIME)
             self._summarise()
             nursery.cancel_scope.cancel()
--- a/walkcart/bench/routed/emulatedlinks.py
+++ b/walkcart/bench/routed/emulatedlinks.py
@@ -78,7 +78,7 @@
         emulated: the emulated leaf itself.
         share: maximum number of connections.
         emulation: the tools that all links of the instance share.
-        note_status: called with the status that the leaf reports.
+        record_status: called with the status that the leaf reports.
         has_room: returns whether the leaf may be sent an attempt now.
     """
 
@@ -86,7 +86,7 @@
     emulated: EmulatedLeaf
     share: int
     emulation: EmulationTools
-    note_status: Callable[[Leaf, LeafStatus], None]
+    record_status: Callable[[Leaf, LeafStatus], None]
     connections: int = 0
     _idle: int = 0
     has_room: HasRoom = always_has_room
@@ -248,7 +248,7 @@
             self._end(pending, Failed(MayHaveRun(Reason.LEAF_FAILED)))
             self._send_queued()
             return
-        self.note_status(self.leaf, LeafStatus(None, told.load, 0, False))
+        self.record_status(self.leaf, LeafStatus(None, told.load, 0, False))
         self._idle += 1
         self._end(pending, self._make_outcome(pending, told))
         self._send_queued()
--- a/walkcart/bench/slopes_data.py
+++ b/walkcart/bench/slopes_data.py
@@ -49,12 +49,14 @@
 from walkcart.wire.peers import NngTransport
 
 OBJECT_COUNTS = (100, 500, 1000, 2000, 4000)
+#: Sizes of stored values in KB.
 VALUE_SIZES = (50, 250, 500, 1000)
 #: Approximate stored size of one service in `measure_document`, in bytes.
 BYTES_OF_SERVICE = 63
 LEAF_COUNTS = (500, 1000, 2000, 4000)
 MARK_COUNTS = (0, 8, 16, 32)
 BATCH_SIZES = (1, 4, 16, 64)
+#: Requests per second.
 CLAIM_RATES = (50, 100, 250, 500)
 CLAIM_SECONDS = 4
 HELD_LEAVES = 400
@@ -189,7 +191,7 @@
     for count in MARK_COUNTS:
         marks = tuple(LeafMark(f"127.0.0.1:{7000 + n}", n + 1) for n in range(count))
 
-        def pass_on(marks=marks) -> int:
+        def send_marks(marks=marks) -> int:
             held = LeafMarks()
             queue = GossipQueue(MembershipView(own), held)
             for mark in marks:
@@ -201,9 +203,9 @@
             receiver.merge_digest(decode_envelope(data).messages[0].digest)
             return len(data)
 
-        found.setdefault("bytes a message", []).append((count, pass_on()))
+        found.setdefault("bytes a message", []).append((count, send_marks()))
         found.setdefault("CPU us a message", []).append(
-            (count, 1e6 * measure_cpu_time(pass_on, 50))
+            (count, 1e6 * measure_cpu_time(send_marks, 50))
         )
     return found
 
@@ -253,12 +255,12 @@
     """Measure store writes for non-repeatable requests, with 7 instances."""
     found: Measured = {}
     for rate in CLAIM_RATES:
-        for quantity, value in run_mocked(_claim_at, rate).items():
+        for quantity, value in run_mocked(_claim_at_rate, rate).items():
             found.setdefault(quantity, []).append((rate, value))
     return found
 
 
-async def _claim_at(rate: int) -> dict[str, float]:
+async def _claim_at_rate(rate: int) -> dict[str, float]:
     async with open_estate(instances=7) as world:
         for item in world.leaves.values():
             item.leaf.faults.slow = 0.1
@@ -300,7 +302,7 @@
     ]
     for count in FLEET_COUNTS:
         instances = {f"instance-{n}": ("north", "south")[n % 2] for n in range(count)}
-        fewer = {name: instances[name] for name in list(instances)[1:]}
+        remaining_instances = {name: instances[name] for name in list(instances)[1:]}
 
         def rank_all(instances=instances) -> HolderTable:
             table = HolderTable()
@@ -308,14 +310,16 @@
             table.set_leaves(leaves)
             return table
 
-        def come_and_go(table=rank_all(), few=fewer, all=instances) -> None:
-            table.set_instances(few)
+        def leave_and_rejoin(
+            table=rank_all(), remaining=remaining_instances, all=instances
+        ) -> None:
+            table.set_instances(remaining)
             table.set_instances(all)
 
         points = {
             "CPU ms to rank all": 1000 * measure_cpu_time(rank_all),
             "CPU ms for one instance to go and come": 1000
-            * measure_cpu_time(come_and_go),
+            * measure_cpu_time(leave_and_rejoin),
             "memory MB": measure_memory(rank_all),
         }
         for quantity, value in points.items():
@@ -332,8 +336,8 @@
 async def _admit(waiting: int) -> float:
     admission = Admission(TrioClock(datetime(2026, 1, 1, tzinfo=UTC)))
     async with trio.open_nursery() as nursery:
-        entered = [await admission.admit("a", 1.0, 8, 60.0) for _ in range(8)]
-        assert all(isinstance(item, Admitted) for item in entered)
+        admitted = [await admission.admit("a", 1.0, 8, 60.0) for _ in range(8)]
+        assert all(isinstance(item, Admitted) for item in admitted)
         admission.release("a", None)
         await admission.admit("a", 1.0, 8, 60.0)
         for number in range(waiting):
--- a/walkcart/bench/slopes_fleet.py
+++ b/walkcart/bench/slopes_fleet.py
@@ -16,7 +16,9 @@
 from walkcart.wire.network import TcpNetwork
 
 INSTANCE_COUNTS = (5, 10, 20, 40)
+#: Seconds of a measurement.
 MEASURING_TIME = 12.0
+#: Seconds from a start until a measurement.
 SETTLE_TIME = 8.0
 #: Further seconds per instance until all instances know of each other.
 SETTLE_TIME_PER_INSTANCE = 0.5
@@ -25,6 +27,7 @@
 SHARD_COUNTS = (5, 20, 50, 100)
 QUESTIONS = 200
 QUESTION_RATES = (10, 20, 40, 80)
+#: Seconds for which questions are sent at each rate.
 RATE_SECONDS = 10.0
 TOKEN = "secret"
 
@@ -210,14 +213,14 @@
     """Send `count` questions, at most four at a time."""
     caller = Caller(TcpNetwork(), TOKEN)
 
-    async def ask_some() -> None:
+    async def send_share() -> None:
         for number in range(count // 4):
             asked = await caller.query(parse_host_port(address), "parts", number)
             assert asked.status == 200, asked.content
 
     async with trio.open_nursery() as nursery:
         for _ in range(4):
-            nursery.start_soon(ask_some)
+            nursery.start_soon(send_share)
 
 
 def measure_bare_client(folder: Path, requests: int = 3000) -> float:
@@ -225,9 +228,9 @@
     fleet = Fleet(Processes(folder), folder)
     try:
         port = allocate_ports(1)[0]
-        words = f"bare:1:1:{HOST}:{port}"
+        spec = f"bare:1:1:{HOST}:{port}"
         module = "walkcart.standins.main"
-        fleet.processes.start("bare", module, "leaves", words, "--median-ms", "0.01")
+        fleet.processes.start("bare", module, "leaves", spec, "--median-ms", "0.01")
         time.sleep(1.0)
         return trio.run(_time_bare, HostPort(HOST, port), requests)
     finally:
--- a/walkcart/bench/soak.py
+++ b/walkcart/bench/soak.py
@@ -30,10 +30,12 @@
 CLIENT_SITE = "client"
 INSTANCES = 6
 QUERY_SHARDS = 6
+#: Mean requests per second.
 QUERY_RATE = 8.0
 EXECUTION_RATE = 4.0
 #: Maximum number of requests that send one key at about the same time.
 MAX_REPEATS = 3
+#: Seconds from the end of the faults until the checks.
 RECOVERY_TIME = 40.0
 FINAL_QUERIES = 20
 
@@ -113,15 +115,15 @@
             }
             injector = FaultInjector(self._world, self._random, self._balancer, "parts")
             with trio.move_on_after(self._seconds):
-                async with trio.open_nursery() as busy:
-                    busy.start_soon(injector.run)
-                    busy.start_soon(self._send_queries, nursery)
-                    busy.start_soon(self._send_executions, nursery)
-                    busy.start_soon(self._watch_revisions)
+                async with trio.open_nursery() as load_nursery:
+                    load_nursery.start_soon(injector.run)
+                    load_nursery.start_soon(self._send_queries, nursery)
+                    load_nursery.start_soon(self._send_executions, nursery)
+                    load_nursery.start_soon(self._watch_revisions)
             self._report.faults = injector.fault_counts
             await injector.heal()
             await trio.sleep(RECOVERY_TIME)
-            await self._check_healed()
+            await self._check_recovery()
             self._check_records()
             self._report.broken += injector.broken
             self._report.seconds = trio.current_time()
@@ -208,7 +210,7 @@
                     )
                 seen[keeper] = revision
 
-    async def _check_healed(self) -> None:
+    async def _check_recovery(self) -> None:
         """Check that all instances have the same revision and answers are complete."""
         revisions = {
             item.find("keeper", ConfigurationKeeper).document.revision
--- a/walkcart/bench/soak_processes.py
+++ b/walkcart/bench/soak_processes.py
@@ -28,9 +28,11 @@
 TOKEN = "soak"
 LEAVES = ("parts:4:2", "cards:1:3")
 SETTINGS = ("--fatal-invariants", "yes", "--stop-grace", "0.3")
+#: Seconds between two requests or faults.
 QUERY_INTERVAL = 0.05
 EXECUTE_INTERVAL = 0.1
 MEAN_FAULT_INTERVAL = 2.0
+#: Seconds from the end of the faults until the checks.
 RECOVERY_TIME = 8.0
 
 
@@ -70,11 +72,11 @@
     async def run(self, seconds: float) -> None:
         """Send requests under faults, then check records and last answers."""
         self._clock = TrioClock()
-        async with trio.open_nursery() as asking:
+        async with trio.open_nursery() as request_nursery:
             with trio.move_on_after(seconds):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._send_queries, asking)
-                    nursery.start_soon(self._send_executions, asking)
+                    nursery.start_soon(self._send_queries, request_nursery)
+                    nursery.start_soon(self._send_executions, request_nursery)
                     nursery.start_soon(self._inject_faults)
             self._restart_ended()
         await trio.sleep(RECOVERY_TIME)
@@ -85,11 +87,11 @@
         name = self._random.choice(sorted(self._fleet.entries))
         return parse_host_port(self._fleet.entries[name])
 
-    async def _send_queries(self, asking: trio.Nursery) -> None:
+    async def _send_queries(self, request_nursery: trio.Nursery) -> None:
         while True:
             await trio.sleep(QUERY_INTERVAL)
             self._number += 1
-            asking.start_soon(self._query, self._number)
+            request_nursery.start_soon(self._query, self._number)
 
     async def _query(self, number: int) -> None:
         query = {"number": number}
@@ -103,13 +105,13 @@
                 self._not_run.append(msgspec.json.encode(query).decode())
         await caller.close()
 
-    async def _send_executions(self, asking: trio.Nursery) -> None:
+    async def _send_executions(self, request_nursery: trio.Nursery) -> None:
         while True:
             await trio.sleep(EXECUTE_INTERVAL)
             self._number += 1
             key = make_key(self._clock.now(), self._random)
             for delay in (0.0, self._random.choice([0.0, 0.2, 1.0])):
-                asking.start_soon(self._execute, self._number, key, delay)
+                request_nursery.start_soon(self._execute, self._number, key, delay)
 
     async def _execute(self, number: int, key: str, delay: float) -> None:
         await trio.sleep(delay)
--- a/walkcart/bench/sun.py
+++ b/walkcart/bench/sun.py
@@ -21,9 +21,12 @@
 from walkcart.standins.balancer import BalancerStandin
 from walkcart.standins.memory import MemoryNetwork
 
+#: Questions per second.
 RATE = 30.0
+#: Seconds for which each region is busy.
 PHASE_TIME = 8.0
 REGIONS = ("hobart", "launceston", "burnie")
+#: Fraction of the final share at which the load has followed.
 FOLLOWED_FRACTION = 0.9
 
 Sample = tuple[float, dict[str, int]]
