--- a/walkcart/bench/fleet.py
+++ b/walkcart/bench/fleet.py
@@ -94,7 +94,7 @@
         if condition():
             return
         time.sleep(POLL_INTERVAL)
-    raise TimeoutError("the condition didn't become true in time")
+    raise TimeoutError("the condition never held")
 
 
 def fetch(
@@ -239,12 +239,12 @@
     def _start_leaves(self, spec: str) -> str:
         group, shards, replicas = spec.split(":")
         ports = allocate_ports(int(shards) * int(replicas))
-        full_spec = f"{spec}:{HOST}:{ports[0]}"
+        full = f"{spec}:{HOST}:{ports[0]}"
         self.leaves += [f"{HOST}:{port}" for port in ports]
         self.processes.start(
-            f"leaves-{group}", "walkcart.standins.main", "leaves", full_spec
+            f"leaves-{group}", "walkcart.standins.main", "leaves", full
         )
-        return full_spec
+        return full
 
     def start_daemon(self, name: str, entry: int, peer: int, *settings: str) -> None:
         """Start one daemon."""
--- a/walkcart/bench/routed/callers.py
+++ b/walkcart/bench/routed/callers.py
@@ -140,7 +140,7 @@
     ) -> None:
         self.kind = kind
         self.tally = Tally()
-        #: Factor on the kind's rate; over 1 during a burst.
+        #: Factor on the kind's rate; above 1 during a burst.
         self.burst = 1.0
         self._shards = shards
         self._random = random
--- a/walkcart/bench/routed/emulatedleaf.py
+++ b/walkcart/bench/routed/emulatedleaf.py
@@ -95,7 +95,7 @@
 
     Args:
         seconds: its work time.
-        deadline: time on trio's clock after which it isn't started any more.
+        deadline: time on trio's clock after which it is refused if still queued.
         arrived_at: time of arrival on trio's clock.
         on_response: called once with the reply, unless it was cancelled.
         ended: whether it has been answered, refused, cancelled or lost.
