--- a/walkcart/platform/tests/crashingscenario.py
+++ b/walkcart/platform/tests/crashingscenario.py
@@ -1,4 +1,4 @@
-"""What the tests of requests under which leafs end play on."""
+"""The platform that the tests of leaf-crashing requests run on."""
 
 import json
 
@@ -20,7 +20,14 @@
     places=("north-a",),
     targets=(CRASHING_TARGET,),
 ):
-    """Play with instances before shards and one service of four leafs."""
+    """Run `action(crashing)` on a platform with shards and one service of four leaves.
+
+    Args:
+        action: async function that gets the `CrashingWorld`.
+        instances: names of the instances.
+        places: data centres of the instances and leaves, in turn.
+        targets: targets of the requests that crash the leaf that runs them.
+    """
 
     async def run():
         async with open_platform() as world:
@@ -41,13 +48,13 @@
 
 
 def read_events(world, name):
-    """Return the lines of one event."""
+    """Return the log lines of one event."""
     lines = (json.loads(line) for line in world.log.getvalue().splitlines())
     return [line for line in lines if line["event"] == name]
 
 
 async def ask_steadily(crashing, seconds, path="/all/good", interval=0.05):
-    """Ask different questions at all instances; return the statuses."""
+    """Send different requests to all instances at an interval; return the statuses."""
     world = crashing.world
     statuses = []
 
@@ -55,7 +62,7 @@
         try:
             statuses.append((await world.ask(f"{path}-{number}", name)).status)
         except (OSError, ExchangeFailed):
-            # The instance was killed.
+            # The instance was killed meanwhile.
             statuses.append(0)
 
     names = list(world.tenants)
