--- a/walkcart/intent/distribution.py
+++ b/walkcart/intent/distribution.py
@@ -98,8 +98,9 @@
         self._pushes: dict[str, ConfigurationPush] = {}
         self._listeners: list[Callable[[Document], None]] = []
         self._was_isolated = False
-        # Both are recomputed only when the version of the view changes.
+        #: A version of the view, and whether it selects this instance as a watcher.
         self._watcher_selection = (-1, False)
+        #: The version of the view in which no peer had a newer revision.
         self._checked_version = -1
         links.on(ConfigurationPull, self._on_pull)
         links.on(ConfigurationPush, self._on_push)
@@ -173,8 +174,8 @@
     def _should_watch(self) -> bool:
         """Return whether this instance is to watch the store.
 
-        An instance that receives nothing from peers watches even if it wasn't
-        selected, as nobody else would tell it of a change.
+        An instance that receives nothing from peers watches even if it isn't selected,
+        since no peer would send it a change.
         """
         if not self._receives_from_peers():
             return True
--- a/walkcart/intent/document.py
+++ b/walkcart/intent/document.py
@@ -18,6 +18,7 @@
 CONFIGURATION_KEY = "walkcart/configuration"
 #: Changes that a document remembers.
 MAX_CHANGES = 256
+#: Compression level of zlib.
 _COMPRESSION = 6
 #: Maximum size of a stored value after decompression, in bytes.
 MAX_UNPACKED_BYTES = 16 << 20
--- a/walkcart/intent/loading.py
+++ b/walkcart/intent/loading.py
@@ -66,8 +66,8 @@
         elif not isinstance(rows, list):
             faults.append(ConfigurationFault(kind, f"tables in [[{kind}]]"))
         else:
-            place = KINDS[kind][1]
-            parts[place] = _load_rows(kind, rows, faults)
+            field_name = KINDS[kind][1]
+            parts[field_name] = _load_rows(kind, rows, faults)
     return LoadedConfiguration(Configuration(**parts), tuple(faults))
 
 
@@ -94,14 +94,14 @@
     for key in row.keys() - known:
         expected = f"one of the fields {', '.join(sorted(known))}"
         faults.append(ConfigurationFault(f"{place}, {key}", expected))
-    ready = {key: value for key, value in row.items() if key in known}
-    if isinstance(ready.get("layouts"), list):
-        ready["layouts"] = [
+    values = {key: value for key, value in row.items() if key in known}
+    if isinstance(values.get("layouts"), list):
+        values["layouts"] = [
             _load_object(Layout, item, f"{place}, layout", faults)
-            for item in ready["layouts"]
+            for item in values["layouts"]
         ]
-    ready = {key: _convert_duration(cls, key, value) for key, value in ready.items()}
-    return msgspec.convert(ready, cls, builtin_types=(timedelta,))
+    values = {key: _convert_duration(cls, key, value) for key, value in values.items()}
+    return msgspec.convert(values, cls, builtin_types=(timedelta,))
 
 
 def _convert_duration(cls: type, key: str, value: Any) -> Any:
@@ -126,8 +126,8 @@
 def to_tables(configuration: Configuration) -> dict[str, list[dict[str, Any]]]:
     """Return plain tables that `load_tables` reads back to an equal configuration."""
     tables: dict[str, list[dict[str, Any]]] = {}
-    for kind, (_, place) in KINDS.items():
-        rows = getattr(configuration, place)
+    for kind, (_, field_name) in KINDS.items():
+        rows = getattr(configuration, field_name)
         if rows:
             tables[kind] = [_to_row(item) for item in rows]
     return tables
--- a/walkcart/membership/coldshares.py
+++ b/walkcart/membership/coldshares.py
@@ -97,7 +97,7 @@
     Args:
         store: the shared store.
         registration: the registration of this instance, for its name and its lease.
-        needs: tells which shares are needed.
+        demand: tells which shares are needed and who should hold them.
         clock: source of time.
         events: log of shares taken and lost.
     """
@@ -106,13 +106,13 @@
         self,
         store: SharedStore,
         registration: Registration,
-        needs: ColdShareDemand,
+        demand: ColdShareDemand,
         clock: Clock,
         events: EventLog,
     ) -> None:
         self._store = store
         self._registration = registration
-        self._needs = needs
+        self._demand = demand
         self._clock = clock
         self._events = events
         self._held: dict[str, HeldShare] = {}
@@ -146,9 +146,9 @@
             StoreUnavailable: the store gave no usable reply.
         """
         self._drop_ended()
-        for data_centre in sorted(self._needs.find_cold() & set(self._held)):
+        for data_centre in sorted(self._demand.find_cold() & set(self._held)):
             await self._check_key(data_centre)
-        for data_centre in sorted(self._needs.find_bounded() - set(self._held)):
+        for data_centre in sorted(self._demand.find_bounded() - set(self._held)):
             if self._may_take(data_centre):
                 await self._take_any(data_centre)
 
@@ -167,7 +167,10 @@
         )
 
     async def _check_key(self, data_centre: str) -> None:
-        """Read whether the key of a held share still exists; drop the share if not."""
+        """Read whether the key of a held share still exists; drop the share if not.
+
+        Does nothing if the key was found less than half of `KEY_TRUST_TIME` ago.
+        """
         held = self._held[data_centre]
         asked_at = self._clock.monotonic()
         if asked_at < self._trusted_until.get(data_centre, 0.0) - KEY_TRUST_TIME / 2:
@@ -185,13 +188,13 @@
         if self._clock.monotonic() < self._retry_at.get(data_centre, 0.0):
             return False
         own = self._registration.own.name
-        return own in self._needs.rank(data_centre)[:SHARE_COUNT]
+        return own in self._demand.rank(data_centre)[:SHARE_COUNT]
 
     async def _take_any(self, data_centre: str) -> None:
         """Take any share of a data centre, beginning at this instance's rank."""
-        preferred = self._needs.rank(data_centre).index(self._registration.own.name)
-        for step in range(SHARE_COUNT):
-            share = ColdShare((preferred + step) % SHARE_COUNT, SHARE_COUNT)
+        preferred = self._demand.rank(data_centre).index(self._registration.own.name)
+        for offset in range(SHARE_COUNT):
+            share = ColdShare((preferred + offset) % SHARE_COUNT, SHARE_COUNT)
             if await self._take(data_centre, share):
                 self._retry_intervals.pop(data_centre, None)
                 return
--- a/walkcart/membership/detector.py
+++ b/walkcart/membership/detector.py
@@ -32,7 +32,9 @@
 from walkcart.membership.view import MembershipView, MemberState, rank_record
 from walkcart.wire.messages import Ack, Gossip, MemberRecord, Message, Ping, PingRequest
 
+#: Instances that are asked to ping a target that didn't answer.
 INDIRECT_PINGS = 2
+#: Instances that urgent news is pushed to.
 PUSH_PEERS = 3
 #: Part of a round to wait for an answer before other instances are asked to ping.
 DIRECT_PING_FRACTION = 0.5
@@ -89,6 +91,8 @@
         self._interval = interval.total_seconds()
         self._last_number = 0
         self._probes: dict[int, _Probe] = {}
+        #: For each ping sent on request of another instance, by its number: the name of
+        #: that instance and the number of its own ping.
         self._indirect_pings: dict[int, tuple[str, int]] = {}
         self._order: list[str] = []
         self._round = 0
@@ -153,7 +157,7 @@
         probe = _Probe(target, trio.Event())
         self._probes[number] = probe
         try:
-            if await self._is_answered(probe, number):
+            if await self._ping_and_wait(probe, number):
                 return
             await self._suspect(target)
         except Exception as error:
@@ -161,8 +165,8 @@
         finally:
             self._probes.pop(number, None)
 
-    async def _is_answered(self, probe: _Probe, number: int) -> bool:
-        """Ping directly, then through others; return whether an answer came."""
+    async def _ping_and_wait(self, probe: _Probe, number: int) -> bool:
+        """Ping the target directly, then through others; return whether it answered."""
         target = probe.target
         try:
             self._links.send(target, Ping(number, self._gossip.make_digest(target)))
@@ -225,11 +229,11 @@
         probe = self._probes.get(message.number)
         if probe is not None and probe.target == message.target:
             probe.answered.set()
-        asked = self._indirect_pings.pop(message.number, None)
-        if asked is not None:
-            name, number = asked
+        request = self._indirect_pings.pop(message.number, None)
+        if request is not None:
+            requester, number = request
             digest = self._gossip.make_digest()
-            self._links.send(name, Ack(number, message.target, digest))
+            self._links.send(requester, Ack(number, message.target, digest))
 
     def _on_ping_request(self, sender: str, message: Message) -> None:
         assert isinstance(message, PingRequest)
--- a/walkcart/membership/gossip.py
+++ b/walkcart/membership/gossip.py
@@ -16,8 +16,11 @@
 from walkcart.membership.view import MembershipView, MemberState
 from walkcart.wire.messages import Digest, LeafMark, MemberRecord
 
+#: Maximum numbers of queued records and marks in one message.
 RECORDS_PER_MESSAGE = 16
 MARKS_PER_MESSAGE = 32
+#: Messages that carry an item, as a multiple of the binary logarithm of the number of
+#: instances.
 REPEATS_FACTOR = 3
 
 
@@ -32,7 +35,9 @@
     def __init__(self, view: MembershipView, marks: LeafMarks) -> None:
         self._view = view
         self._marks = marks
+        #: Messages that still have to carry each record, by the name of its instance.
         self._pending_members: dict[str, int] = {}
+        #: Messages that still have to carry each mark, by the address of its leaf.
         self._pending_marks: dict[str, int] = {}
 
     def add_member(self, name: str) -> None:
--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -22,8 +22,10 @@
 
 #: Random bytes that identify a process.
 LIFE_ID_BYTES = 4
-#: Addresses that are kept of senders, for replies to those outside the directory.
+#: Limit of stored addresses of senders, for replies to those outside the directory.
 MAX_UNKNOWN_SENDERS = 256
+#: Time for connecting to a peer and sending one envelope. After it the link is closed,
+#: and all its queued messages are lost.
 SEND_TIMEOUT = timedelta(seconds=2)
 #: Shortest time between two new connections to a peer that doesn't answer, since a
 #: connection may be dead without having been closed. The old connection is kept open
@@ -70,6 +72,8 @@
         #: may reject an instance for longer than its entry lasts.
         self._last_addresses: dict[str, str] = {}
         self._nursery: trio.Nursery | None = None
+        #: When the last envelope meant for this process came, in seconds; at first the
+        #: time of the start.
         self.last_received = trio.current_time()
 
     def on(self, kind: type[Message], handler: MessageHandler) -> None:
@@ -79,7 +83,7 @@
     def on_with_age(self, kind: type[Message], handler: AgedMessageHandler) -> None:
         """Pass messages of type `kind` to `handler` with their age.
 
-        For messages that start work, which is useless if the message is too old.
+        Meant for messages that start work, which is useless if they are too old.
         """
         self._aged_handlers[kind] = handler
 
@@ -207,8 +211,8 @@
     def _handle(self, sender: str, message: Message, age: float) -> None:
         """Call the handler of a message; its errors must not end the instance."""
         try:
-            if (work := self._aged_handlers.get(type(message))) is not None:
-                work(sender, message, age)
+            if (aged_handler := self._aged_handlers.get(type(message))) is not None:
+                aged_handler(sender, message, age)
             elif (handler := self._handlers.get(type(message))) is not None:
                 handler(sender, message)
         except Exception as error:
@@ -234,10 +238,11 @@
         link.sender = sender
         try:
             while await link.wait():
-                self._metrics.time("peer.wait", link.waited * 1000)
+                self._metrics.time("peer.wait", link.queue_time * 1000)
                 messages: tuple[Message, ...] = ()
                 with trio.move_on_after(SEND_TIMEOUT.total_seconds()) as scope:
-                    # Until then messages can be withdrawn and certainly weren't sent.
+                    # Until it is connected, messages can be withdrawn and certainly
+                    # weren't sent.
                     await sender.wait_connected()
                     messages = link.take_batch()
                     if messages:
@@ -246,7 +251,7 @@
                     lost = len(messages) + len(link)
                     self._metrics.count("peer.dropped", lost)
                     detail = (
-                        f"not taken within {SEND_TIMEOUT.total_seconds()} s: "
+                        f"no envelope sent within {SEND_TIMEOUT.total_seconds()} s: "
                         f"{lost} messages lost"
                     )
                     self._events.emit(Events.PEER_SLOW, peer=name, detail=detail)
--- a/walkcart/membership/outbox.py
+++ b/walkcart/membership/outbox.py
@@ -12,6 +12,7 @@
 
 #: Limit of queued messages per peer; further ones are dropped and counted.
 MAX_QUEUED_MESSAGES = 2000
+#: Maximum number of messages in one envelope.
 MESSAGES_PER_ENVELOPE = 64
 #: A link without messages for this long is closed. Opening a new one costs the first
 #: question some round trips, which is too long for its latency objective.
@@ -49,9 +50,9 @@
 
     def withdraw(self, message: Message) -> bool:
         """Remove `message`; return False if it is no longer queued."""
-        for place, (_, queued) in enumerate(self._messages):
+        for index, (_, queued) in enumerate(self._messages):
             if queued is message:
-                del self._messages[place]
+                del self._messages[index]
                 return True
         return False
 
@@ -66,7 +67,7 @@
         self._wakeup.set()
 
     async def wait(self) -> bool:
-        """Wait for a message; return False at the idle timeout or when ended."""
+        """Wait for a message; return False if none came before the idle timeout or end."""
         if not self._messages and not self.ended:
             self._wakeup = trio.Event()
             with trio.move_on_after(IDLE_TIMEOUT.total_seconds()):
@@ -74,7 +75,7 @@
         return bool(self._messages)
 
     @property
-    def waited(self) -> float:
+    def queue_time(self) -> float:
         """Seconds that the oldest message has been queued; 0 if there is none."""
         if not self._messages:
             return 0.0
--- a/walkcart/membership/peerdirectory.py
+++ b/walkcart/membership/peerdirectory.py
@@ -48,7 +48,7 @@
     """Return the parsed address of an instance, or None if it is empty or invalid.
 
     Cached, because it is needed each second for each open link, and parsing an address
-    took 18 us on a busy machine.
+    takes 18 us on a busy machine.
     """
     try:
         return parse_host_port(text) if text else None
--- a/walkcart/membership/quarantinegossip.py
+++ b/walkcart/membership/quarantinegossip.py
@@ -91,17 +91,17 @@
             return
         self._round += 1
         chosen = sorted(entries, key=lambda item: item[1].weight)[-MAX_ENTRIES:]
-        told = tuple(self._encode(*item) for item in chosen)
-        self._links.send(peers[self._round % len(peers)], QuarantineNews(told))
+        news = QuarantineNews(tuple(self._encode(*item) for item in chosen))
+        self._links.send(peers[self._round % len(peers)], news)
 
     def _encode(self, fingerprint: bytes, held: StrikeRecord) -> QuarantineEntry:
         now = self._clock.monotonic()
-        answered = now - held.answered_at
+        answered_age = now - held.answered_at
         return QuarantineEntry(
             fingerprint,
             tuple(sorted(held.strikes)),
             now - held.struck_at,
-            min(NEVER, answered),
+            min(NEVER, answered_age),
         )
 
     def _on_message(self, sender: str, message: Message, age: float) -> None:
@@ -109,8 +109,8 @@
         # The delay is unknown until the sender has received an envelope from here.
         delay = age if isfinite(age) else 0.0
         now = self._clock.monotonic()
-        for fingerprint, told in _decode_valid(message.entries, now - delay):
-            if not self._quarantine.merge(fingerprint, told, now):
+        for fingerprint, record in _decode_valid(message.entries, now - delay):
+            if not self._quarantine.merge(fingerprint, record, now):
                 continue
             self._on_news(fingerprint)
             if self._may_relay():
@@ -130,11 +130,11 @@
             continue
         if not all(isfinite(age) and age >= 0.0 for age in ages):
             continue
-        answered = float("-inf")
+        answered_at = float("-inf")
         if entry.answered_age < NEVER:
-            answered = sent_at - entry.answered_age
-        struck = sent_at - entry.struck_age
+            answered_at = sent_at - entry.answered_age
+        struck_at = sent_at - entry.struck_age
         yield (
             entry.fingerprint,
-            StrikeRecord(frozenset(entry.strikes), struck, answered),
+            StrikeRecord(frozenset(entry.strikes), struck_at, answered_at),
         )
--- a/walkcart/membership/quarantinekeys.py
+++ b/walkcart/membership/quarantinekeys.py
@@ -90,10 +90,10 @@
     async def _store_next(self) -> None:
         fingerprint = self._queue[0]
         now = self._clock.monotonic()
-        wanted = (
+        still_refused = (
             self._quarantine.find_level(fingerprint, now) is QuarantineLevel.REFUSED
         )
-        if wanted and not await self._put(fingerprint):
+        if still_refused and not await self._put(fingerprint):
             await trio.sleep(self._backoff.next_delay().total_seconds())
             return
         self._backoff.reset()
@@ -119,7 +119,7 @@
         """Merge a stored key, whose age is unknown, unless its request is known."""
         try:
             fingerprint = bytes.fromhex(item.key.removeprefix(QUARANTINE_PREFIX))
-            strikes = frozenset(int(word) for word in item.value.split(b","))
+            strikes = frozenset(int(part) for part in item.value.split(b","))
         except ValueError as error:
             self._events.emit(
                 Events.PEER_BAD_MESSAGE, key=item.key, detail=str(error)[:200]
--- a/walkcart/membership/quotaclient.py
+++ b/walkcart/membership/quotaclient.py
@@ -45,7 +45,7 @@
         share: the share whose tokens were requested.
         team: the team that the tokens are for.
         sent_at: when the request was sent, in seconds.
-        done: set once the answer is there.
+        done: set when an answer has come.
         reply: the accountant's reply; None if there is none or its grant has expired.
         abandoned: whether the request has timed out.
     """
@@ -273,12 +273,15 @@
         pending.done.set()
 
     def _complete(self, sender: str, number: int) -> _Pending | None:
-        """Remove and return the request that a message answers, or None."""
+        """Remove and return the request that a message answers.
+
+        Returns None if there is none, or if another instance than the sender was asked.
+        """
         pending = self._pending.get(number)
         if pending is None or pending.asked != sender:
             return None
         del self._pending[number]
         self._silent_until.pop(sender, None)
-        taken = self._clock.monotonic() - pending.sent_at
-        self._reply_timeouts[sender].record(taken)
+        reply_time = self._clock.monotonic() - pending.sent_at
+        self._reply_timeouts[sender].record(reply_time)
         return pending
--- a/walkcart/membership/quotakeys.py
+++ b/walkcart/membership/quotakeys.py
@@ -34,14 +34,14 @@
 #: Shortest lease. An accountant survives an outage of the store of several seconds; the
 #: share of an accountant that died is unused for as long.
 MIN_LEASE_TTL = timedelta(seconds=8)
-#: Seconds by which a lease is longer than the window of the limits at least, so that an
-#: expired key was taken more than a window ago.
+#: Minimum number of seconds by which a lease is longer than the window of the limits,
+#: so that an expired key was taken more than a window ago.
 MIN_LEASE_MARGIN = 3.0
-#: Longest time in seconds from the grant of a lease until the key is stored, for the
-#: same reason.
+#: Maximum time in seconds from the request for a lease until the key is stored. It is
+#: shorter than `MIN_LEASE_MARGIN`, so that this holds for a key that was stored late.
 TAKE_TIMEOUT = 2.0
-#: Seconds before the end of a lease from which the share isn't used any more, since
-#: clocks drift and a grant takes some time.
+#: Seconds before the end of its lease at which a share stops being used, since clocks
+#: drift and a grant takes some time.
 EXPIRY_MARGIN = 0.5
 
 
@@ -182,7 +182,7 @@
         until = max(taken.until, _find_expiry(renewed, sent_at))
         return TakenKey(taken.stored, renewed, until)
 
-    async def settle(self, share: int, taken: TakenKey) -> TakenKey | None:
+    async def reset_starts(self, share: int, taken: TakenKey) -> TakenKey | None:
         """Reset the count of starts of a share that was held for a whole window.
 
         Returns:
--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -33,7 +33,8 @@
 #: Seconds between two renewals, and between two heartbeats to the other candidates.
 REFRESH_INTERVAL = 1.0
 #: Seconds without a renewal after which an accountant offers its share to an instance
-#: that reaches the store. Two attempts have failed; there is time for a few more.
+#: that reaches the store. By then two attempts have failed, and there is time for a few
+#: more before the lease ends.
 WEAK_AFTER = 3.0
 
 
@@ -47,7 +48,8 @@
         since: when the share was taken, in seconds.
         tried_at: when a renewal of the lease was last attempted, in seconds.
         renewed_at: when a renewal last succeeded, in seconds.
-        wanted_by: the instance that since reached the store and asked for the share.
+        requested_by: the name of the instance that reaches the store and has asked for
+            the share since the last renewal; empty if there is none.
     """
 
     taken: TakenKey
@@ -55,7 +57,7 @@
     since: float
     tried_at: float
     renewed_at: float
-    wanted_by: str = ""
+    requested_by: str = ""
 
 
 class QuotaShares:
@@ -142,7 +144,7 @@
             self._needed_since = self._clock.monotonic()
         for share, held in list(self._held.items()):
             due = self._clock.monotonic() >= held.tried_at + REFRESH_INTERVAL / 2
-            if due or held.wanted_by:
+            if due or held.requested_by:
                 await self._renew(share, held)
         for share in range(MAX_SHARES):
             if share in self._held:
@@ -160,9 +162,9 @@
     async def _release_held(self, reason: str) -> None:
         """Stop accounting all shares, and release them to others."""
         held, self._held = self._held, {}
-        for share, one in held.items():
+        for share, held_share in held.items():
             self._report_lost(share, reason)
-            await self._release(share, one.taken)
+            await self._release(share, held_share.taken)
 
     async def _release(self, share: int, taken: TakenKey) -> None:
         revision = await self._keys.release(share, taken)
@@ -176,13 +178,15 @@
         self._announce(share, held)
         try:
             taken = await self._keys.renew(held.taken)
-            settled = self._clock.monotonic() - held.since > self._bounds.window
-            if taken is not None and settled and taken.stored.key.starts:
-                taken = await self._keys.settle(share, taken)
+            outlasted = self._clock.monotonic() - held.since > self._bounds.window
+            if taken is not None and outlasted and taken.stored.key.starts:
+                taken = await self._keys.reset_starts(share, taken)
         except StoreUnavailable:
             # `StoreCalls` logs the first failure of a series.
-            if held.wanted_by:
-                self._drop(share, f"released to {held.wanted_by}: it reaches the store")
+            if held.requested_by:
+                self._drop(
+                    share, f"released to {held.requested_by}: it reaches the store"
+                )
             elif self._clock.monotonic() >= held.taken.until:
                 self._drop(share, "the store wasn't reached in time")
             return
@@ -190,13 +194,14 @@
             self._drop(share, "the lease or the key is gone")
         else:
             held.taken, held.renewed_at = taken, held.tried_at
-            held.wanted_by = ""
+            held.requested_by = ""
 
     def _drop(self, share: int, reason: str) -> None:
         held = self._held.pop(share, None)
         if held is not None:
             self._report_lost(share, reason)
-            # Its key may still be stored; the share is free once the key has expired.
+            # Its key may still be stored. A candidate that gets this message may take
+            # the share at once, any other one when the key has expired.
             self._send_to_candidates(
                 share, QuotaHolder(share, "", held.taken.stored.revision)
             )
@@ -290,11 +295,11 @@
             self.wake()
 
     def _on_takeover(self, sender: str, message: Message) -> None:
-        """Have a share that can't be renewed tried once more, or else released."""
+        """Try once more to renew an offered share, and give it up if that fails."""
         assert isinstance(message, QuotaTakeover)
         held = self._held.get(message.share)
         if held is None or held.taken.stored.revision != message.revision:
             return
         if self._clock.monotonic() >= held.renewed_at + WEAK_AFTER:
-            held.wanted_by = sender
+            held.requested_by = sender
             self.wake()
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -54,7 +54,7 @@
 #: calls and a renewal a tenth of one, so in a fleet of 195 it pays off after 140 s.
 #: Done at once, it took three of each instance's 11.5 calls when such a fleet started.
 MIN_REPLACE_AGE = 140.0
-#: Renewals that fit into the life of one lease.
+#: Renewals within the time to live of one lease.
 RENEWALS_PER_LEASE = 3
 #: Factor on the backoff of an instance that doesn't watch the store: it is fed, so only
 #: its lease needs the store, and that lasts some more seconds.
@@ -103,8 +103,10 @@
         self._backoff = backoff
         self._events = events
         self._others: dict[str, InstanceRecord] = {}
+        #: The number of instances at each read, with its time in seconds.
         self._counts: deque[tuple[float, int]] = deque()
         self._registered: Registered | None = None
+        #: Cycles of `run` that have succeeded.
         self._cycles = 0
         self._started_at = clock.monotonic()
         self._is_stopping = False
@@ -144,7 +146,7 @@
         return self._others.get(name)
 
     def count(self) -> int:
-        """Return the most instances in the `COUNT_WINDOW`, this one included."""
+        """Return the maximum number of instances, with this one, in `COUNT_WINDOW`."""
         limit = self._clock.monotonic() - COUNT_WINDOW.total_seconds()
         while self._counts and self._counts[0][0] < limit:
             self._counts.popleft()
@@ -192,7 +194,7 @@
         self._registered = None
 
     def set_watching_check(self, is_watching: Callable[[], bool]) -> None:
-        """Renew often while `is_watching` returns True: it watches the store."""
+        """Renew often while `is_watching` returns True: others depend on its watch."""
         self._is_watching = is_watching
 
     def _renew_interval(self) -> float:
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -30,7 +30,7 @@
 from walkcart.membership.feeding import Feeder, unpack_changes
 from walkcart.membership.links import PeerLinks
 from walkcart.membership.registration import Registration
-from walkcart.membership.watchers import SUSPECT, FeederChoice, Watchers
+from walkcart.membership.watchers import SUSPECT_AGE, FeederChoice, Watchers
 from walkcart.store.calls import StoreCalls
 from walkcart.store.follower import PrefixFollower
 from walkcart.store.packing import BadValue
@@ -52,10 +52,10 @@
 #: Heartbeats come each second. Together with the time between two checks and a read of
 #: about 0.3 s on a busy machine, this stays within the three seconds that operators
 #: allow for a change to take effect.
-LATE = timedelta(seconds=1.8)
-#: A feeder is accepted again once the copy is this new. The gap to `LATE` prevents a
-#: feeder that is barely late from causing a read of the store each second.
-GOOD = timedelta(seconds=0.9)
+LATE_AGE = timedelta(seconds=1.8)
+#: A feeder is accepted again once the copy is this new. The gap to `LATE_AGE` prevents
+#: a feeder that is barely late from causing a read of the store each second.
+FRESH_AGE = timedelta(seconds=0.9)
 #: Time after the start until an instance subscribes. Before that it reads the store
 #: itself, which takes about 50 ms; a feeder would have to send all of the copies.
 FIRST_READ_DELAY = timedelta(seconds=0.3)
@@ -129,12 +129,12 @@
         )
 
     def _is_handing_over(self) -> bool:
-        """Return whether it was a watcher until recently and has subscribers."""
+        """Return whether this former watcher still has to feed its subscribers."""
         age = self._clock.monotonic() - self._last_watcher_at
         return age < HANDOVER_TIME.total_seconds() and self._feeder.has_subscribers()
 
     def _is_substitute(self) -> bool:
-        """Return whether it has subscribers and no feeder of its own."""
+        """Return whether this instance has subscribers but no feeder of its own."""
         return not self._is_fed and self._feeder.has_subscribers()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
@@ -165,18 +165,20 @@
             self._last_watcher_at = now
             for follower in self._followers.values():
                 follower.begin_watching()
-        ranked = self._watchers.is_watcher() or self._is_handing_over()
-        if ranked and self._calls.reachable:
+        should_watch = self._watchers.is_watcher() or self._is_handing_over()
+        if should_watch and self._calls.reachable:
             self._feeder_choice.clear()
             self._set_fed(False, "watches itself")
             return
         age = now - min(self._complete_at.values())
-        is_late = age > SUSPECT.total_seconds() and self._feeder_choice.is_grace_over()
+        is_late = (
+            age > SUSPECT_AGE.total_seconds() and self._feeder_choice.is_grace_over()
+        )
         if is_late or self._feeder_choice.is_far_too_long():
             self._choose_feeder()
-        if age > LATE.total_seconds():
-            heard = now - self._last_heard_at <= LATE.total_seconds()
-            self._set_fed(False, "late" if heard else "silence", age)
+        if age > LATE_AGE.total_seconds():
+            was_heard = now - self._last_heard_at <= LATE_AGE.total_seconds()
+            self._set_fed(False, "late" if was_heard else "silence", age)
 
     def _choose_feeder(self) -> None:
         if self._feeder_choice.feeder is not None:
@@ -233,7 +235,7 @@
             return
         self._is_fed = fed
         if fed:
-            # Subscribers from the time when this instance had no feeder.
+            # These subscribed while this instance had no feeder.
             self._feeder.reject_subscribers()
         self._events.emit(
             Events.FEED,
@@ -313,5 +315,5 @@
         held = self._complete_at[follower.prefix]
         self._complete_at[follower.prefix] = max(held, now - age)
         age = now - min(self._complete_at.values())
-        if age <= GOOD.total_seconds():
+        if age <= FRESH_AGE.total_seconds():
             self._set_fed(True, "heard", age)
--- a/walkcart/membership/tests/test_cold_shares.py
+++ b/walkcart/membership/tests/test_cold_shares.py
@@ -80,24 +80,24 @@
 
     def __init__(self, name, fleet, method):
         self.name, self.fleet, self.method = name, fleet, method
-        self.lives = 0
+        self.starts = 0
         self.cut_until = 0.0
         self.set_view(fleet.names)
         self.start()
 
     def start(self):
-        self.lives += 1
+        self.starts += 1
         self.log = SendLog()
         self.lease = Lease(self.fleet.next_lease(), None)
         self.fleet.store.leases[self.lease.id] = self.fleet.clock.time + LEASE_SECONDS
-        own = SimpleNamespace(name=self.name, started=str(self.lives))
+        own = SimpleNamespace(name=self.name, started=str(self.starts))
         cold = frozenset({DATA_CENTRE})
         self.shares = ColdShares(
             self.fleet.store,
             SimpleNamespace(own=own, lease=self.lease),
             ColdShareDemand(lambda: cold, lambda: cold, self.rank),
             self.fleet.clock,
-            SimpleNamespace(emit=lambda *words, **details: None),
+            SimpleNamespace(emit=lambda *arguments, **details: None),
         )
 
     def set_view(self, view):
--- a/walkcart/membership/tests/test_feeding.py
+++ b/walkcart/membership/tests/test_feeding.py
@@ -39,7 +39,7 @@
         self.sent.append(message)
         return True
 
-    def take(self):
+    def pop_sent(self):
         sent, self.sent = self.sent, []
         return sent
 
@@ -88,29 +88,29 @@
 def test_next_message_waits_for_acknowledgement_and_has_the_newest_state():
     fixture = FeederFixture()
     fixture.subscribe(1)
-    fixture.links.take()
+    fixture.links.pop_sent()
     for revision in (2, 3, 4, 5):
         fixture.change(revision)
-    (first,) = fixture.links.take()
+    (first,) = fixture.links.pop_sent()
     assert (first.base, first.revision) == (1, 2)
     fixture.subscribe(2)
-    (second,) = fixture.links.take()
+    (second,) = fixture.links.pop_sent()
     assert (second.base, second.revision) == (2, 5)
     assert unpack_changes(second.packed) == [Item("a", b"5", 5)]
     fixture.subscribe(5)
-    assert fixture.links.take() == []
+    assert fixture.links.pop_sent() == []
 
 
 def test_unacknowledged_message_is_sent_again():
     fixture = FeederFixture()
     fixture.subscribe(1)
     fixture.change(2)
-    fixture.links.take()
+    fixture.links.pop_sent()
     fixture.subscribe(1)
-    assert fixture.links.take() == []
+    assert fixture.links.pop_sent() == []
     fixture.pass_time(RESEND_TIMEOUT + timedelta(milliseconds=1))
     fixture.subscribe(1)
-    (again,) = fixture.links.take()
+    (again,) = fixture.links.pop_sent()
     assert isinstance(again, RelayChanges)
     assert again.revision == 2
 
@@ -121,20 +121,20 @@
     fixture.change(2)
     fixture.subscribe(2)
     fixture.change(3)
-    fixture.links.take()
+    fixture.links.pop_sent()
     fixture.subscribe(0)
-    (copy,) = fixture.links.take()
+    (copy,) = fixture.links.pop_sent()
     assert unpack_changes(copy.packed) == [Item("a", b"3", 3)]
 
 
 def test_copy_without_recent_confirmation_is_not_sent():
     fixture = FeederFixture()
     fixture.subscribe(1)
-    fixture.links.take()
+    fixture.links.pop_sent()
     fixture.clock.time += MAX_COPY_AGE.total_seconds() + 0.1
     fixture.follower.apply([Item("a", b"2", 2)], 2)
     fixture.feeder.send_heartbeats_if_due()
-    assert fixture.links.take() == []
+    assert fixture.links.pop_sent() == []
 
 
 def test_instance_that_does_not_watch_sends_nothing():
@@ -143,32 +143,32 @@
     fixture.subscribe(1)
     fixture.change(2)
     fixture.feeder.send_heartbeats_if_due()
-    assert fixture.links.take() == []
+    assert fixture.links.pop_sent() == []
 
 
 def test_heartbeats_state_the_age_and_are_spaced():
     fixture = FeederFixture()
     fixture.subscribe(1)
-    fixture.links.take()
+    fixture.links.pop_sent()
     fixture.clock.time += 0.4
     fixture.feeder.send_heartbeats_if_due()
     fixture.feeder.send_heartbeats_if_due()
-    (sign,) = fixture.links.take()
-    assert isinstance(sign, RelayCurrent)
-    assert round(sign.states[PREFIX].current_age, 3) == 0.4
+    (heartbeat,) = fixture.links.pop_sent()
+    assert isinstance(heartbeat, RelayCurrent)
+    assert round(heartbeat.states[PREFIX].current_age, 3) == 0.4
     fixture.pass_time(HEARTBEAT_INTERVAL)
     fixture.feeder.send_heartbeats_if_due()
-    assert len(fixture.links.take()) == 1
+    assert len(fixture.links.pop_sent()) == 1
 
 
 def test_subscription_that_is_not_renewed_expires():
     fixture = FeederFixture()
     fixture.subscribe(1)
-    fixture.links.take()
+    fixture.links.pop_sent()
     fixture.pass_time(SUBSCRIPTION_TTL + timedelta(milliseconds=1))
     fixture.feeder.send_heartbeats_if_due()
     fixture.change(2)
-    assert fixture.links.take() == []
+    assert fixture.links.pop_sent() == []
 
 
 def test_undecodable_changes_raise():
@@ -179,7 +179,7 @@
             unpack_changes(bad)
         except BadValue:
             continue
-        raise AssertionError(f"{bad!r} was taken")
+        raise AssertionError(f"{bad!r} was decoded")
 
 
 @given(
@@ -196,7 +196,7 @@
     receiver = make_follower(fixture.clock)
     revision = 1
     fixture.subscribe(0)
-    in_flight = fixture.links.take()
+    in_flight = fixture.links.pop_sent()
     for step in steps:
         match step:
             case ("change", key):
@@ -215,13 +215,13 @@
                 receiver = make_follower(fixture.clock)
                 in_flight = []
                 fixture.subscribe(0)
-        in_flight += fixture.links.take()
+        in_flight += fixture.links.pop_sent()
         # Apart from heartbeats, at most one message is on its way until it is lost.
         assert sum(not isinstance(item, RelayCurrent) for item in in_flight) <= 2
     for _ in range(12):
         fixture.pass_time(RESEND_TIMEOUT / 4)
         fixture.subscribe(receiver.revision if receiver.known else 0)
-        apply_all(receiver, in_flight + fixture.links.take())
+        apply_all(receiver, in_flight + fixture.links.pop_sent())
         in_flight = []
     assert dict(list_items(receiver)) == dict(list_items(fixture.follower))
 
--- a/walkcart/membership/tests/test_kept_leases.py
+++ b/walkcart/membership/tests/test_kept_leases.py
@@ -44,7 +44,7 @@
         SimpleNamespace(own=own, lease=lease),
         ColdShareDemand(lambda: centres, lambda: centres, lambda centre: ["one"]),
         clock,
-        SimpleNamespace(emit=lambda *words, **details: None),
+        SimpleNamespace(emit=lambda *arguments, **details: None),
     )
 
 
--- a/walkcart/membership/tests/test_leaving_leaf.py
+++ b/walkcart/membership/tests/test_leaving_leaf.py
@@ -19,15 +19,15 @@
             assert asked.content["coverage"]["complete"]
 
 
-def run_leaving(how):
-    """Make the leaf leave by `how`; return its late runs and its refusals."""
+def run_leaving(report):
+    """Report the leaf as leaving by `report`; return its late runs and its refusals."""
 
     async def run():
         async with open_estate() as world:
             leaf = world.leaves[NAME].leaf
             await query_all(world, 1.0)
             start = trio.current_time()
-            how(world, leaf)
+            report(world, leaf)
             await query_all(world, 6.0)
             late = [
                 item.at - start for item in leaf.runs if item.at > start + MAX_DELAY
@@ -38,21 +38,21 @@
 
 
 def test_leaf_reports_itself():
-    def how(world, leaf):
+    def report(world, leaf):
         leaf.faults.leaving = True
 
-    late, refused = run_leaving(how)
+    late, refused = run_leaving(report)
     assert not late
     # Each of the three instances may be refused once; most learn it from a peer.
     assert refused <= 3
 
 
 def test_only_the_lagging_list_reports():
-    def how(world, leaf):
+    def report(world, leaf):
         world.listing.lag = 1.0
         world.listing.set_state(NAME, "leaving")
 
-    late, _ = run_leaving(how)
+    late, _ = run_leaving(report)
     assert not late
 
 
--- a/walkcart/membership/tests/test_quarantine_news.py
+++ b/walkcart/membership/tests/test_quarantine_news.py
@@ -69,7 +69,7 @@
 
         self.links.send = count
         peers = QuarantinePeers(self, self)
-        self.spread = QuarantineGossip(
+        self.gossip = QuarantineGossip(
             self.quarantine,
             self.links,
             clock,
@@ -78,18 +78,18 @@
             lambda fingerprint: None,
         )
         await nursery.start(self.links.run)
-        await nursery.start(self.spread.run)
+        await nursery.start(self.gossip.run)
 
     def strike(self, *numbers):
         now = trio.current_time()
         for number in numbers:
             self.quarantine.record_strike(FINGERPRINT, number, now)
-        self.spread.broadcast(FINGERPRINT)
+        self.gossip.broadcast(FINGERPRINT)
 
     def refuses(self):
         now = trio.current_time()
-        standing = self.quarantine.find_level(FINGERPRINT, now)
-        return standing is QuarantineLevel.REFUSED
+        level = self.quarantine.find_level(FINGERPRINT, now)
+        return level is QuarantineLevel.REFUSED
 
 
 def run_fleet(size, scenario):
--- a/walkcart/membership/tests/test_view.py
+++ b/walkcart/membership/tests/test_view.py
@@ -26,9 +26,9 @@
 
 
 @given(st.lists(records, max_size=4))
-def test_merge_order_makes_no_difference(news):
+def test_merge_order_makes_no_difference(received):
     views = []
-    for order in itertools.permutations(news):
+    for order in itertools.permutations(received):
         view = MembershipView(make_record())
         for record in order:
             view.merge(record)
--- a/walkcart/store/calls.py
+++ b/walkcart/store/calls.py
@@ -28,6 +28,7 @@
 
 #: Maximum size of a reply, in bytes: a page of many values.
 REPLY_LIMIT = 4 << 20
+#: Timeout of a call, on top of the time that the service may hold it.
 CALL_TIMEOUT = timedelta(seconds=2)
 #: Maximum number of idle connections that are kept for later calls.
 MAX_IDLE_CONNECTIONS = 2
@@ -85,7 +86,9 @@
         self._tracer = tracer
         self._call_time = call_time
         self._idle: list[HttpConnection] = []
+        #: Whether the last call was served; true before the first one.
         self.reachable = True
+        #: Time at which a call was last served; at first the start.
         self.last_success = clock.monotonic()
         #: Time at which calls began to succeed again after a failure; at first the
         #: start.
--- a/walkcart/store/follower.py
+++ b/walkcart/store/follower.py
@@ -127,6 +127,7 @@
         self._watch_requested = trio.Event()
         self.prefix = prefix
         self.revision = 0
+        #: Whether the copy was read or fed in full at least once.
         self.known = False
         self.on_change: Callable[[PrefixFollower], None] = lambda follower: None
         #: Called after a watch that made the copy complete.
@@ -336,10 +337,10 @@
         """
         changed = set()
         for change in changes:
-            is_news = self._apply_change(change, from_feeder=origin.source != STORE)
-            if is_news:
+            significant = self._apply_change(change, from_feeder=origin.source != STORE)
+            if significant:
                 changed.add(change.key)
-            if is_news or isinstance(change, Removal):
+            if significant or isinstance(change, Removal):
                 # A removal is passed on even if a full copy has shown it already: the
                 # receivers of this copy may not have seen that full copy. If the key
                 # was stored again since, the new item is passed on.
--- a/walkcart/store/tests/test_freshness.py
+++ b/walkcart/store/tests/test_freshness.py
@@ -40,27 +40,27 @@
 def test_call_served_before_a_watch_resumes_proves_nothing():
     freshness, clock, calls = make_freshness()
     freshness.record_changes(FEW)
-    noted = clock.time
+    complete_at = clock.time
     with suppress(StoreUnavailable), freshness.watch():
         raise StoreUnavailable(True, "no reply in time")
     serve_call_after(clock, calls, 9.0)
     with freshness.watch():
-        assert freshness.find_complete_time() == noted
+        assert freshness.find_complete_time() == complete_at
         serve_call_after(clock, calls, 0.1)
         assert freshness.find_complete_time() == clock.time
-    assert freshness.find_complete_time() == noted
+    assert freshness.find_complete_time() == complete_at
 
 
 def test_copy_is_not_complete_after_a_watch_that_was_cut_off():
     freshness, clock, calls = make_freshness()
     freshness.record_complete(clock.time)
-    noted = clock.time
+    complete_at = clock.time
     clock.time += 1.0
     assert not freshness.record_changes(MANY)
-    assert freshness.find_complete_time() == noted
+    assert freshness.find_complete_time() == complete_at
     with freshness.watch():
         serve_call_after(clock, calls, CUT_OFF_TIME / 2)
-        assert freshness.find_complete_time() == noted
+        assert freshness.find_complete_time() == complete_at
         serve_call_after(clock, calls, CUT_OFF_TIME)
         assert freshness.find_complete_time() == clock.time
 
