--- a/walkcart/intent/diffing.py
+++ b/walkcart/intent/diffing.py
@@ -37,9 +37,9 @@
 ) -> tuple[Difference, ...]:
     """Return the differences that lead from `old` to `new`."""
     found: list[Difference] = []
-    for kind, (_, field_name) in KINDS.items():
-        before = {item.name: item for item in getattr(old, field_name)}
-        after = {item.name: item for item in getattr(new, field_name)}
+    for kind, (_, place) in KINDS.items():
+        before = {item.name: item for item in getattr(old, place)}
+        after = {item.name: item for item in getattr(new, place)}
         for name in sorted(before.keys() | after.keys()):
             difference = _compare(f"{kind} {name}", before.get(name), after.get(name))
             if difference is not None:
@@ -75,8 +75,8 @@
     if prune:
         return update
     parts = {}
-    for _, field_name in KINDS.values():
-        merged = {item.name: item for item in getattr(base, field_name)}
-        merged.update({item.name: item for item in getattr(update, field_name)})
-        parts[field_name] = tuple(merged[name] for name in sorted(merged))
+    for _, place in KINDS.values():
+        merged = {item.name: item for item in getattr(base, place)}
+        merged.update({item.name: item for item in getattr(update, place)})
+        parts[place] = tuple(merged[name] for name in sorted(merged))
     return Configuration(**parts)
--- a/walkcart/intent/loading.py
+++ b/walkcart/intent/loading.py
@@ -66,8 +66,8 @@
         elif not isinstance(rows, list):
             faults.append(ConfigurationFault(kind, f"tables in [[{kind}]]"))
         else:
-            field_name = KINDS[kind][1]
-            parts[field_name] = _load_rows(kind, rows, faults)
+            place = KINDS[kind][1]
+            parts[place] = _load_rows(kind, rows, faults)
     return LoadedConfiguration(Configuration(**parts), tuple(faults))
 
 
@@ -126,8 +126,8 @@
 def to_tables(configuration: Configuration) -> dict[str, list[dict[str, Any]]]:
     """Return plain tables that `load_tables` reads back to an equal configuration."""
     tables: dict[str, list[dict[str, Any]]] = {}
-    for kind, (_, field_name) in KINDS.items():
-        rows = getattr(configuration, field_name)
+    for kind, (_, place) in KINDS.items():
+        rows = getattr(configuration, place)
         if rows:
             tables[kind] = [_to_row(item) for item in rows]
     return tables
--- a/walkcart/intent/tests/test_objects.py
+++ b/walkcart/intent/tests/test_objects.py
@@ -82,10 +82,10 @@
     """
     loaded = load_toml(text)
     report = validate_configuration(loaded.configuration)
-    report_text = "\n".join(str(fault) for fault in (*loaded.faults, *report.faults))
+    told = "\n".join(str(fault) for fault in (*loaded.faults, *report.faults))
     for word in ("service a", "colour", "robot", "B!", "none", "selector", "deadline"):
-        assert word in report_text
-    assert "replica_policy" in report_text
+        assert word in told
+    assert "replica_policy" in told
 
 
 def test_selector_that_matches_no_service_is_a_warning():
--- a/walkcart/intent/validation.py
+++ b/walkcart/intent/validation.py
@@ -52,8 +52,8 @@
             None to skip this check.
     """
     faults: list[ConfigurationFault] = []
-    for kind, (_, field_name) in KINDS.items():
-        items = getattr(configuration, field_name)
+    for kind, (_, place) in KINDS.items():
+        items = getattr(configuration, place)
         _check_unique(kind, [item.name for item in items], faults)
         for item in items:
             _check_object(f"{kind} {item.name}", item, faults)
--- a/walkcart/kernel/tests/test_exposition.py
+++ b/walkcart/kernel/tests/test_exposition.py
@@ -46,9 +46,9 @@
             received += os.read(reading, 1 << 20)
         sink.flush()
     lines = received.decode().splitlines()
-    reports = [item for item in lines if "log_lines_dropped" in item]
-    assert len(reports) == 1
-    assert all(item in (line.strip(), reports[0]) for item in lines)
+    told = [item for item in lines if "log_lines_dropped" in item]
+    assert len(told) == 1
+    assert all(item in (line.strip(), told[0]) for item in lines)
     os.close(reading)
     os.close(writing)
 
--- a/walkcart/membership/coldshares.py
+++ b/walkcart/membership/coldshares.py
@@ -193,8 +193,8 @@
     async def _take_any(self, data_centre: str) -> None:
         """Take any share of a data centre, beginning at this instance's rank."""
         preferred = self._demand.rank(data_centre).index(self._registration.own.name)
-        for offset in range(SHARE_COUNT):
-            share = ColdShare((preferred + offset) % SHARE_COUNT, SHARE_COUNT)
+        for step in range(SHARE_COUNT):
+            share = ColdShare((preferred + step) % SHARE_COUNT, SHARE_COUNT)
             if await self._take(data_centre, share):
                 self._retry_intervals.pop(data_centre, None)
                 return
--- a/walkcart/membership/detector.py
+++ b/walkcart/membership/detector.py
@@ -229,11 +229,11 @@
         probe = self._probes.get(message.number)
         if probe is not None and probe.target == message.target:
             probe.answered.set()
-        request = self._indirect_pings.pop(message.number, None)
-        if request is not None:
-            requester, number = request
+        asked = self._indirect_pings.pop(message.number, None)
+        if asked is not None:
+            name, number = asked
             digest = self._gossip.make_digest()
-            self._links.send(requester, Ack(number, message.target, digest))
+            self._links.send(name, Ack(number, message.target, digest))
 
     def _on_ping_request(self, sender: str, message: Message) -> None:
         assert isinstance(message, PingRequest)
--- a/walkcart/membership/feeding.py
+++ b/walkcart/membership/feeding.py
@@ -73,7 +73,7 @@
     def __init__(self) -> None:
         self.renewed_at = float("-inf")
         #: The revision that the subscriber last reported, by prefix.
-        self.reported_revisions: dict[str, int] = {}
+        self.told: dict[str, int] = {}
         #: The message of each prefix that is not acknowledged yet.
         self.in_flight: dict[str, _SentMessage] = {}
 
@@ -85,10 +85,10 @@
             lost = now - sent_message.sent_at > RESEND_TIMEOUT.total_seconds()
             # A lower revision than before comes from a new process, for which no
             # message is on its way.
-            restarted = revision < self.reported_revisions.get(prefix, 0)
+            restarted = revision < self.told.get(prefix, 0)
             if arrived or lost or restarted:
                 del self.in_flight[prefix]
-        self.reported_revisions[prefix] = revision
+        self.told[prefix] = revision
 
 
 class Feeder:
@@ -202,7 +202,7 @@
         prefix = follower.prefix
         if prefix in subscriber.in_flight or not self._is_fresh(follower):
             return
-        base = subscriber.reported_revisions.get(prefix, 0)
+        base = subscriber.told.get(prefix, 0)
         changes = follower.changes_after(base)
         if changes == ():
             return
@@ -228,9 +228,9 @@
     def _pack(
         self, prefix: str, base: int, revision: int, changes: Iterable[Change]
     ) -> bytes:
-        cached = self._packed.get(prefix)
-        if cached is not None and cached[0] == (base, revision):
-            return cached[1]
+        held = self._packed.get(prefix)
+        if held is not None and held[0] == (base, revision):
+            return held[1]
         packed = pack_changes(changes)
         self._packed[prefix] = ((base, revision), packed)
         return packed
--- a/walkcart/membership/marks.py
+++ b/walkcart/membership/marks.py
@@ -54,11 +54,11 @@
             incarnation: the incarnation that is leaving; 0, from a source that doesn't
                 know it, stands for the newest known one.
         """
-        marked = incarnation or self._live.get(address, 0)
-        if self._leaving.get(address, -1) >= marked:
+        life = incarnation or self._live.get(address, 0)
+        if self._leaving.get(address, -1) >= life:
             return False
         was_leaving = self.is_leaving(address)
-        self._leaving[address] = marked
+        self._leaving[address] = life
         self._notify(address, was_leaving)
         return not was_leaving and self.is_leaving(address)
 
@@ -81,6 +81,6 @@
         is_leaving = self.is_leaving(address)
         if is_leaving == was_leaving:
             return
-        incarnation = self._leaving[address] if is_leaving else self._live[address]
+        life = self._leaving[address] if is_leaving else self._live[address]
         for listener in self._listeners:
-            listener(address, incarnation, is_leaving)
+            listener(address, life, is_leaving)
--- a/walkcart/membership/outbox.py
+++ b/walkcart/membership/outbox.py
@@ -50,9 +50,9 @@
 
     def withdraw(self, message: Message) -> bool:
         """Remove `message`; return False if it is no longer queued."""
-        for index, (_, queued) in enumerate(self._messages):
+        for place, (_, queued) in enumerate(self._messages):
             if queued is message:
-                del self._messages[index]
+                del self._messages[place]
                 return True
         return False
 
@@ -67,7 +67,7 @@
         self._wakeup.set()
 
     async def wait(self) -> bool:
-        """Wait for a message; return False if none came before the idle timeout or end."""
+        """Wait for a message; return False if none came in time or before the end."""
         if not self._messages and not self.ended:
             self._wakeup = trio.Event()
             with trio.move_on_after(IDLE_TIMEOUT.total_seconds()):
--- a/walkcart/membership/quarantinegossip.py
+++ b/walkcart/membership/quarantinegossip.py
@@ -91,17 +91,17 @@
             return
         self._round += 1
         chosen = sorted(entries, key=lambda item: item[1].weight)[-MAX_ENTRIES:]
-        news = QuarantineNews(tuple(self._encode(*item) for item in chosen))
-        self._links.send(peers[self._round % len(peers)], news)
+        told = tuple(self._encode(*item) for item in chosen)
+        self._links.send(peers[self._round % len(peers)], QuarantineNews(told))
 
     def _encode(self, fingerprint: bytes, held: StrikeRecord) -> QuarantineEntry:
         now = self._clock.monotonic()
-        answered_age = now - held.answered_at
+        answered = now - held.answered_at
         return QuarantineEntry(
             fingerprint,
             tuple(sorted(held.strikes)),
             now - held.struck_at,
-            min(NEVER, answered_age),
+            min(NEVER, answered),
         )
 
     def _on_message(self, sender: str, message: Message, age: float) -> None:
@@ -109,8 +109,8 @@
         # The delay is unknown until the sender has received an envelope from here.
         delay = age if isfinite(age) else 0.0
         now = self._clock.monotonic()
-        for fingerprint, record in _decode_valid(message.entries, now - delay):
-            if not self._quarantine.merge(fingerprint, record, now):
+        for fingerprint, told in _decode_valid(message.entries, now - delay):
+            if not self._quarantine.merge(fingerprint, told, now):
                 continue
             self._on_news(fingerprint)
             if self._may_relay():
@@ -130,11 +130,11 @@
             continue
         if not all(isfinite(age) and age >= 0.0 for age in ages):
             continue
-        answered_at = float("-inf")
+        answered = float("-inf")
         if entry.answered_age < NEVER:
-            answered_at = sent_at - entry.answered_age
+            answered = sent_at - entry.answered_age
         struck_at = sent_at - entry.struck_age
         yield (
             entry.fingerprint,
-            StrikeRecord(frozenset(entry.strikes), struck_at, answered_at),
+            StrikeRecord(frozenset(entry.strikes), struck_at, answered),
         )
--- a/walkcart/membership/quarantinekeys.py
+++ b/walkcart/membership/quarantinekeys.py
@@ -90,10 +90,10 @@
     async def _store_next(self) -> None:
         fingerprint = self._queue[0]
         now = self._clock.monotonic()
-        still_refused = (
+        wanted = (
             self._quarantine.find_level(fingerprint, now) is QuarantineLevel.REFUSED
         )
-        if still_refused and not await self._put(fingerprint):
+        if wanted and not await self._put(fingerprint):
             await trio.sleep(self._backoff.next_delay().total_seconds())
             return
         self._backoff.reset()
--- a/walkcart/membership/quotaclient.py
+++ b/walkcart/membership/quotaclient.py
@@ -282,6 +282,6 @@
             return None
         del self._pending[number]
         self._silent_until.pop(sender, None)
-        reply_time = self._clock.monotonic() - pending.sent_at
-        self._reply_timeouts[sender].record(reply_time)
+        taken = self._clock.monotonic() - pending.sent_at
+        self._reply_timeouts[sender].record(taken)
         return pending
--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -45,10 +45,10 @@
 
     Args:
         holder: the accountant.
-        last_holder: the name of the last known accountant; empty if none was known.
+        last: the name of the last known accountant; empty if none was known.
         released: the revision of the key that its accountant announced to be unused.
         offered: the revision of the key that its accountant can't renew.
-        requested: the revision of the key when this instance last asked the accountant
+        wanted: the revision of the key when this instance last asked the accountant
             to release the share to it.
         last_heard_at: when an accountant was last heard of, in seconds; None if none
             ever was.
@@ -57,10 +57,10 @@
     """
 
     holder: Holder = Holder()
-    last_holder: str = ""
+    last: str = ""
     released: int = 0
     offered: int = 0
-    requested: int = 0
+    wanted: int = 0
     last_heard_at: float | None = None
     attempts: int = 0
     retry_at: float = 0.0
@@ -101,24 +101,24 @@
 
     def record(self, share: int, holder: Holder) -> None:
         """Record the accountant of a share, from any source."""
-        state = self._shares[share]
-        was_released = not holder.name and holder.revision == state.holder.revision
-        if holder.revision > state.holder.revision or was_released:
-            is_other = holder.name not in ("", state.last_holder)
-            state.last_holder = holder.name or state.last_holder
-            state.holder = holder
-            state.attempts, state.retry_at = 0, 0.0
+        known = self._shares[share]
+        was_released = not holder.name and holder.revision == known.holder.revision
+        if holder.revision > known.holder.revision or was_released:
+            is_other = holder.name not in ("", known.last)
+            known.last = holder.name or known.last
+            known.holder = holder
+            known.attempts, known.retry_at = 0, 0.0
             if is_other:
                 self._listener(holder.name)
 
     def record_announcement(self, share: int, holder: Holder) -> bool:
         """Record an accountant's own message; return False if it is outdated."""
         self.record(share, holder)
-        state = self._shares[share]
-        if holder.revision < state.holder.revision:
+        known = self._shares[share]
+        if holder.revision < known.holder.revision:
             return False
-        state.last_heard_at = self._clock.monotonic()
-        state.attempts, state.retry_at = 0, 0.0
+        known.last_heard_at = self._clock.monotonic()
+        known.attempts, known.retry_at = 0, 0.0
         return True
 
     def record_released(self, share: int, revision: int) -> None:
@@ -140,8 +140,8 @@
 
     def pop_offer(self, share: int) -> int:
         """Return the offered revision and clear the offer; return 0 without one."""
-        state = self._shares[share]
-        offered, state.offered = state.offered, 0
+        known = self._shares[share]
+        offered, known.offered = known.offered, 0
         return offered
 
     def record_requested(self, share: int, revision: int) -> None:
@@ -165,9 +165,9 @@
             )
             return None
         self.record(share, Holder(stored.key.holder, stored.revision))
-        state = self._shares[share]
-        if state.last_heard_at is None and stored.key.holder:
-            state.last_heard_at = self._clock.monotonic()
+        known = self._shares[share]
+        if known.last_heard_at is None and stored.key.holder:
+            known.last_heard_at = self._clock.monotonic()
         return share, stored
 
     def find_candidates(self, share: int) -> list[str]:
@@ -190,14 +190,14 @@
             since: when shares began to be needed, in seconds.
             is_busy: whether this instance accounts another share.
         """
-        state = self._shares[share]
+        known = self._shares[share]
         now = self._clock.monotonic()
-        if now < state.retry_at:
+        if now < known.retry_at:
             return False
-        if state.holder.name == self.own:
+        if known.holder.name == self.own:
             # Stored by an earlier process of this instance; no other can take it yet.
             return True
-        if state.requested and state.holder == Holder("", state.requested):
+        if known.wanted and known.holder == Holder("", known.wanted):
             # Released for this instance, and not taken by another one yet.
             return True
         if not self._registration.is_settled:
@@ -206,14 +206,14 @@
         if self.own not in candidates:
             return False
         # The last accountant is the least likely to take the share, so it comes last.
-        order = sorted(candidates, key=lambda name: name == state.last_holder)
-        was_heard = bool(state.holder.name) and state.last_heard_at is not None
-        start = max(since, state.last_heard_at or since)
+        order = sorted(candidates, key=lambda name: name == known.last)
+        was_heard = bool(known.holder.name) and known.last_heard_at is not None
+        start = max(since, known.last_heard_at or since)
         wait = find_attempt_delay(order.index(self.own), is_busy, was_heard)
         return now >= start + wait
 
     def record_attempt(self, share: int) -> None:
         """Record that this instance tries to take a share."""
-        state = self._shares[share]
-        state.attempts += 1
-        state.retry_at = self._clock.monotonic() + find_retry_delay(state.attempts)
+        known = self._shares[share]
+        known.attempts += 1
+        known.retry_at = self._clock.monotonic() + find_retry_delay(known.attempts)
--- a/walkcart/membership/quotakeys.py
+++ b/walkcart/membership/quotakeys.py
@@ -182,7 +182,7 @@
         until = max(taken.until, _find_expiry(renewed, sent_at))
         return TakenKey(taken.stored, renewed, until)
 
-    async def reset_starts(self, share: int, taken: TakenKey) -> TakenKey | None:
+    async def settle(self, share: int, taken: TakenKey) -> TakenKey | None:
         """Reset the count of starts of a share that was held for a whole window.
 
         Returns:
--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -180,7 +180,7 @@
             taken = await self._keys.renew(held.taken)
             outlasted = self._clock.monotonic() - held.since > self._bounds.window
             if taken is not None and outlasted and taken.stored.key.starts:
-                taken = await self._keys.reset_starts(share, taken)
+                taken = await self._keys.settle(share, taken)
         except StoreUnavailable:
             # `StoreCalls` logs the first failure of a series.
             if held.requested_by:
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -103,10 +103,8 @@
         self._backoff = backoff
         self._events = events
         self._others: dict[str, InstanceRecord] = {}
-        #: The number of instances at each read, with its time in seconds.
         self._counts: deque[tuple[float, int]] = deque()
         self._registered: Registered | None = None
-        #: Cycles of `run` that have succeeded.
         self._cycles = 0
         self._started_at = clock.monotonic()
         self._is_stopping = False
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -30,7 +30,7 @@
 from walkcart.membership.feeding import Feeder, unpack_changes
 from walkcart.membership.links import PeerLinks
 from walkcart.membership.registration import Registration
-from walkcart.membership.watchers import SUSPECT_AGE, FeederChoice, Watchers
+from walkcart.membership.watchers import SUSPECT, FeederChoice, Watchers
 from walkcart.store.calls import StoreCalls
 from walkcart.store.follower import PrefixFollower
 from walkcart.store.packing import BadValue
@@ -52,10 +52,10 @@
 #: Heartbeats come each second. Together with the time between two checks and a read of
 #: about 0.3 s on a busy machine, this stays within the three seconds that operators
 #: allow for a change to take effect.
-LATE_AGE = timedelta(seconds=1.8)
-#: A feeder is accepted again once the copy is this new. The gap to `LATE_AGE` prevents
+LATE = timedelta(seconds=1.8)
+#: A feeder is accepted again once the copy is this new. The gap to `LATE` prevents
 #: a feeder that is barely late from causing a read of the store each second.
-FRESH_AGE = timedelta(seconds=0.9)
+GOOD = timedelta(seconds=0.9)
 #: Time after the start until an instance subscribes. Before that it reads the store
 #: itself, which takes about 50 ms; a feeder would have to send all of the copies.
 FIRST_READ_DELAY = timedelta(seconds=0.3)
@@ -171,14 +171,12 @@
             self._set_fed(False, "watches itself")
             return
         age = now - min(self._complete_at.values())
-        is_late = (
-            age > SUSPECT_AGE.total_seconds() and self._feeder_choice.is_grace_over()
-        )
+        is_late = age > SUSPECT.total_seconds() and self._feeder_choice.is_grace_over()
         if is_late or self._feeder_choice.is_far_too_long():
             self._choose_feeder()
-        if age > LATE_AGE.total_seconds():
-            was_heard = now - self._last_heard_at <= LATE_AGE.total_seconds()
-            self._set_fed(False, "late" if was_heard else "silence", age)
+        if age > LATE.total_seconds():
+            heard = now - self._last_heard_at <= LATE.total_seconds()
+            self._set_fed(False, "late" if heard else "silence", age)
 
     def _choose_feeder(self) -> None:
         if self._feeder_choice.feeder is not None:
@@ -315,5 +313,5 @@
         held = self._complete_at[follower.prefix]
         self._complete_at[follower.prefix] = max(held, now - age)
         age = now - min(self._complete_at.values())
-        if age <= FRESH_AGE.total_seconds():
+        if age <= GOOD.total_seconds():
             self._set_fed(True, "heard", age)
--- a/walkcart/membership/tests/test_feeder_choice.py
+++ b/walkcart/membership/tests/test_feeder_choice.py
@@ -8,7 +8,7 @@
     MAX_FAR_TIME,
     SILENT_TTL,
     SPARE_WATCHERS,
-    SUSPECT_AGE,
+    SUSPECT,
     WATCHERS_PER_DATA_CENTRE,
     FeederChoice,
     Watchers,
@@ -71,7 +71,7 @@
     while choice.switch_to_other():
         pass
     assert choice.find_responsive() is None
-    clock.time += SUSPECT_AGE.total_seconds() + 0.01
+    clock.time += SUSPECT.total_seconds() + 0.01
     assert choice.is_grace_over()
     assert choice.find_responsive() is not None
 
--- a/walkcart/membership/tests/test_feeding.py
+++ b/walkcart/membership/tests/test_feeding.py
@@ -153,9 +153,9 @@
     fixture.clock.time += 0.4
     fixture.feeder.send_heartbeats_if_due()
     fixture.feeder.send_heartbeats_if_due()
-    (heartbeat,) = fixture.links.pop_sent()
-    assert isinstance(heartbeat, RelayCurrent)
-    assert round(heartbeat.states[PREFIX].current_age, 3) == 0.4
+    (sign,) = fixture.links.pop_sent()
+    assert isinstance(sign, RelayCurrent)
+    assert round(sign.states[PREFIX].current_age, 3) == 0.4
     fixture.pass_time(HEARTBEAT_INTERVAL)
     fixture.feeder.send_heartbeats_if_due()
     assert len(fixture.links.pop_sent()) == 1
--- a/walkcart/membership/tests/test_leaving_leaf.py
+++ b/walkcart/membership/tests/test_leaving_leaf.py
@@ -19,15 +19,15 @@
             assert asked.content["coverage"]["complete"]
 
 
-def run_leaving(report):
-    """Report the leaf as leaving by `report`; return its late runs and its refusals."""
+def run_leaving(how):
+    """Report the leaf as leaving by `how`; return its late runs and its refusals."""
 
     async def run():
         async with open_estate() as world:
             leaf = world.leaves[NAME].leaf
             await query_all(world, 1.0)
             start = trio.current_time()
-            report(world, leaf)
+            how(world, leaf)
             await query_all(world, 6.0)
             late = [
                 item.at - start for item in leaf.runs if item.at > start + MAX_DELAY
@@ -38,21 +38,21 @@
 
 
 def test_leaf_reports_itself():
-    def report(world, leaf):
+    def how(world, leaf):
         leaf.faults.leaving = True
 
-    late, refused = run_leaving(report)
+    late, refused = run_leaving(how)
     assert not late
     # Each of the three instances may be refused once; most learn it from a peer.
     assert refused <= 3
 
 
 def test_only_the_lagging_list_reports():
-    def report(world, leaf):
+    def how(world, leaf):
         world.listing.lag = 1.0
         world.listing.set_state(NAME, "leaving")
 
-    late, _ = run_leaving(report)
+    late, _ = run_leaving(how)
     assert not late
 
 
--- a/walkcart/membership/tests/test_quarantine_news.py
+++ b/walkcart/membership/tests/test_quarantine_news.py
@@ -69,7 +69,7 @@
 
         self.links.send = count
         peers = QuarantinePeers(self, self)
-        self.gossip = QuarantineGossip(
+        self.spread = QuarantineGossip(
             self.quarantine,
             self.links,
             clock,
@@ -78,18 +78,18 @@
             lambda fingerprint: None,
         )
         await nursery.start(self.links.run)
-        await nursery.start(self.gossip.run)
+        await nursery.start(self.spread.run)
 
     def strike(self, *numbers):
         now = trio.current_time()
         for number in numbers:
             self.quarantine.record_strike(FINGERPRINT, number, now)
-        self.gossip.broadcast(FINGERPRINT)
+        self.spread.broadcast(FINGERPRINT)
 
     def refuses(self):
         now = trio.current_time()
-        level = self.quarantine.find_level(FINGERPRINT, now)
-        return level is QuarantineLevel.REFUSED
+        standing = self.quarantine.find_level(FINGERPRINT, now)
+        return standing is QuarantineLevel.REFUSED
 
 
 def run_fleet(size, scenario):
--- a/walkcart/membership/watchers.py
+++ b/walkcart/membership/watchers.py
@@ -31,10 +31,10 @@
 
 #: A receiver whose copy was last confirmed complete longer ago switches to another
 #: feeder. Heartbeats come each second, and the time left until
-#: `walkcart.membership.relaying.LATE_AGE` covers one check and the reply of the new
+#: `walkcart.membership.relaying.LATE` covers one check and the reply of the new
 #: feeder, which takes milliseconds. So the subscribers of a dead feeder don't all read
 #: the store.
-SUSPECT_AGE = timedelta(seconds=1.3)
+SUSPECT = timedelta(seconds=1.3)
 
 
 class Watchers:
@@ -109,8 +109,8 @@
             if record.data_centre != self._registration.own.data_centre:
                 by_data_centre.setdefault(record.data_centre, []).append(record.name)
         found = []
-        for data_centre, names in by_data_centre.items():
-            names.sort(key=lambda name: rank_rendezvous(data_centre, name))
+        for place, names in by_data_centre.items():
+            names.sort(key=lambda name: rank_rendezvous(place, name))
             found += names[:WATCHERS_PER_DATA_CENTRE]
         return found
 
@@ -160,7 +160,7 @@
 
     def is_grace_over(self) -> bool:
         """Return whether the current feeder has had enough time to answer."""
-        return self._clock.monotonic() - self._chosen_at > SUSPECT_AGE.total_seconds()
+        return self._clock.monotonic() - self._chosen_at > SUSPECT.total_seconds()
 
     def is_far_too_long(self) -> bool:
         """Return whether a far feeder has been in use for `MAX_FAR_TIME`."""
@@ -197,7 +197,7 @@
         if name is None:
             return None
         age = self._clock.monotonic() - self._silent.get(name, float("-inf"))
-        return name if age >= SUSPECT_AGE.total_seconds() else None
+        return name if age >= SUSPECT.total_seconds() else None
 
     def _find_longest_silent(self) -> str | None:
         """Return the candidate that never failed or failed longest ago."""
--- a/walkcart/store/tests/test_follower.py
+++ b/walkcart/store/tests/test_follower.py
@@ -16,13 +16,13 @@
 KEYS = "abcde"
 
 
-def make_follower(notified=None, is_significant=differ):
+def make_follower(told=None, is_significant=differ):
     calls = SimpleNamespace(on_recovered=lambda listener: None)
     backoff = Backoff(timedelta(seconds=1), timedelta(seconds=1), Random(1))
 
     def listen(update):
-        if notified is not None:
-            notified.append(update.changed)
+        if told is not None:
+            told.append(update.changed)
 
     return PrefixFollower(
         None,
@@ -80,9 +80,9 @@
     feeder, receiver = make_follower(), make_follower()
     feeder.replace({}, 0)
     receiver.replace(find_items(history, base), base)
-    for step, source in steps:
+    for step, how in steps:
         revision = min(len(history), max(step, feeder.revision))
-        match source:
+        match how:
             case "copy":
                 feeder.replace(find_items(history, revision), revision)
             case "pages":
@@ -96,7 +96,7 @@
     if changes is None:
         # The changes are unknown, since the feeder took a full copy of a later
         # revision.
-        assert any(source != "watch" for _, source in steps)
+        assert any(how != "watch" for _, how in steps)
         return
     receiver.apply(changes, feeder.revision)
     assert find_revisions(receiver) == find_revisions(feeder)
@@ -117,13 +117,13 @@
 
 
 def test_insignificant_value_is_kept_without_notification():
-    notified = []
-    follower = make_follower(notified, is_significant=lambda old, new: False)
+    told = []
+    follower = make_follower(told, is_significant=lambda old, new: False)
     follower.replace({}, 0)
-    notified.clear()
+    told.clear()
     follower.apply([Item("a", b"1", 1)], 1)
     assert not follower.apply([Item("a", b"2", 2)], 2)
-    assert notified == [frozenset("a")]
+    assert told == [frozenset("a")]
     assert follower.changes_after(1) == ()
     assert [item.value for item in follower.items()] == [b"2"]
 
@@ -153,9 +153,9 @@
     def rises(old, new):
         return int(new) > int(old)
 
-    notified = []
-    receiver = make_follower(notified, rises)
+    told = []
+    receiver = make_follower(told, rises)
     receiver.replace({"leaf": Item("leaf", b"3000", 1)}, 1)
     # The feeder saw 3000, then 0, which it didn't pass on, and then 1800.
     receiver.apply([Item("leaf", b"1800", 3)], 3, Origin("feeder", 0.1))
-    assert notified == [{"leaf"}, {"leaf"}]
+    assert told == [{"leaf"}, {"leaf"}]
