--- a/walkcart/intent/distribution.py
+++ b/walkcart/intent/distribution.py
@@ -98,9 +98,11 @@
         self._pushes: dict[str, ConfigurationPush] = {}
         self._listeners: list[Callable[[Document], None]] = []
         self._was_isolated = False
-        #: A version of the view, and whether it selects this instance as a watcher.
+        #: A version of the view, and whether it selects this instance as a watcher;
+        #: recomputed only when the version changes.
         self._watcher_selection = (-1, False)
-        #: The version of the view in which no peer had a newer revision.
+        #: The version of the view in which no peer had a newer revision; the peers are
+        #: compared again only when the version changes.
         self._checked_version = -1
         links.on(ConfigurationPull, self._on_pull)
         links.on(ConfigurationPush, self._on_push)
--- a/walkcart/intent/loading.py
+++ b/walkcart/intent/loading.py
@@ -94,14 +94,14 @@
     for key in row.keys() - known:
         expected = f"one of the fields {', '.join(sorted(known))}"
         faults.append(ConfigurationFault(f"{place}, {key}", expected))
-    values = {key: value for key, value in row.items() if key in known}
-    if isinstance(values.get("layouts"), list):
-        values["layouts"] = [
+    ready = {key: value for key, value in row.items() if key in known}
+    if isinstance(ready.get("layouts"), list):
+        ready["layouts"] = [
             _load_object(Layout, item, f"{place}, layout", faults)
-            for item in values["layouts"]
+            for item in ready["layouts"]
         ]
-    values = {key: _convert_duration(cls, key, value) for key, value in values.items()}
-    return msgspec.convert(values, cls, builtin_types=(timedelta,))
+    ready = {key: _convert_duration(cls, key, value) for key, value in ready.items()}
+    return msgspec.convert(ready, cls, builtin_types=(timedelta,))
 
 
 def _convert_duration(cls: type, key: str, value: Any) -> Any:
--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -251,7 +251,7 @@
                     lost = len(messages) + len(link)
                     self._metrics.count("peer.dropped", lost)
                     detail = (
-                        f"no envelope sent within {SEND_TIMEOUT.total_seconds()} s: "
+                        f"not taken by the peer within {SEND_TIMEOUT.total_seconds()} s: "
                         f"{lost} messages lost"
                     )
                     self._events.emit(Events.PEER_SLOW, peer=name, detail=detail)
--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -33,8 +33,7 @@
 #: Seconds between two renewals, and between two heartbeats to the other candidates.
 REFRESH_INTERVAL = 1.0
 #: Seconds without a renewal after which an accountant offers its share to an instance
-#: that reaches the store. By then two attempts have failed, and there is time for a few
-#: more before the lease ends.
+#: that reaches the store: two attempts have failed, and the lease allows a few more.
 WEAK_AFTER = 3.0
 
 
@@ -48,8 +47,7 @@
         since: when the share was taken, in seconds.
         tried_at: when a renewal of the lease was last attempted, in seconds.
         renewed_at: when a renewal last succeeded, in seconds.
-        requested_by: the name of the instance that reaches the store and has asked for
-            the share since the last renewal; empty if there is none.
+        wanted_by: the instance that reaches the store and asked for the share, if any.
     """
 
     taken: TakenKey
@@ -57,7 +55,7 @@
     since: float
     tried_at: float
     renewed_at: float
-    requested_by: str = ""
+    wanted_by: str = ""
 
 
 class QuotaShares:
@@ -144,7 +142,7 @@
             self._needed_since = self._clock.monotonic()
         for share, held in list(self._held.items()):
             due = self._clock.monotonic() >= held.tried_at + REFRESH_INTERVAL / 2
-            if due or held.requested_by:
+            if due or held.wanted_by:
                 await self._renew(share, held)
         for share in range(MAX_SHARES):
             if share in self._held:
@@ -183,10 +181,8 @@
                 taken = await self._keys.settle(share, taken)
         except StoreUnavailable:
             # `StoreCalls` logs the first failure of a series.
-            if held.requested_by:
-                self._drop(
-                    share, f"released to {held.requested_by}: it reaches the store"
-                )
+            if held.wanted_by:
+                self._drop(share, f"released to {held.wanted_by}: it reaches the store")
             elif self._clock.monotonic() >= held.taken.until:
                 self._drop(share, "the store wasn't reached in time")
             return
@@ -194,14 +190,13 @@
             self._drop(share, "the lease or the key is gone")
         else:
             held.taken, held.renewed_at = taken, held.tried_at
-            held.requested_by = ""
+            held.wanted_by = ""
 
     def _drop(self, share: int, reason: str) -> None:
         held = self._held.pop(share, None)
         if held is not None:
             self._report_lost(share, reason)
-            # Its key may still be stored. A candidate that gets this message may take
-            # the share at once, any other one when the key has expired.
+            # The key may still exist. Receivers of this needn't wait until it expires.
             self._send_to_candidates(
                 share, QuotaHolder(share, "", held.taken.stored.revision)
             )
@@ -301,5 +296,5 @@
         if held is None or held.taken.stored.revision != message.revision:
             return
         if self._clock.monotonic() >= held.renewed_at + WEAK_AFTER:
-            held.requested_by = sender
+            held.wanted_by = sender
             self.wake()
--- a/walkcart/membership/registration.py
+++ b/walkcart/membership/registration.py
@@ -192,7 +192,7 @@
         self._registered = None
 
     def set_watching_check(self, is_watching: Callable[[], bool]) -> None:
-        """Renew often while `is_watching` returns True: others depend on its watch."""
+        """Renew often while this instance watches the store, as `is_watching` tells."""
         self._is_watching = is_watching
 
     def _renew_interval(self) -> float:
--- a/walkcart/membership/tests/test_feeding.py
+++ b/walkcart/membership/tests/test_feeding.py
@@ -179,7 +179,7 @@
             unpack_changes(bad)
         except BadValue:
             continue
-        raise AssertionError(f"{bad!r} was decoded")
+        raise AssertionError(f"{bad!r} was taken")
 
 
 @given(
--- a/walkcart/store/client.py
+++ b/walkcart/store/client.py
@@ -124,7 +124,7 @@
         entry = self._read_entry(reply)
         if entry.revision <= after:
             raise self._calls.reject_reply(
-                f"a watch returned revision {entry.revision}, expected above {after}"
+                f"a watch after {after} returned revision {entry.revision}"
             )
         return entry
 
