--- a/walkcart/membership/links.py
+++ b/walkcart/membership/links.py
@@ -251,8 +251,8 @@
                     lost = len(messages) + len(link)
                     self._metrics.count("peer.dropped", lost)
                     detail = (
-                        f"not taken by the peer within {SEND_TIMEOUT.total_seconds()} s: "
-                        f"{lost} messages lost"
+                        "not taken by the peer within "
+                        f"{SEND_TIMEOUT.total_seconds()} s: {lost} messages lost"
                     )
                     self._events.emit(Events.PEER_SLOW, peer=name, detail=detail)
                     break
--- a/walkcart/membership/outbox.py
+++ b/walkcart/membership/outbox.py
@@ -67,7 +67,7 @@
         self._wakeup.set()
 
     async def wait(self) -> bool:
-        """Wait for a message; return False if none came before `IDLE_TIMEOUT` or `end`."""
+        """Wait for a message; return False if none came by `IDLE_TIMEOUT` or `end`."""
         if not self._messages and not self.ended:
             self._wakeup = trio.Event()
             with trio.move_on_after(IDLE_TIMEOUT.total_seconds()):
--- a/walkcart/store/backoff.py
+++ b/walkcart/store/backoff.py
@@ -25,7 +25,7 @@
         self._next = self._first
 
     def next_delay(self) -> timedelta:
-        """Return the next delay, random between half of a growing bound and the bound."""
+        """Return the next delay, random from half of a growing bound to the bound."""
         bound = self._next
         self._next = min(self._next * GROWTH_FACTOR, self._limit)
         return timedelta(seconds=bound * self._random.uniform(0.5, 1.0))
