--- a/walkcart/membership/detector.py
+++ b/walkcart/membership/detector.py
@@ -240,6 +240,7 @@
         self._merge_digest(message.digest)
         number = self._next_number()
         self._indirect_pings[number] = (sender, message.number)
+        # Pings that are never answered would accumulate; the oldest is dropped.
         if len(self._indirect_pings) > 1000:
             self._indirect_pings.pop(next(iter(self._indirect_pings)))
         digest = self._gossip.make_digest(message.target)
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -53,8 +53,8 @@
 #: about 0.3 s on a busy machine, this stays within the three seconds that operators
 #: allow for a change to take effect.
 LATE = timedelta(seconds=1.8)
-#: A feeder is accepted again once the copy is this new. The gap to `LATE` prevents
-#: a feeder that is barely late from causing a read of the store each second.
+#: A feeder is accepted again once the copy is this new. The gap to `LATE` prevents a
+#: feeder that is barely late from causing a read of the store each second.
 GOOD = timedelta(seconds=0.9)
 #: Time after the start until an instance subscribes. Before that it reads the store
 #: itself, which takes about 50 ms; a feeder would have to send all of the copies.
@@ -129,7 +129,7 @@
         )
 
     def _is_handing_over(self) -> bool:
-        """Return whether this former watcher still has to feed its subscribers."""
+        """Return whether this instance was a watcher recently and has subscribers."""
         age = self._clock.monotonic() - self._last_watcher_at
         return age < HANDOVER_TIME.total_seconds() and self._feeder.has_subscribers()
 
--- a/walkcart/membership/watchers.py
+++ b/walkcart/membership/watchers.py
@@ -31,9 +31,9 @@
 
 #: A receiver whose copy was last confirmed complete longer ago switches to another
 #: feeder. Heartbeats come each second, and the time left until
-#: `walkcart.membership.relaying.LATE` covers one check and the reply of the new
-#: feeder, which takes milliseconds. So the subscribers of a dead feeder don't all read
-#: the store.
+#: `walkcart.membership.relaying.LATE` covers one check and the reply of the new feeder,
+#: which takes milliseconds. So the subscribers of a dead feeder don't all read the
+#: store.
 SUSPECT = timedelta(seconds=1.3)
 
 
@@ -163,7 +163,7 @@
         return self._clock.monotonic() - self._chosen_at > SUSPECT.total_seconds()
 
     def is_far_too_long(self) -> bool:
-        """Return whether a far feeder has been in use for `MAX_FAR_TIME`."""
+        """Return whether the feeder is far and in use for more than `MAX_FAR_TIME`."""
         if self.feeder is None or not self._watchers.is_far(self.feeder):
             return False
         return self._clock.monotonic() - self._chosen_at > MAX_FAR_TIME
