--- a/walkcart/membership/feeding.py
+++ b/walkcart/membership/feeding.py
@@ -119,7 +119,8 @@
         self._subscribers: dict[str, _Subscriber] = {}
         self._changed_at = dict.fromkeys(followers, clock.monotonic())
         self._heartbeat_at = float("-inf")
-        #: The last packed changes of each prefix; most subscribers need the same ones.
+        #: The last packed changes of each prefix, with the revisions before and after
+        #: them; most subscribers need the same ones. A full copy has -1 as the first.
         self._packed: dict[str, tuple[tuple[int, int], bytes]] = {}
         for follower in followers.values():
             follower.on_change = self._on_change
--- a/walkcart/membership/quarantinegossip.py
+++ b/walkcart/membership/quarantinegossip.py
@@ -133,8 +133,8 @@
         answered = float("-inf")
         if entry.answered_age < NEVER:
             answered = sent_at - entry.answered_age
-        struck = sent_at - entry.struck_age
+        struck_at = sent_at - entry.struck_age
         yield (
             entry.fingerprint,
-            StrikeRecord(frozenset(entry.strikes), struck, answered),
+            StrikeRecord(frozenset(entry.strikes), struck_at, answered),
         )
--- a/walkcart/membership/quarantinekeys.py
+++ b/walkcart/membership/quarantinekeys.py
@@ -119,7 +119,7 @@
         """Merge a stored key, whose age is unknown, unless its request is known."""
         try:
             fingerprint = bytes.fromhex(item.key.removeprefix(QUARANTINE_PREFIX))
-            strikes = frozenset(int(word) for word in item.value.split(b","))
+            strikes = frozenset(int(part) for part in item.value.split(b","))
         except ValueError as error:
             self._events.emit(
                 Events.PEER_BAD_MESSAGE, key=item.key, detail=str(error)[:200]
--- a/walkcart/membership/quotaholders.py
+++ b/walkcart/membership/quotaholders.py
@@ -45,11 +45,13 @@
 
     Args:
         holder: the accountant.
-        last: the name of the last known accountant.
+        last: the name of the last known accountant; empty if none was known.
         released: the revision of the key that its accountant announced to be unused.
         offered: the revision of the key that its accountant can't renew.
-        wanted: the revision of the key that this instance asked its accountant for.
-        last_heard_at: when it was last heard of, in seconds; None if it never was.
+        wanted: the revision of the key when this instance last asked the accountant
+            to release the share to it.
+        last_heard_at: when an accountant was last heard of, in seconds; None if none
+            ever was.
         attempts: attempts of this instance to take the share since then.
         retry_at: when this instance may try again, in seconds.
     """
@@ -143,7 +145,7 @@
         return offered
 
     def record_requested(self, share: int, revision: int) -> None:
-        """Record that this instance asked an accountant for its share."""
+        """Record that this instance asked the accountant to release a share to it."""
         self._shares[share].wanted = revision
 
     def record_lost(self, share: int) -> None:
--- a/walkcart/membership/quotashares.py
+++ b/walkcart/membership/quotashares.py
@@ -33,7 +33,7 @@
 #: Seconds between two renewals, and between two heartbeats to the other candidates.
 REFRESH_INTERVAL = 1.0
 #: Seconds without a renewal after which an accountant offers its share to an instance
-#: that reaches the store. Two attempts have failed; there is time for a few more.
+#: that reaches the store: two attempts have failed, and the lease allows a few more.
 WEAK_AFTER = 3.0
 
 
@@ -47,7 +47,7 @@
         since: when the share was taken, in seconds.
         tried_at: when a renewal of the lease was last attempted, in seconds.
         renewed_at: when a renewal last succeeded, in seconds.
-        wanted_by: the instance that since reached the store and asked for the share.
+        wanted_by: the instance that reaches the store and asked for the share, if any.
     """
 
     taken: TakenKey
@@ -160,9 +160,9 @@
     async def _release_held(self, reason: str) -> None:
         """Stop accounting all shares, and release them to others."""
         held, self._held = self._held, {}
-        for share, one in held.items():
+        for share, held_share in held.items():
             self._report_lost(share, reason)
-            await self._release(share, one.taken)
+            await self._release(share, held_share.taken)
 
     async def _release(self, share: int, taken: TakenKey) -> None:
         revision = await self._keys.release(share, taken)
@@ -176,8 +176,8 @@
         self._announce(share, held)
         try:
             taken = await self._keys.renew(held.taken)
-            settled = self._clock.monotonic() - held.since > self._bounds.window
-            if taken is not None and settled and taken.stored.key.starts:
+            outlasted = self._clock.monotonic() - held.since > self._bounds.window
+            if taken is not None and outlasted and taken.stored.key.starts:
                 taken = await self._keys.settle(share, taken)
         except StoreUnavailable:
             # `StoreCalls` logs the first failure of a series.
@@ -196,7 +196,7 @@
         held = self._held.pop(share, None)
         if held is not None:
             self._report_lost(share, reason)
-            # Its key may still be stored; the share is free once the key has expired.
+            # The key may still exist. Receivers of this needn't wait until it expires.
             self._send_to_candidates(
                 share, QuotaHolder(share, "", held.taken.stored.revision)
             )
@@ -290,7 +290,7 @@
             self.wake()
 
     def _on_takeover(self, sender: str, message: Message) -> None:
-        """Have a share that can't be renewed tried once more, or else released."""
+        """Try once more to renew an offered share, and give it up if that fails."""
         assert isinstance(message, QuotaTakeover)
         held = self._held.get(message.share)
         if held is None or held.taken.stored.revision != message.revision:
--- a/walkcart/membership/relaying.py
+++ b/walkcart/membership/relaying.py
@@ -129,12 +129,12 @@
         )
 
     def _is_handing_over(self) -> bool:
-        """Return whether it was a watcher until recently and has subscribers."""
+        """Return whether this instance was a watcher recently and has subscribers."""
         age = self._clock.monotonic() - self._last_watcher_at
         return age < HANDOVER_TIME.total_seconds() and self._feeder.has_subscribers()
 
     def _is_substitute(self) -> bool:
-        """Return whether it has subscribers and no feeder of its own."""
+        """Return whether this instance has subscribers but no feeder of its own."""
         return not self._is_fed and self._feeder.has_subscribers()
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
@@ -165,8 +165,8 @@
             self._last_watcher_at = now
             for follower in self._followers.values():
                 follower.begin_watching()
-        ranked = self._watchers.is_watcher() or self._is_handing_over()
-        if ranked and self._calls.reachable:
+        should_watch = self._watchers.is_watcher() or self._is_handing_over()
+        if should_watch and self._calls.reachable:
             self._feeder_choice.clear()
             self._set_fed(False, "watches itself")
             return
@@ -233,7 +233,7 @@
             return
         self._is_fed = fed
         if fed:
-            # Subscribers from the time when this instance had no feeder.
+            # These subscribed while this instance had no feeder.
             self._feeder.reject_subscribers()
         self._events.emit(
             Events.FEED,
--- a/walkcart/membership/tests/test_leaving_leaf.py
+++ b/walkcart/membership/tests/test_leaving_leaf.py
@@ -20,7 +20,7 @@
 
 
 def run_leaving(how):
-    """Make the leaf leave by `how`; return its late runs and its refusals."""
+    """Report the leaf as leaving by `how`; return its late runs and its refusals."""
 
     async def run():
         async with open_estate() as world:
--- a/walkcart/membership/watchers.py
+++ b/walkcart/membership/watchers.py
@@ -163,13 +163,13 @@
         return self._clock.monotonic() - self._chosen_at > SUSPECT.total_seconds()
 
     def is_far_too_long(self) -> bool:
-        """Return whether a feeder elsewhere has been in use for `MAX_FAR_TIME`."""
+        """Return whether the feeder is far and in use for more than `MAX_FAR_TIME`."""
         if self.feeder is None or not self._watchers.is_far(self.feeder):
             return False
         return self._clock.monotonic() - self._chosen_at > MAX_FAR_TIME
 
     def clear(self) -> None:
-        """Have no feeder."""
+        """Stop using the current feeder."""
         self.feeder = None
 
     def switch_to_next(self) -> None:
