--- a/walkcart/fanout/crashwatch.py
+++ b/walkcart/fanout/crashwatch.py
@@ -72,10 +72,10 @@
 
     def record_ended(self, service: str, count: int = 1) -> None:
         """Record that `count` leaves of `service` crashed under the question."""
-        was_lone = self._sole_service == service
+        was_sole = self._sole_service == service
         self.ended += count
         self._clear_sole_service(service)
-        if was_lone and not self.answered:
+        if was_sole and not self.answered:
             self.is_stopped = True
 
     def record_failed(self, service: str) -> None:
--- a/walkcart/fanout/delegationclient.py
+++ b/walkcart/fanout/delegationclient.py
@@ -45,9 +45,9 @@
 from walkcart.wire.messagebase import Message
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Seconds past the objective for which the answer is awaited of an instance that has
-#: been silent since it accepted the question. A message within as many seconds after
-#: the question is taken for the acceptance.
+#: Seconds past the objective for which an answer is awaited from an instance that has
+#: been silent since it accepted the question. A message that comes within this time
+#: after the question counts as the acceptance, not as a later sign of life.
 OVERDUE_GRACE = 0.05
 
 #: Seconds between two renewals of a question in progress: three fit into
@@ -141,9 +141,9 @@
             loan,
         )
         id = self._tools.ids.next_id()
-        way = self._tools.accounts.round_trip(peer.name)
+        round_trip = self._tools.accounts.round_trip(peer.name)
         lent = loan.services if loan else frozenset()
-        delegation = Delegation(id, wanted.services, top, way, lent)
+        delegation = Delegation(id, wanted.services, top, round_trip, lent)
         message = encode_question(question, delegation, now)
         if not self._tools.links.send(peer.name, message):
             return None
--- a/walkcart/fanout/delegationserver.py
+++ b/walkcart/fanout/delegationserver.py
@@ -71,7 +71,8 @@
 #: Key of a question: its sender, and the id that the sender gave it. Two senders may
 #: use the same id, and a sender can't cancel or renew a question of another.
 QuestionKey = tuple[str, str]
-#: Gathers a question from this instance and merges it to at most so many records.
+#: Gathers the parts of a question and merges them to at most the given number of
+#: records.
 Gather = Callable[[RoutedQuestion, int, Handover], Awaitable[Outcome]]
 
 
--- a/walkcart/fanout/dependence.py
+++ b/walkcart/fanout/dependence.py
@@ -20,7 +20,7 @@
 
 def is_vital(
     question: RoutedQuestion,
-    tries: Collection[ServiceProgress],
+    progress: Collection[ServiceProgress],
     item: ServiceProgress,
     early: bool,
 ) -> bool:
@@ -28,21 +28,21 @@
 
     Args:
         question: the question, with the coverage that its answer needs.
-        tries: its state at each service.
+        progress: its state at each service.
         item: the service whose part is considered.
         early: whether a repeat that is sent later would still come in time; if not,
             only the services that have replied are counted on.
     """
     others = sum(
         1
-        for other in tries
+        for other in progress
         if other is not item and (other.covered or (early and other.open))
     )
-    least = max(question.least_coverage, question.fair_coverage)
-    return not covers_share(least, len(question.services), others)
+    min_share = max(question.least_coverage, question.fair_coverage)
+    return not covers_share(min_share, len(question.services), others)
 
 
-def may_send_second_attempts(tries: Collection[ServiceProgress]) -> bool:
+def may_send_second_attempts(progress: Collection[ServiceProgress]) -> bool:
     """Return whether few enough services are late for hedges to be worth sending.
 
     Only services that this instance asks itself count. Groups that other instances
@@ -50,7 +50,7 @@
     leaves that this instance asks.
 
     Args:
-        tries: the question's state at each service.
+        progress: the question's state at each service.
     """
-    asked = [item for item in tries if item.tried]
+    asked = [item for item in progress if item.tried]
     return may_hedge(len(asked), sum(1 for item in asked if not item.covered))
--- a/walkcart/fanout/duetimes.py
+++ b/walkcart/fanout/duetimes.py
@@ -56,7 +56,7 @@
 
     def find_next(
         self,
-        tries: Iterable[ServiceProgress],
+        progress: Iterable[ServiceProgress],
         answerable: bool,
         last_repeat_at: float,
         late_parts_at: float,
@@ -64,19 +64,19 @@
         """Return when the next action is due.
 
         Args:
-            tries: the question's state at each service.
+            progress: the question's state at each service.
             answerable: whether the parts that have arrived are enough for an answer.
             last_repeat_at: latest time to send a repeat that meets the objective.
             late_parts_at: time at which late parts are requested together.
         """
-        open_tries = [item for item in tries if not item.covered]
+        open_services = [item for item in progress if not item.covered]
         due = self._question.deadline
         if answerable:
             due = min(due, self._question.objective_at)
-        for item in open_tries:
+        for item in open_services:
             due = min(due, self.attempt_at(item), self.hedge_at(item))
         now = self._clock.monotonic()
-        if now < last_repeat_at and any(item.held_back for item in open_tries):
+        if now < last_repeat_at and any(item.held_back for item in open_services):
             due = min(due, last_repeat_at)
         if now < self._question.settle_at:
             return min(due, self._question.settle_at)
--- a/walkcart/fanout/gathering.py
+++ b/walkcart/fanout/gathering.py
@@ -159,9 +159,9 @@
         """Ask the shards until the answer is complete or no more replies can come."""
         start = self._start = self._tools.clock.monotonic()
         policy = self._question.policy
-        tries = self._open
-        self._hedges.earn(tries, policy.hedge_budget)
-        self._retries.earn(tries, policy.retry_budget)
+        open_count = self._open
+        self._hedges.earn(open_count, policy.hedge_budget)
+        self._retries.earn(open_count, policy.retry_budget)
         group = self._question.group
         learned = self._tools.gateway.hedge_delay_of(group)
         self._hedge_delay = learned.current(start)
@@ -195,8 +195,8 @@
         if now < self._partial_at:
             return False
         answered = sum(1 for item in self._progress if item.reply is not None)
-        least = max(self._question.least_coverage, 1 / len(self._progress))
-        return answered / len(self._progress) >= least
+        min_share = max(self._question.least_coverage, 1 / len(self._progress))
+        return answered / len(self._progress) >= min_share
 
     async def _wait(self) -> None:
         """Wait for an outcome or until the next action is due."""
@@ -278,7 +278,7 @@
         item.reply = reply
         item.time = self._tools.clock.monotonic() - self._start
         self._open -= 1
-        self._cancel_losers(item)
+        self._cancel_attempts(item)
 
     def _adopt_pin(self, snapshot: Snapshot) -> None:
         """Pin the snapshot of the first reply, when no version was known before."""
@@ -296,7 +296,7 @@
             return
         untried = [
             leaf
-            for leaf in self._usable(item)
+            for leaf in self._list_usable_leaves(item)
             if leaf.address not in item.tried and leaf.address not in item.lost_version
         ]
         now = self._tools.clock.monotonic()
@@ -372,13 +372,17 @@
         self._tools.metrics.count("leaf.retried")
         self._send(item, leaf, now, hedge=False)
 
-    def _usable(self, item: ShardProgress) -> list[Leaf]:
+    def _list_usable_leaves(self, item: ShardProgress) -> list[Leaf]:
         return [leaf for leaf in item.leaves if self._tools.gateway.may_use(leaf)]
 
     def _select(
         self, item: ShardProgress, now: float, without: set[str]
     ) -> Leaf | None:
-        leaves = [leaf for leaf in self._usable(item) if leaf.address not in without]
+        leaves = [
+            leaf
+            for leaf in self._list_usable_leaves(item)
+            if leaf.address not in without
+        ]
         return self._tools.selector.select(self._question, item.shard, leaves, now)
 
     def _send(self, item: ShardProgress, leaf: Leaf, now: float, hedge: bool) -> None:
@@ -400,7 +404,7 @@
         self._sent += 1
         self._tools.gateway.submit(leaf, attempt, self._question.group, self._receive)
 
-    def _cancel_losers(self, item: ShardProgress) -> None:
+    def _cancel_attempts(self, item: ShardProgress) -> None:
         now = self._tools.clock.monotonic()
         for id, sent in item.under_way.items():
             self._tools.gateway.cancel(sent.leaf, id, now - sent.at)
@@ -408,7 +412,7 @@
     def _cancel_rest(self) -> None:
         for item in self._progress:
             if item.reply is None:
-                self._cancel_losers(item)
+                self._cancel_attempts(item)
 
     def _make_answer(self) -> Answer:
         """Assemble the answer from the replies of one snapshot.
--- a/walkcart/fanout/groups.py
+++ b/walkcart/fanout/groups.py
@@ -84,8 +84,8 @@
     ranks = {
         place: (measure_distance(place, own), -count) for place, count in counts.items()
     }
-    least = min(ranks.values())
-    return random.choice(sorted(place for place in ranks if ranks[place] == least))
+    best_rank = min(ranks.values())
+    return random.choice(sorted(place for place in ranks if ranks[place] == best_rank))
 
 
 def split_evenly(names: Sequence[str], max_size: int) -> list[tuple[str, ...]]:
--- a/walkcart/fanout/lateparts.py
+++ b/walkcart/fanout/lateparts.py
@@ -88,10 +88,10 @@
         return group in self._groups
 
     def ask(
-        self, tries: Collection[ServiceProgress], now: float
+        self, progress: Collection[ServiceProgress], now: float
     ) -> list[DelegatedGroup]:
         """Request the late parts; return the groups that other instances gather."""
-        late = self._choose(tries, now)
+        late = self._choose(progress, now)
         if not late:
             return []
         places: dict[str, set[Location]] = {}
@@ -99,7 +99,7 @@
             item.deferred, item.regrouped = False, True
             found = self._tools.pool.places_of(item.service)
             places[item.service] = set(found) - item.places - {self._tools.place}
-        groups = self._submit(places, self._find_fair_coverage(tries))
+        groups = self._submit(places, self._find_fair_coverage(progress))
         grouped = {name for group in groups for name in group.services}
         for item in late:
             if item.service in grouped:
@@ -112,12 +112,12 @@
         return groups
 
     def _choose(
-        self, tries: Collection[ServiceProgress], now: float
+        self, progress: Collection[ServiceProgress], now: float
     ) -> list[ServiceProgress]:
         """Return the services whose parts are deferred, or late and repeatable now."""
         waiting = [
             item
-            for item in tries
+            for item in progress
             if not (item.covered or item.regrouped or item.delegated)
         ]
         chosen = [item for item in waiting if item.deferred]
@@ -128,18 +128,18 @@
             and now >= self._question.settle_at
             and self._may_repeat(item)
         ]
-        direct = sum(1 for item in tries if item.tried)
+        direct = sum(1 for item in progress if item.tried)
         if may_hedge(direct, len(late)):
-            chosen += [item for item in late if self._sends.take_repeat(item, now)]
+            chosen += [item for item in late if self._sends.try_spend_repeat(item, now)]
         return chosen
 
     def _may_repeat(self, item: ServiceProgress) -> bool:
         """Return whether one attempt is under way and another is allowed."""
         return len(item.under_way) == 1 and item.may_run < self._question.most_attempts
 
-    def _find_fair_coverage(self, tries: Collection[ServiceProgress]) -> float:
+    def _find_fair_coverage(self, progress: Collection[ServiceProgress]) -> float:
         """Return the share of the missing parts without which there is no answer."""
-        open_count = sum(1 for item in tries if not item.covered)
+        open_count = sum(1 for item in progress if not item.covered)
         return find_group_coverage(self._question, open_count)
 
     def _submit(
--- a/walkcart/fanout/lentrepeats.py
+++ b/walkcart/fanout/lentrepeats.py
@@ -17,7 +17,7 @@
 
     Examples:
         >>> lent = LentRepeats({"a"})
-        >>> lent.take("a"), lent.take("a"), lent.take("b")
+        >>> lent.try_use("a"), lent.try_use("a"), lent.try_use("b")
         (True, False, False)
     """
 
@@ -26,8 +26,8 @@
     def __init__(self, services: Collection[str] = ()) -> None:
         self._remaining = set(services)
 
-    def take(self, service: str) -> bool:
-        """Use the repeat of a service; return False when there is none."""
+    def try_use(self, service: str) -> bool:
+        """Use the repeat of a service; return False if none is left."""
         if service not in self._remaining:
             return False
         self._remaining.remove(service)
--- a/walkcart/fanout/quarantinepeers.py
+++ b/walkcart/fanout/quarantinepeers.py
@@ -1,4 +1,4 @@
-"""Chooses the instances that are told of requests under which leaves crashed.
+"""Chooses the instances that get news of requests under which leaves crashed.
 
 See Also:
     `walkcart.membership.quarantinegossip.QuarantineGossip`, which sends the messages.
@@ -28,10 +28,10 @@
         self._gatherers = gatherers
 
     def find_peers(self) -> Sequence[str]:
-        """Return the names of the instances that this one tells.
+        """Return the names of the instances to which this one sends its news.
 
-        In a large fleet these are the ones that gather, which in turn tell the others
-        of their data centre.
+        In a large fleet these are the ones that gather, which relay the news to the
+        others of their data centre.
         """
         others = self._registration.others()
         if not self._is_large():
@@ -45,7 +45,7 @@
         return list(names)
 
     def may_relay(self) -> bool:
-        """Return whether this instance relays to others what it is told."""
+        """Return whether this instance relays the news of others."""
         return self._is_large() and self._gatherers.is_own()
 
     def _is_large(self) -> bool:
--- a/walkcart/fanout/quarantines.py
+++ b/walkcart/fanout/quarantines.py
@@ -81,7 +81,7 @@
         self._notify = notify
         self._store_refused = store_refused
 
-    def find_standing(self, fingerprint: bytes) -> QuarantineLevel:
+    def find_level(self, fingerprint: bytes) -> QuarantineLevel:
         """Return how a request is handled at present."""
         return self._quarantine.find_level(fingerprint, self._clock.monotonic())
 
@@ -95,7 +95,7 @@
         if not len(self._quarantine):
             return False
         fingerprint = origins.fingerprint(extract_request(question))
-        return self.find_standing(fingerprint) is not QuarantineLevel.USUAL
+        return self.find_level(fingerprint) is not QuarantineLevel.USUAL
 
     async def admit(self, fingerprint: bytes) -> QuarantineLevel | NotRun:
         """Return how a request is handled, or the verdict if it isn't run.
@@ -103,13 +103,13 @@
         Of equal requests that must be tried at one leaf first, one is tried at a time;
         the others wait up to `MAX_TRIAL_WAIT` for its result.
         """
-        standing = self.find_standing(fingerprint)
+        standing = self.find_level(fingerprint)
         if standing is QuarantineLevel.USUAL:
             return standing
         with trio.move_on_after(MAX_TRIAL_WAIT):
             while standing is QuarantineLevel.CAREFUL and fingerprint in self._trials:
                 await self._trials[fingerprint].wait()
-                standing = self.find_standing(fingerprint)
+                standing = self.find_level(fingerprint)
         if standing is QuarantineLevel.REFUSED:
             return self.refuse(fingerprint)
         if standing is QuarantineLevel.CAREFUL:
@@ -159,12 +159,12 @@
         self._quarantine.record_strike(fingerprint, strike, now)
         self._log_standing(fingerprint, "seen")
         self._notify(fingerprint)
-        if self.find_standing(fingerprint) is QuarantineLevel.REFUSED:
+        if self.find_level(fingerprint) is QuarantineLevel.REFUSED:
             self._store_refused(fingerprint)
 
     def _log_standing(self, fingerprint: bytes, source: str) -> None:
         self._metrics.gauge("quarantine.entries", len(self._quarantine))
-        standing = self.find_standing(fingerprint)
+        standing = self.find_level(fingerprint)
         if standing is not QuarantineLevel.USUAL:
             self._events.emit(
                 Events.QUARANTINED,
--- a/walkcart/fanout/remoteparts.py
+++ b/walkcart/fanout/remoteparts.py
@@ -40,7 +40,7 @@
         top: maximum number of records of the merged answer; 0 where nothing is
             delegated.
         sends: sends the attempts of this instance itself.
-        tries: the question's state, by service.
+        progress: the question's state, by service.
         watch: counts the leaves that crash under the question.
         wake: called when there are updates to process.
     """
@@ -51,7 +51,7 @@
         question: RoutedQuestion,
         top: int,
         sends: RoutedSends,
-        tries: Mapping[str, ServiceProgress],
+        progress: Mapping[str, ServiceProgress],
         watch: CrashWatch,
         wake: Callable[[], None],
     ) -> None:
@@ -60,7 +60,7 @@
         self._question = question
         self._top = top
         self._sends = sends
-        self._tries = tries
+        self._progress = progress
         self._wake = wake
         self._groups: list[DelegatedGroup] = []
         self._merged: list[MergedAnswer] = []
@@ -78,7 +78,7 @@
 
     def merged(self) -> tuple[MergedAnswer, ...]:
         """Return the merged parts that other instances gathered."""
-        parts = [item.part for item in self._tries.values() if item.part]
+        parts = [item.part for item in self._progress.values() if item.part]
         return (*self._merged, *parts)
 
     def start(self) -> set[str]:
@@ -86,7 +86,7 @@
         delegates = self._tools.delegates
         if not self._top or delegates is None:
             return set()
-        far: set[str] = set()
+        delegated: set[str] = set()
         places = self._tools.pool.places_of
         for group in divide_services(
             self._question.services,
@@ -100,14 +100,14 @@
             )
             if asked is not None:
                 self._add_group(asked)
-                far.update(asked.services)
-        return far
+                delegated.update(asked.services)
+        return delegated
 
     def _add_group(self, group: DelegatedGroup) -> None:
         self._groups.append(group)
         for name in group.services:
-            self._tries[name].delegated = True
-            self._tries[name].places.add(group.place)
+            self._progress[name].delegated = True
+            self._progress[name].places.add(group.place)
 
     def late_parts_at(self, busy: bool) -> float:
         """Return when late parts are requested together; infinite when they aren't.
@@ -126,7 +126,7 @@
     def request_late_parts(self, now: float) -> None:
         """Request late parts together."""
         if self._late is not None:
-            self._groups += self._late.ask(self._tries.values(), now)
+            self._groups += self._late.ask(self._progress.values(), now)
 
     def cancel(self) -> None:
         """Cancel all groups: the question has ended."""
@@ -137,10 +137,10 @@
         """Process what other instances sent; return how many services it covered."""
         if not self.has_updates:
             return 0
-        before = sum(item.covered for item in self._tries.values())
+        before = sum(item.covered for item in self._progress.values())
         for group in [group for group in self._groups if group.has_updates]:
             self._process_group_updates(group)
-        return sum(item.covered for item in self._tries.values()) - before
+        return sum(item.covered for item in self._progress.values()) - before
 
     def _process_group_updates(self, group: DelegatedGroup) -> None:
         if group.handed_over is not None and not group.is_handover_processed:
@@ -148,14 +148,14 @@
             self._process_result(group)
         while group.parts:
             service, part = group.parts.popleft()
-            self._process_late_part(self._tries[service], part)
+            self._process_late_part(self._progress[service], part)
         if not group.ended:
             return
         self._groups.remove(group)
         if group.handed_over is None:
             self._process_result(group)
         for name in group.services:
-            self._retry_awaited(self._tries[name])
+            self._retry_awaited(self._progress[name])
 
     def _retry_awaited(self, item: ServiceProgress) -> None:
         """Defer a part for another request if the instance that awaited it ended."""
@@ -164,7 +164,9 @@
             return
         if item.regrouped or item.may_run >= self._question.most_attempts:
             return
-        item.deferred = self._sends.take_repeat(item, self._tools.clock.monotonic())
+        item.deferred = self._sends.try_spend_repeat(
+            item, self._tools.clock.monotonic()
+        )
 
     def _process_late_part(self, item: ServiceProgress, part: MergedAnswer) -> None:
         """Accept a part that arrived after the other instance's hand-over."""
@@ -184,7 +186,7 @@
             self._merged.append(group.outcome.unwrap())
         self._record_leaf_outcomes(group, missing)
         for name in group.services:
-            item = self._tries[name]
+            item = self._progress[name]
             item.delegated = False
             part = missing.get(name)
             if part is None:
@@ -195,7 +197,7 @@
             item.arrived += part.ran
             item.awaited |= group.handed_over is not None and part.ran > 0
             item.deferred = part.may_repeat and self._late is not None
-        self._reassign_missing(group, [self._tries[name] for name in missing], now)
+        self._reassign_missing(group, [self._progress[name] for name in missing], now)
 
     def _record_leaf_outcomes(
         self, group: DelegatedGroup, missing: Mapping[str, MissingPart]
@@ -205,7 +207,7 @@
             self._watch.record_answer()
         for name, part in missing.items():
             if part.reason is Reason.LEAF_ENDED:
-                self._tries[name].ended += part.ran
+                self._progress[name].ended += part.ran
                 self._watch.record_ended(name, part.ran)
         if group.reason in (Reason.LEAF_ENDED, Reason.QUARANTINED):
             self._watch.record_refused()
@@ -220,14 +222,14 @@
             for item in waiting:
                 item.given_up = True
             return
-        held = group.is_begun or self._watch.is_sequential
-        if held or not self._may_reroute(waiting, now):
-            others = waiting
+        must_ask_here = group.is_begun or self._watch.is_sequential
+        if must_ask_here or not self._may_reroute(waiting, now):
+            remaining = waiting
         else:
             self._unresponsive.add(group.peer)
-            others = self._reroute(group, waiting, now)
-        for item in others:
-            self._sends.plan(item, now)
+            remaining = self._reroute(group, waiting, now)
+        for item in remaining:
+            self._sends.plan_retry(item, now)
 
     def _may_reroute(self, waiting: list[ServiceProgress], now: float) -> bool:
         """Return whether parts that an instance didn't accept may go to another one."""
@@ -305,7 +307,7 @@
         if delegates is None or not delegates.can_ask(other, lost):
             return {item.service: item for item in items}
         if group.may_have_arrived:
-            items = [item for item in items if self._sends.take_repeat(item, now)]
+            items = [item for item in items if self._sends.try_spend_repeat(item, now)]
         if not items:
             return {}
         wanted = Group(tuple(item.service for item in items), other.place)
--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -73,7 +73,7 @@
         self._tools = tools
         self._question = question
         self._top = top
-        self._tries = {name: ServiceProgress(name) for name in question.services}
+        self._progress = {name: ServiceProgress(name) for name in question.services}
         self._watch = watch or CrashWatch(len(question.services), question.careful)
         self._sends = RoutedSends(
             tools, question, self._receive, self._is_vital, self._watch
@@ -84,7 +84,7 @@
             question,
             top,
             self._sends,
-            self._tries,
+            self._progress,
             self._watch,
             wake=lambda: self._wakeup.set(),
         )
@@ -99,9 +99,9 @@
             handover.handover.on_confirmed(self._allow_repeats)
 
     async def run(self) -> Result[RoutedAnswer, RoutedFailure]:
-        """Ask the services until the answer is whole or waiting longer is no use."""
+        """Ask the services until no more parts are needed or can be expected."""
         if not self._can_cover():
-            return Failure(make_failure(tuple(self._tries.values()), late=False))
+            return Failure(make_failure(tuple(self._progress.values()), late=False))
         self._start(self._tools.clock.monotonic())
         try:
             while True:
@@ -119,7 +119,7 @@
             self._closed = True
         return make_result(
             self._question,
-            tuple(self._tries.values()),
+            tuple(self._progress.values()),
             self._remote.merged(),
             self._tools.clock.monotonic(),
             self._sends.sent,
@@ -134,7 +134,7 @@
         """
         served = 0
         waits = self._tools.pool.has_waiting
-        for item in self._tries.values():
+        for item in self._progress.values():
             if waits and (late := check_queue_delay(self._tools, self._question, item)):
                 item.reason = late.reason
                 item.refusal = late
@@ -160,9 +160,9 @@
         if self._watch.is_sequential:
             self._start_with_one(now)
             return
-        far = self._remote.start()
-        for item in self._tries.values():
-            if item.service not in far:
+        delegated = self._remote.start()
+        for item in self._progress.values():
+            if item.service not in delegated:
                 if not self._question.granted:
                     self._tools.budget.record_request(item.service, now)
                 self._sends.try_next(item, now)
@@ -175,18 +175,18 @@
 
         Nothing is delegated: such questions are few.
         """
-        for item in self._tries.values():
+        for item in self._progress.values():
             self._tools.budget.record_request(item.service, now)
             item.next_at = now
 
     def _is_done(self) -> bool:
         """Return whether nothing is left that is worth waiting for."""
         now = self._tools.clock.monotonic()
-        if self._covered_count == len(self._tries) or now >= self._question.deadline:
+        if self._covered_count == len(self._progress) or now >= self._question.deadline:
             return True
         if self._watch.is_stopped:
             return True
-        still_open = sum(1 for item in self._tries.values() if item.open)
+        still_open = sum(1 for item in self._progress.values() if item.open)
         if not still_open:
             return True
         if self._handed_over:
@@ -199,18 +199,18 @@
     def _is_vital(self, item: ServiceProgress) -> bool:
         """Return whether no answer is possible in time without a service's part."""
         early = self._tools.clock.monotonic() < self._last_repeat_at
-        return is_vital(self._question, self._tries.values(), item, early)
+        return is_vital(self._question, self._progress.values(), item, early)
 
     def _retry_held_back(self) -> None:
         """Retry services that were held back, once the answer depends on them."""
         now = self._tools.clock.monotonic()
-        for item in self._tries.values():
+        for item in self._progress.values():
             if not item.held_back or item.covered or item.open:
                 continue
             if self._handed_over or not self._is_vital(item):
                 return
             item.held_back = item.given_up = False
-            self._sends.plan(item, now)
+            self._sends.plan_retry(item, now)
 
     def _should_hand_over(self) -> bool:
         """Return whether to leave the missing parts to the asking instance."""
@@ -223,13 +223,13 @@
             return False
         if self._watch.is_sequential:
             return False
-        waiting = [item for item in self._tries.values() if not item.covered]
+        waiting = [item for item in self._progress.values() if not item.covered]
         if not any(item.open and not item.deferred for item in waiting):
             return True
         if self._tools.clock.monotonic() < question.settle_at:
             return False
         late = sum(1 for item in waiting if not item.deferred)
-        return may_hedge(len(self._tries), late)
+        return may_hedge(len(self._progress), late)
 
     def _hand_over(self) -> None:
         """Hand over the parts that have arrived.
@@ -239,28 +239,30 @@
         assert self._handover is not None
         self._handed_over = True
         now = self._tools.clock.monotonic()
-        tries = tuple(self._tries.values())
-        for item in tries:
+        progress = tuple(self._progress.values())
+        for item in progress:
             if item.covered:
                 continue
             if item.may_run < self._question.most_attempts:
-                held = item.deferred or not item.arrived
+                is_counted = item.deferred or not item.arrived
                 # Only the asking instance may request the part from now on.
-                vital = is_vital(self._question, tries, item, early=False)
-                item.may_repeat = held or self._sends.take_repeat(item, now, vital)
+                vital = is_vital(self._question, progress, item, early=False)
+                item.may_repeat = is_counted or self._sends.try_spend_repeat(
+                    item, now, vital
+                )
             item.deferred, item.next_at, item.given_up = False, None, True
             item.closed = True
-        waiting = [item.service for item in tries if not item.covered]
+        waiting = [item.service for item in progress if not item.covered]
         lent = self._question.lent
         unspent = lent.release(without=waiting) if lent else ()
-        answer = make_answer(tries, (), self._sends.sent, self._sends.repeats)
+        answer = make_answer(progress, (), self._sends.sent, self._sends.repeats)
         self._handover.settle(answer, unspent)
 
     async def _wait(self) -> None:
         """Wait for an outcome or until the next action is due."""
         if self._inbox or self._remote.has_updates:
             return
-        if not any(item.open for item in self._tries.values()):
+        if not any(item.open for item in self._progress.values()):
             # The last actions left nothing to wait for.
             return
         self._wakeup = trio.Event()
@@ -273,7 +275,7 @@
             self._question, self._covered_count
         )
         return self._due.find_next(
-            self._tries.values(),
+            self._progress.values(),
             answerable,
             self._last_repeat_at,
             self._find_late_parts_time(),
@@ -283,7 +285,7 @@
         """Return when late parts are requested together; infinite when they aren't."""
         if self._watch.is_sequential:
             return float("inf")
-        busy = any(item.under_way or item.next_at for item in self._tries.values())
+        busy = any(item.under_way or item.next_at for item in self._progress.values())
         return self._remote.late_parts_at(busy)
 
     def _allow_repeats(self) -> None:
@@ -302,7 +304,7 @@
     def _process_inbox(self) -> None:
         while self._inbox:
             attempt, outcome = self._inbox.popleft()
-            item = self._sends.find(attempt)
+            item = self._sends.find_progress(attempt)
             item.under_way.pop(attempt.id, None)
             self._process_outcome(item, attempt.leaf_id, outcome)
         self._covered_count += self._remote.process_updates()
@@ -343,7 +345,7 @@
                 item.record_run(leaf_id)
                 item.lost_leaf_ids.add(leaf_id)
                 item.reason = verdict.reason
-        self._sends.plan(item, now)
+        self._sends.plan_retry(item, now)
 
     def _record_reply(self, item: ServiceProgress, status: int) -> None:
         """Record that a leaf replied; only a success shows that it ran the question.
@@ -369,20 +371,20 @@
     def _send_due(self) -> None:
         """Send the attempts and hedges that are due."""
         now = self._tools.clock.monotonic()
-        for item in self._tries.values():
+        for item in self._progress.values():
             if not item.covered and self._due.attempt_at(item) <= now:
                 self._try_next(item, now)
         late = [
             item
-            for item in self._tries.values()
+            for item in self._progress.values()
             if not item.covered and self._due.hedge_at(item) <= now
         ]
         if now >= self._find_late_parts_time():
             self._remote.request_late_parts(now)
         elif self._must_send_deferred(now):
             # Too many parts are late for a request of them all together.
-            self._sends.send_deferred(self._tries.values(), now)
-        few_late = may_send_second_attempts(self._tries.values())
+            self._sends.send_deferred(self._progress.values(), now)
+        few_late = may_send_second_attempts(self._progress.values())
         for item in late:
             if few_late or (self._sends.is_likely_lost(now) and self._is_vital(item)):
                 self._sends.hedge(item, now)
@@ -402,7 +404,7 @@
             self._watch.record_sent(item.service)
 
     def _cancel_rest(self) -> None:
-        for item in self._tries.values():
+        for item in self._progress.values():
             item.given_up = True
             self._sends.cancel(item)
         self._remote.cancel()
--- a/walkcart/fanout/routedsends.py
+++ b/walkcart/fanout/routedsends.py
@@ -58,8 +58,8 @@
         self._is_vital = is_vital
         self._watch = watch
         self._attempts: dict[str, ServiceProgress] = {}
-        time = min(question.objective_at, question.deadline) - tools.clock.monotonic()
-        self._choice = LeafChoice(tools, question, max(0.0, time))
+        until = min(question.objective_at, question.deadline) - tools.clock.monotonic()
+        self._choice = LeafChoice(tools, question, max(0.0, until))
         #: Time at which postponed hedges are considered again, in seconds.
         self._reconsider_at = find_recheck_time(
             tools.clock.monotonic(), question.objective_at, question.deadline
@@ -74,7 +74,7 @@
         """Allow, from now on, attempts beside or after ones that may have run."""
         self._may_repeat = True
 
-    def find(self, attempt: Attempt) -> ServiceProgress:
+    def find_progress(self, attempt: Attempt) -> ServiceProgress:
         """Return the state of the service that an attempt was sent to."""
         return self._attempts[attempt.id]
 
@@ -85,9 +85,9 @@
         if leaf is None:
             item.reason = Reason.NO_LEAF
             if not self._question.success_only:
-                self.plan(item, now)
+                self.plan_retry(item, now)
             return
-        if item.arrived and not self.take_repeat(item, now):
+        if item.arrived and not self.try_spend_repeat(item, now):
             return
         if (
             item.arrived
@@ -119,15 +119,15 @@
         )
         return self._question.objective_at - times.high(now) - HEDGE_RESERVE
 
-    def send_deferred(self, tries: Iterable[ServiceProgress], now: float) -> None:
+    def send_deferred(self, progress: Iterable[ServiceProgress], now: float) -> None:
         """Send deferred attempts now, and each later one by itself."""
         self._defers_far = False
-        for item in tries:
+        for item in progress:
             if item.deferred:
                 item.deferred = False
                 self.send_elsewhere(item, now)
 
-    def plan(self, item: ServiceProgress, now: float) -> None:
+    def plan_retry(self, item: ServiceProgress, now: float) -> None:
         """Decide whether and when a service is retried after a failure."""
         if item.covered or item.under_way or item.delegated:
             return
@@ -140,7 +140,7 @@
         item.next_at = now if ready else now + RETRY_DELAY
 
     def due_at(self, item: ServiceProgress) -> float:
-        """Return when the next planned attempt is due; infinite when none may be."""
+        """Return when the next planned attempt may be sent; infinite if none may."""
         if item.next_at is None or (item.ran and not self._may_repeat):
             return float("inf")
         return item.next_at
@@ -170,7 +170,11 @@
         leaf = self._choice.choose_untried(item, now)
         if leaf is not None and self._postpone_while_busy(item, leaf, now):
             return
-        if leaf is None or self._is_deferred(leaf) or not self.take_repeat(item, now):
+        if (
+            leaf is None
+            or self._is_deferred(leaf)
+            or not self.try_spend_repeat(item, now)
+        ):
             item.given_up = True
             return
         for sent in item.under_way.values():
@@ -248,13 +252,13 @@
         far = self._tools.pool.distance_to(leaf) is Distance.OTHER_REGION
         return self._defers_far and far
 
-    def take_repeat(
+    def try_spend_repeat(
         self, item: ServiceProgress, now: float, vital: bool | None = None
     ) -> bool:
-        """Take a repeat from the budget; return False when none is left.
+        """Spend a repeat from the budget; return False when none is left.
 
-        A repeat that the answer doesn't depend on leaves a reserve in the budget. If it
-        is denied, it is retried when the answer comes to depend on it.
+        A repeat that the answer doesn't depend on can't spend the budget's reserve. If
+        it is denied, it is tried again when the answer comes to depend on it.
 
         Args:
             item: the service that gets the repeat.
@@ -264,7 +268,7 @@
         if vital is None:
             vital = self._is_vital(item)
         instances = self._tools.instances()
-        if (vital and self._take_lent(item)) or self._tools.budget.try_spend(
+        if (vital and self._try_spend_lent(item)) or self._tools.budget.try_spend(
             item.service, now, instances, vital
         ):
             self.repeats += 1
@@ -274,10 +278,10 @@
         item.held_back = not vital
         return False
 
-    def _take_lent(self, item: ServiceProgress) -> bool:
-        """Take a repeat lent by the asking instance, once that has confirmed."""
+    def _try_spend_lent(self, item: ServiceProgress) -> bool:
+        """Spend a repeat that the asking instance lent, if that has confirmed."""
         lent = self._question.lent
-        if not self._may_repeat or lent is None or not lent.take(item.service):
+        if not self._may_repeat or lent is None or not lent.try_use(item.service):
             return False
         self._tools.metrics.count("leaf.repeat_lent")
         return True
--- a/walkcart/fanout/routedverdict.py
+++ b/walkcart/fanout/routedverdict.py
@@ -33,7 +33,7 @@
 
 def make_result(
     question: RoutedQuestion,
-    tries: tuple[ServiceProgress, ...],
+    progress: tuple[ServiceProgress, ...],
     merged: tuple[MergedAnswer, ...],
     now: float,
     sent: int,
@@ -44,23 +44,23 @@
 
     Args:
         question: the question.
-        tries: its state at each service.
+        progress: its state at each service.
         merged: merged parts that other instances gathered.
         now: the current time, in seconds.
         sent: number of requests that this instance sent to leaves.
         repeats: number of those that were not the first to their service.
         ends_leaves: whether leaves crash when they run it.
     """
-    covered = sum(1 for item in tries if item.covered)
-    answer = make_answer(tries, merged, sent, repeats)
+    covered = sum(1 for item in progress if item.covered)
+    answer = make_answer(progress, merged, sent, repeats)
     if not covers(question, covered):
         late = now >= question.deadline
-        return Failure(make_failure(tries, late, answer.sent, ends_leaves))
+        return Failure(make_failure(progress, late, answer.sent, ends_leaves))
     return Success(answer)
 
 
 def make_answer(
-    tries: tuple[ServiceProgress, ...],
+    progress: tuple[ServiceProgress, ...],
     merged: tuple[MergedAnswer, ...],
     sent: int,
     repeats: int,
@@ -68,23 +68,23 @@
     """Return the answer made of the parts that have arrived.
 
     Args:
-        tries: the question's state at each service.
+        progress: the question's state at each service.
         merged: merged parts that other instances gathered.
         sent: number of requests that this instance sent to leaves.
         repeats: number of those that were not the first to their service.
     """
     replies = tuple(
-        (item.service, item.reply) for item in tries if item.reply is not None
+        (item.service, item.reply) for item in progress if item.reply is not None
     )
     sent += sum(part.sent for part in merged)
     repeats += sum(part.repeats for part in merged)
     return RoutedAnswer(
-        replies, merged, len(tries), _list_missing(tries), sent, repeats
+        replies, merged, len(progress), _list_missing(progress), sent, repeats
     )
 
 
 def make_failure(
-    tries: tuple[ServiceProgress, ...],
+    progress: tuple[ServiceProgress, ...],
     late: bool,
     sent: int = 0,
     ends_leaves: bool = False,
@@ -92,47 +92,49 @@
     """Return the failure of a question; "not run" only when nothing may have run.
 
     Args:
-        tries: the question's state at each service.
+        progress: the question's state at each service.
         late: whether its deadline has passed.
         sent: number of requests that went to leaves.
         ends_leaves: whether leaves crash when they run it.
     """
-    missing = _list_missing(tries)
-    replied = len(tries) - len(missing)
+    missing = _list_missing(progress)
+    replied = len(progress) - len(missing)
     reasons = ", ".join(sorted({part.reason.value for part in missing}))
-    detail = f"{replied} of {len(tries)} services replied; missing: {reasons}"
-    failure = next((item.failure for item in tries if item.failure), None)
-    if any(item.may_run or item.gathered or item.delegated for item in tries):
+    detail = f"{replied} of {len(progress)} services replied; missing: {reasons}"
+    failure = next((item.failure for item in progress if item.failure), None)
+    if any(item.may_run or item.gathered or item.delegated for item in progress):
         reason = Reason.DEADLINE if late else Reason.LEAF_FAILED
         reason = Reason.LEAF_ENDED if ends_leaves else reason
         return RoutedFailure(MayHaveRun(reason, detail), failure, sent, missing)
-    verdict = NotRun(_find_refusal(tries, missing), detail, _find_retry_time(tries))
+    verdict = NotRun(
+        _find_refusal(progress, missing), detail, _find_retry_time(progress)
+    )
     return RoutedFailure(verdict, failure, sent, missing)
 
 
 def _find_refusal(
-    tries: tuple[ServiceProgress, ...], missing: tuple[MissingPart, ...]
+    progress: tuple[ServiceProgress, ...], missing: tuple[MissingPart, ...]
 ) -> Reason:
     """Return why nothing was run; a refusal for lack of room outranks later reasons."""
-    refusals = (item.refusal.reason for item in tries if item.refusal is not None)
+    refusals = (item.refusal.reason for item in progress if item.refusal is not None)
     if Reason.NO_ROOM in refusals:
         return Reason.NO_ROOM
     return missing[0].reason if missing else Reason.COVERAGE
 
 
-def _list_missing(tries: tuple[ServiceProgress, ...]) -> tuple[MissingPart, ...]:
+def _list_missing(progress: tuple[ServiceProgress, ...]) -> tuple[MissingPart, ...]:
     return tuple(
         MissingPart(item.service, item.why_missing, item.may_run, item.may_repeat)
-        for item in tries
+        for item in progress
         if not item.covered
     )
 
 
-def _find_retry_time(tries: tuple[ServiceProgress, ...]) -> timedelta:
+def _find_retry_time(progress: tuple[ServiceProgress, ...]) -> timedelta:
     """Return the retry time: the longest that a refusal stated, else the default."""
     asked = [
         item.refusal.retry_after
-        for item in tries
+        for item in progress
         if item.refusal is not None and item.refusal.retry_after is not None
     ]
     return max(asked, default=DEFAULT_RETRY_AFTER)
--- a/walkcart/fanout/serviceprogress.py
+++ b/walkcart/fanout/serviceprogress.py
@@ -47,7 +47,7 @@
         ran_leaf_ids: ids of those leaves that this instance asked.
         lost_leaf_ids: ids of those among them that are alive and whose answer was
             lost.
-        closed: whether it may no longer go to a leaf that hasn't had it.
+        closed: whether no further leaves may get the question.
         ended: number of leaves that crashed under it.
         next_at: time at which the next attempt is due; None when none is planned.
         given_up: whether no further attempt will be made.
--- a/walkcart/fanout/singlesender.py
+++ b/walkcart/fanout/singlesender.py
@@ -89,7 +89,9 @@
             if leaf is None:
                 break
             leaves.remove(leaf)
-            match await self._try(request, shard, Snapshot(pin.layout, 0), leaf):
+            match await self._send_attempt(
+                request, shard, Snapshot(pin.layout, 0), leaf
+            ):
                 case Replied() as reply:
                     watch.record_answer()
                     return Success(reply)
@@ -103,7 +105,7 @@
                     verdict = NotRun(reason, "the leaf refused", retry_after)
         return Failure(verdict)
 
-    async def _try(
+    async def _send_attempt(
         self, request: OnceRequest, shard: int, pin: Snapshot, leaf: Leaf
     ) -> Outcome:
         """Send one attempt and wait for its outcome."""
--- a/walkcart/leaves/directory.py
+++ b/walkcart/leaves/directory.py
@@ -92,6 +92,7 @@
         self._replaced: dict[tuple[str, int, str], None] = {}
         self._evacuated = NO_DATA_CENTRES
         self._listeners: list[Callable[[], None]] = []
+        #: Whether the entries have been read from the store.
         self.known = False
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -201,8 +202,8 @@
 
     def _log_changes(self, found: dict[str, LeafEntry]) -> None:
         for id, entry in found.items():
-            held = self._entries.get(id)
-            if held is None or held.life != entry.life:
+            previous = self._entries.get(id)
+            if previous is None or previous.life != entry.life:
                 self._events.emit(
                     Events.LEAF_ADDED,
                     leaf=id,
@@ -210,7 +211,7 @@
                     address=entry.address,
                     leaving=entry.leaving,
                 )
-            elif entry.leaving and not held.leaving:
+            elif entry.leaving and not previous.leaving:
                 self._events.emit(Events.LEAF_LEAVING, leaf=id, service=entry.service)
 
     def _rebuild(self) -> None:
@@ -223,8 +224,8 @@
             if leaf is None or not _is_same_process(leaf, entry):
                 leaf = self._make_leaf(entry, now)
             leaves[id] = leaf
-            standing = self._describe(entry)
-            if find_obstacle(standing, evacuated=self._evacuated) is None:
+            state = self._describe(entry)
+            if find_obstacle(state, evacuated=self._evacuated) is None:
                 by_service.setdefault(entry.service, []).append(leaf)
         self._leaves = leaves
         self._by_service = {name: tuple(found) for name, found in by_service.items()}
--- a/walkcart/leaves/endcheck.py
+++ b/walkcart/leaves/endcheck.py
@@ -27,7 +27,7 @@
 
     Args:
         address: ``IP:port`` of the leaf.
-        network: to connect by.
+        network: opens connections.
         adopt: takes over the stream of a check that found the process alive.
     """
 
--- a/walkcart/leaves/exchange.py
+++ b/walkcart/leaves/exchange.py
@@ -34,6 +34,8 @@
 from walkcart.wire.network import Network
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
+#: Time after which an idle connection isn't used again, unless the leaf states a
+#: shorter one.
 IDLE_TIMEOUT = timedelta(seconds=30)
 #: Time after the deadline in which a late reply is still read to the end, so that the
 #: connection can be kept.
--- a/walkcart/leaves/leaf.py
+++ b/walkcart/leaves/leaf.py
@@ -31,6 +31,7 @@
         return f"{self.layout}:{self.version}"
 
 
+#: Version of a snapshot for which replies of any version are accepted.
 ANY_VERSION = 0
 #: The snapshot of a request that any snapshot may answer.
 UNPINNED = Snapshot(0, ANY_VERSION)
@@ -49,7 +50,7 @@
     first, _, second = text.partition(":")
     layout, version = read_number(first), read_number(second)
     if layout is None or version is None:
-        raise BadSnapshot(text[:40])
+        raise BadSnapshot(f"{text[:40]!r} is not two whole numbers joined by a colon")
     return Snapshot(layout, version)
 
 
--- a/walkcart/leaves/link.py
+++ b/walkcart/leaves/link.py
@@ -27,9 +27,11 @@
 )
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
+#: Time to connect and request the status, and for a status check or a cancel later.
 CONNECT_TIMEOUT = timedelta(seconds=1)
 #: Seconds between a failure to connect and the next try; doubles up to `MAX_BACKOFF`.
 INITIAL_BACKOFF = 0.05
+#: Maximum of that time, in seconds.
 MAX_BACKOFF = 2.0
 #: A connection that was idle for longer is checked before a non-repeatable request.
 MAX_UNCHECKED_IDLE = timedelta(seconds=1)
@@ -248,12 +250,14 @@
         request = protocol.make_status_request()
         if request is None:
             if not connection.is_quiet():
-                raise OSError("the leaf closed the connection")
+                raise OSError(
+                    "the leaf closed the new connection or sent unrequested data"
+                )
             return
         reply = await connection.exchange(request)
         self._tools.on_status(self.leaf, protocol.read_status(dict(reply.headers)))
         if not connection.prepare_next():
-            raise OSError("the leaf closes the connection")
+            raise OSError("the leaf closes the connection after its status reply")
 
     async def _process_queue(self, connection: HttpConnection) -> None:
         last_used = self._tools.clock.monotonic()
@@ -288,9 +292,15 @@
             self._idle.unpark_all()
 
     def _was_idle_too_long(self, since: float) -> bool:
+        """Return whether a connection that is idle since `since` should close.
+
+        The last one stays open unless the leaf stated its idle timeout.
+        """
         idle = self._tools.clock.monotonic() - since
-        told = self._exchanges.idle_timeout < IDLE_TIMEOUT.total_seconds()
-        return idle >= self._exchanges.idle_timeout and (told or self._connections > 1)
+        is_stated = self._exchanges.idle_timeout < IDLE_TIMEOUT.total_seconds()
+        return idle >= self._exchanges.idle_timeout and (
+            is_stated or self._connections > 1
+        )
 
     async def _process(
         self, connection: HttpConnection, pending: Pending, last_used: float
--- a/walkcart/leaves/pool.py
+++ b/walkcart/leaves/pool.py
@@ -31,7 +31,8 @@
 from walkcart.routing.shares import ConnectionShares
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Limit of connections to a leaf whose service the routing document doesn't describe.
+#: Maximum number of connections, over all instances, to a leaf whose service the
+#: routing document doesn't describe.
 DEFAULT_CONNECTIONS = 8
 #: Seconds between two rounds that close unneeded links and update the shares.
 TIDY_INTERVAL = 1.0
@@ -128,8 +129,8 @@
         ]
         if len(leaves) <= 1:
             return leaves[0] if leaves else None
-        standings = [self._describe(leaf, kind, now) for leaf in leaves]
-        chosen = choose_leaf(standings, objective, self._tools.random)
+        candidates = [self._describe(leaf, kind, now) for leaf in leaves]
+        chosen = choose_leaf(candidates, objective, self._tools.random)
         return next(leaf for leaf in leaves if chosen and leaf.id == chosen.key)
 
     def submit(self, leaf: Leaf, attempt: Attempt, kind: str, deliver: Deliver) -> None:
--- a/walkcart/leaves/poolcapacity.py
+++ b/walkcart/leaves/poolcapacity.py
@@ -16,7 +16,7 @@
 
 
 class PoolCapacity:
-    """Tells whether leaves have spare capacity, and when they will have it.
+    """Estimates whether leaves have spare capacity, and when they will have it.
 
     Args:
         links: links to leaves, by leaf id; the pool's own mapping, which it updates.
@@ -48,7 +48,7 @@
         """Return whether an attempt may be sent to a leaf now; else it stays queued."""
         sent = leaf.outstanding - self.count_waiting(leaf)
         if sent <= 0:
-            # With no request there, no reply would ever tell that there is room again.
+            # Without a request there, no reply would ever report spare capacity.
             return True
         now = self._clock.monotonic()
         time = self._estimate_time(leaf, attempt.kind, now)
--- a/walkcart/leaves/protocol.py
+++ b/walkcart/leaves/protocol.py
@@ -229,7 +229,7 @@
         elapsed: seconds from the send to the last byte.
     """
     if found.get(RAN) == b"no":
-        return Refused(_refusal_reason(reply.status), _read_retry_after(found))
+        return Refused(_find_refusal_reason(reply.status), _read_retry_after(found))
     if reply.status == STATUS_CANCELLED:
         return Failed(MayHaveRun(Reason.CANCELLED))
     if not 200 <= reply.status < 300 and attempt.repeatable:
@@ -247,7 +247,7 @@
     return Replied(snapshot, partial, reply.status, reply.body, elapsed)
 
 
-def _refusal_reason(status: int) -> Reason:
+def _find_refusal_reason(status: int) -> Reason:
     match status:
         case 409:
             return Reason.VERSION_NOT_HELD
--- a/walkcart/wire/codec.py
+++ b/walkcart/wire/codec.py
@@ -39,10 +39,12 @@
     """Return the envelope in `data`.
 
     Raises:
-        BadMessage: `data` is too long or not a valid envelope.
+        BadMessage: `data` is longer than `MAX_ENVELOPE_BYTES` or not a valid envelope.
     """
     if len(data) > MAX_ENVELOPE_BYTES:
-        raise BadMessage("too long")
+        raise BadMessage(
+            f"the envelope has {len(data)} bytes, more than {MAX_ENVELOPE_BYTES}"
+        )
     if data[:1] == CHECKSUM_MARK:
         data = _verify_checksum(data[1:])
     try:
--- a/walkcart/wire/http.py
+++ b/walkcart/wire/http.py
@@ -18,7 +18,9 @@
 
 from walkcart.wire.network import is_quiet
 
+#: Largest number of bytes that are read from a stream at once.
 RECEIVE_SIZE = 65536
+#: Largest head of a request or reply, in bytes.
 MAX_HEADER_BYTES = 32768
 #: Largest number of replies to earlier exchanges that are skipped; a leaf that sends
 #: more is faulty, and its connection is closed.
--- a/walkcart/wire/messages.py
+++ b/walkcart/wire/messages.py
@@ -215,7 +215,7 @@
     """How a `ClaimAsk` ended.
 
     Args:
-        token: token of the ask.
+        token: token of the `ClaimAsk`.
         outcome: a `walkcart.once.records.ClaimOutcome` value.
         status: HTTP status of the stored reply; 0 if there is none.
         body: body of the stored reply.
--- a/walkcart/wire/peers.py
+++ b/walkcart/wire/peers.py
@@ -17,6 +17,7 @@
 #: Number of envelopes that nng buffers for a slow or unreachable peer. They wait in the
 #: instance's own outbox instead, from which they can be withdrawn.
 NNG_BUFFER = 0
+#: Bounds of the time between two tries of nng to connect again, in milliseconds.
 NNG_RECONNECT_MIN_MS = 50
 NNG_RECONNECT_MAX_MS = 1000
 
--- a/walkcart/wire/quarantines.py
+++ b/walkcart/wire/quarantines.py
@@ -1,4 +1,4 @@
-"""Messages about requests under which leaves ended."""
+"""Messages about requests under which leaves crashed."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
     Args:
         fingerprint: fingerprint of the request (`walkcart.wire.fingerprint`).
-        strikes: numbers that identify the independent losses of leaves under it.
-        struck_age: seconds since the last loss.
+        strikes: ids of the independent crashes of leaves under it.
+        struck_age: seconds since the last crash.
         answered_age: seconds since a leaf last answered it; `NEVER` if none did.
     """
 
--- a/walkcart/wire/quotas.py
+++ b/walkcart/wire/quotas.py
@@ -9,7 +9,7 @@
     """Asks for permission to run requests of a team.
 
     Args:
-        id: identifies the ask among those of the sender.
+        id: identifies the message among those of the sender.
         share: share of the limits from which the requests are taken.
         team: the team.
         wanted: number of requests.
@@ -33,10 +33,11 @@
     """The answer to a `QuotaAsk` by the holder of the share, which counts its use.
 
     Args:
-        id: id of the ask.
+        id: id of the `QuotaAsk`.
         granted: number of requests that may run; 0 if there is no room.
         wait: seconds until there is room for one request.
-        turn: seconds until the asker's turn, after others that were refused before.
+        turn: seconds until the sender of the `QuotaAsk` may get room, after others that
+            were refused before it.
         use: recent rate of granted requests of the team at this holder, per second.
         full: shares without room, as in `QuotaAsk`; learned from other instances.
     """
@@ -50,10 +51,10 @@
 
 
 class QuotaElsewhere(Message, frozen=True):
-    """Says that the receiver of an ask isn't the holder of its share.
+    """Says that the receiver of a `QuotaAsk` isn't the holder of its share.
 
     Args:
-        id: id of the ask.
+        id: id of the `QuotaAsk`.
         holder: name of the holder; empty if none is known.
         revision: revision of the store's key that names the holder.
     """
--- a/walkcart/wire/server.py
+++ b/walkcart/wire/server.py
@@ -60,7 +60,16 @@
 
 @dataclass(slots=True, eq=False)
 class _Connection:
-    """The state of one connection."""
+    """The state of one connection.
+
+    Args:
+        stream: stream to the client.
+        http: state of the protocol.
+        idle_scope: cancels the wait for the next request; None during a request.
+        idle_since: when the last such wait began, in seconds.
+        requests: number of requests served so far.
+        gone: whether the client disconnected during a request.
+    """
 
     stream: trio.abc.Stream
     http: h11.Connection
