--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -244,10 +244,10 @@
             if item.covered:
                 continue
             if item.may_run < self._question.most_attempts:
-                is_counted = item.deferred or not item.arrived
+                needs_no_repeat = item.deferred or not item.arrived
                 # Only the asking instance may request the part from now on.
                 vital = is_vital(self._question, progress, item, early=False)
-                item.may_repeat = is_counted or self._sends.try_spend_repeat(
+                item.may_repeat = needs_no_repeat or self._sends.try_spend_repeat(
                     item, now, vital
                 )
             item.deferred, item.next_at, item.given_up = False, None, True
--- a/walkcart/fanout/serviceprogress.py
+++ b/walkcart/fanout/serviceprogress.py
@@ -47,7 +47,7 @@
         ran_leaf_ids: ids of those leaves that this instance asked.
         lost_leaf_ids: ids of those among them that are alive and whose answer was
             lost.
-        closed: whether no further leaves may get the question.
+        closed: whether only leaves that have already had the question may get it.
         ended: number of leaves that crashed under it.
         next_at: time at which the next attempt is due; None when none is planned.
         given_up: whether no further attempt will be made.
--- a/walkcart/leaves/gateway.py
+++ b/walkcart/leaves/gateway.py
@@ -199,8 +199,8 @@
     def _check_leaving(self) -> None:
         """Ask leaving leaves periodically whether they were restarted.
 
-        They get no work, so no reply would show a restart. The other leaves' idle
-        connections are checked at the same interval.
+        They get no work, so no reply would show it; only the instance list could. The
+        other leaves' idle connections are checked at the same interval.
         """
         now = self._clock.monotonic()
         if now - self._checked_at < CHECK_INTERVAL:
--- a/walkcart/leaves/link.py
+++ b/walkcart/leaves/link.py
@@ -294,7 +294,7 @@
     def _was_idle_too_long(self, since: float) -> bool:
         """Return whether a connection that is idle since `since` should close.
 
-        The last one stays open unless the leaf stated its idle timeout.
+        The last one stays open unless the leaf stated a shorter idle timeout.
         """
         idle = self._tools.clock.monotonic() - since
         is_stated = self._exchanges.idle_timeout < IDLE_TIMEOUT.total_seconds()
