--- a/walkcart/fanout/remoteparts.py
+++ b/walkcart/fanout/remoteparts.py
@@ -222,13 +222,13 @@
             for item in waiting:
                 item.given_up = True
             return
-        must_ask_here = group.is_begun or self._watch.is_sequential
-        if must_ask_here or not self._may_reroute(waiting, now):
-            remaining = waiting
+        held = group.is_begun or self._watch.is_sequential
+        if held or not self._may_reroute(waiting, now):
+            others = waiting
         else:
             self._unresponsive.add(group.peer)
-            remaining = self._reroute(group, waiting, now)
-        for item in remaining:
+            others = self._reroute(group, waiting, now)
+        for item in others:
             self._sends.plan_retry(item, now)
 
     def _may_reroute(self, waiting: list[ServiceProgress], now: float) -> bool:
--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -244,12 +244,12 @@
             if item.covered:
                 continue
             if item.may_run < self._question.most_attempts:
-                needs_no_repeat = item.deferred or not item.arrived
+                # The budget already accounts for a deferred part, and a request that
+                # reached no leaf is no repeat.
+                held = item.deferred or not item.arrived
                 # Only the asking instance may request the part from now on.
                 vital = is_vital(self._question, progress, item, early=False)
-                item.may_repeat = needs_no_repeat or self._sends.try_spend_repeat(
-                    item, now, vital
-                )
+                item.may_repeat = held or self._sends.try_spend_repeat(item, now, vital)
             item.deferred, item.next_at, item.given_up = False, None, True
             item.closed = True
         waiting = [item.service for item in progress if not item.covered]
--- a/walkcart/fanout/routedsends.py
+++ b/walkcart/fanout/routedsends.py
@@ -58,8 +58,8 @@
         self._is_vital = is_vital
         self._watch = watch
         self._attempts: dict[str, ServiceProgress] = {}
-        until = min(question.objective_at, question.deadline) - tools.clock.monotonic()
-        self._choice = LeafChoice(tools, question, max(0.0, until))
+        time = min(question.objective_at, question.deadline) - tools.clock.monotonic()
+        self._choice = LeafChoice(tools, question, max(0.0, time))
         #: Time at which postponed hedges are considered again, in seconds.
         self._reconsider_at = find_recheck_time(
             tools.clock.monotonic(), question.objective_at, question.deadline
--- a/walkcart/fanout/tests/test_crashing_questions.py
+++ b/walkcart/fanout/tests/test_crashing_questions.py
@@ -13,7 +13,8 @@
 
 SHARDS = 6
 BAD = b"bad"
-BACK_TIME = 3.0
+#: Seconds until a crashed leaf is started again.
+RESTART_DELAY = 3.0
 CONTACT_TIME = 4.0
 
 
@@ -40,7 +41,7 @@
     async def _end(self, name):
         await trio.sleep(0.01)
         self._world.kill_leaf(name)
-        await trio.sleep(BACK_TIME)
+        await trio.sleep(RESTART_DELAY)
         await self._world.restart_leaf(name)
         self._watch(name)
 
--- a/walkcart/fanout/tests/test_foreign_messages.py
+++ b/walkcart/fanout/tests/test_foreign_messages.py
@@ -39,11 +39,12 @@
 from walkcart.wire.messages import Envelope
 from walkcart.wire.quarantines import QuarantineEntry, QuarantineNews
 
-WORK = 0.1
+#: Seconds that a question takes.
+GATHER_TIME = 0.1
 
 
 class EchoGathering:
-    """Answers each question with its target, after `WORK` seconds."""
+    """Answers each question with its target, after `GATHER_TIME` seconds."""
 
     def __init__(self):
         self.begun = []
@@ -53,7 +54,7 @@
         self.begun.append(question.request.target)
         if self.fault:
             raise ValueError("a fault")
-        await trio.sleep(WORK)
+        await trio.sleep(GATHER_TIME)
         body = question.request.target.encode()
         return Success(MergedAnswer(body, (), (), 1, 0))
 
@@ -61,8 +62,8 @@
 class Harness:
     """A server of delegations, with the messages that it sends."""
 
-    def __init__(self, carrier, links, gathering, sent, log):
-        self.carrier = carrier
+    def __init__(self, server, links, gathering, sent, log):
+        self.server = server
         self.links = links
         self.gathering = gathering
         self.sent = sent
@@ -89,8 +90,8 @@
         transport = site.transport()
         listener = await transport.listen(HostPort("127.0.0.1", 0))
         own = SimpleNamespace(name="me", incarnation=0, peer_address="")
-        book = SimpleNamespace(own=own, find=lambda name: None)
-        links = PeerLinks(listener, transport, book, events, metrics)
+        members = SimpleNamespace(own=own, find=lambda name: None)
+        links = PeerLinks(listener, transport, members, events, metrics)
         sent = []
         links.send = lambda name, message: sent.append((name, message)) or True
         quarantine = Quarantine()
@@ -100,7 +101,7 @@
         gathering = EchoGathering()
         quarantines = SimpleNamespace(is_restricted=lambda message, origins: False)
         origins = RequestOrigins(RouteKeeper(clock, events, metrics), b"team")
-        carrier = DelegationServer(
+        server = DelegationServer(
             links,
             clock,
             gathering.gather,
@@ -111,8 +112,8 @@
         )
         async with trio.open_nursery() as nursery:
             await nursery.start(links.run)
-            await nursery.start(carrier.run)
-            harness = Harness(carrier, links, gathering, sent, log)
+            await nursery.start(server.run)
+            harness = Harness(server, links, gathering, sent, log)
             harness.quarantine = quarantine
             harness.transport, harness.address = transport, listener.address
             result = await act(harness)
@@ -132,9 +133,9 @@
     async def act(harness):
         harness.receive("a", make_question("q"))
         harness.receive("a", make_question("q"))
-        await trio.sleep(WORK * 2)
+        await trio.sleep(GATHER_TIME * 2)
         harness.receive("a", make_question("q"))
-        await trio.sleep(WORK * 2)
+        await trio.sleep(GATHER_TIME * 2)
         return harness.gathering.begun, harness.answers()
 
     assert run_harness(act) == (["/x"], [("a", "q", b"/x")])
@@ -145,11 +146,11 @@
 
     async def act(harness):
         harness.receive("a", make_question("q"))
-        await trio.sleep(WORK / 2)
+        await trio.sleep(GATHER_TIME / 2)
         harness.receive("a", make_question("q"), age=0.3)
-        harness.carrier.stop_accepting()
+        harness.server.stop_accepting()
         harness.receive("a", make_question("q"))
-        await trio.sleep(WORK)
+        await trio.sleep(GATHER_TIME)
         harness.receive("a", make_question("q"), age=0.4)
         await trio.sleep(2)
         harness.receive("a", make_question("q"), age=2.4)
@@ -162,7 +163,7 @@
     async def act(harness):
         harness.receive("a", make_question("q"))
         harness.receive("nobody", make_question("q"))
-        await trio.sleep(WORK * 2)
+        await trio.sleep(GATHER_TIME * 2)
         return harness.gathering.begun, harness.answers()
 
     assert run_harness(act) == (["/x"], [("a", "q", b"/x")])
@@ -172,7 +173,7 @@
     async def act(harness):
         harness.receive("a", make_question("q", "/a", "of a"))
         harness.receive("b", make_question("q", "/b", "of b"))
-        await trio.sleep(WORK * 2)
+        await trio.sleep(GATHER_TIME * 2)
         return sorted(harness.answers())
 
     assert run_harness(act) == [("a", "q", b"/a"), ("b", "q", b"/b")]
@@ -182,16 +183,16 @@
     async def act(harness):
         harness.receive("a", make_question("q"))
         harness.receive("b", make_question("r"))
-        await trio.sleep(WORK / 2)
+        await trio.sleep(GATHER_TIME / 2)
         harness.receive("c", DelegatedCancel("q"))
-        await trio.sleep(WORK)
+        await trio.sleep(GATHER_TIME)
         answers = harness.answers()
         harness.gathering.gather_time = 1
         harness.receive("a", make_question("s"))
         for _ in range(4):
             await trio.sleep(RENEWAL_TIMEOUT / 4)
             harness.receive("c", DelegatedRenewal("s"))
-        return answers, harness.carrier.active_count
+        return answers, harness.server.active_count
 
     answers, active = run_harness(act)
     assert sorted(answers) == [("a", "q", b"/x"), ("b", "r", b"/x")]
@@ -202,10 +203,10 @@
     async def act(harness):
         harness.gathering.fault = True
         harness.receive("a", make_question("q"))
-        await trio.sleep(WORK)
+        await trio.sleep(GATHER_TIME)
         harness.gathering.fault = False
         harness.receive("a", make_question("r"))
-        await trio.sleep(WORK * 2)
+        await trio.sleep(GATHER_TIME * 2)
         failures = [
             (message.id, message.may_have_run)
             for _, message in harness.sent
@@ -259,10 +260,10 @@
                 asked.setdefault((sender, message.id), target.encode())
             harness.receive(sender, message)
             await trio.sleep(pause)
-        await trio.sleep(RENEWAL_TIMEOUT + WORK)
+        await trio.sleep(RENEWAL_TIMEOUT + GATHER_TIME)
         for sender, id, body in harness.answers():
             assert body == asked[sender, id]
-        assert harness.carrier.active_count == 0
+        assert harness.server.active_count == 0
         assert len(harness.quarantine) <= MAX_ENTRIES
 
     run_harness(act)
@@ -287,7 +288,7 @@
             await sender.send(data)
         await trio.sleep(0.1)
         harness.receive("a", make_question("r"))
-        await trio.sleep(WORK * 2)
+        await trio.sleep(GATHER_TIME * 2)
         return harness.answers()
 
     assert run_harness(act) == [("a", "r", b"/x")]
--- a/walkcart/leaves/directory.py
+++ b/walkcart/leaves/directory.py
@@ -202,8 +202,8 @@
 
     def _log_changes(self, found: dict[str, LeafEntry]) -> None:
         for id, entry in found.items():
-            previous = self._entries.get(id)
-            if previous is None or previous.life != entry.life:
+            held = self._entries.get(id)
+            if held is None or held.life != entry.life:
                 self._events.emit(
                     Events.LEAF_ADDED,
                     leaf=id,
@@ -211,7 +211,7 @@
                     address=entry.address,
                     leaving=entry.leaving,
                 )
-            elif entry.leaving and not previous.leaving:
+            elif entry.leaving and not held.leaving:
                 self._events.emit(Events.LEAF_LEAVING, leaf=id, service=entry.service)
 
     def _rebuild(self) -> None:
@@ -224,8 +224,8 @@
             if leaf is None or not _is_same_process(leaf, entry):
                 leaf = self._make_leaf(entry, now)
             leaves[id] = leaf
-            state = self._describe(entry)
-            if find_obstacle(state, evacuated=self._evacuated) is None:
+            standing = self._describe(entry)
+            if find_obstacle(standing, evacuated=self._evacuated) is None:
                 by_service.setdefault(entry.service, []).append(leaf)
         self._leaves = leaves
         self._by_service = {name: tuple(found) for name, found in by_service.items()}
--- a/walkcart/leaves/forwarding.py
+++ b/walkcart/leaves/forwarding.py
@@ -241,9 +241,9 @@
             self._accepted.pop(attempt.id, None)
             self._answer(sender, forwarded, outcome)
 
-        accepted = self._accepted.get(forwarded.id)
-        if accepted is not None:
-            if accepted[0] != sender:
+        held = self._accepted.get(forwarded.id)
+        if held is not None:
+            if held[0] != sender:
                 verdict = NotRun(Reason.INTERNAL, "the attempt's id is in use")
                 self._answer(sender, forwarded, Failed(verdict))
             # Otherwise it is a duplicate message; the attempt is answered once.
--- a/walkcart/leaves/leaf.py
+++ b/walkcart/leaves/leaf.py
@@ -50,7 +50,7 @@
     first, _, second = text.partition(":")
     layout, version = read_number(first), read_number(second)
     if layout is None or version is None:
-        raise BadSnapshot(f"{text[:40]!r} is not two whole numbers joined by a colon")
+        raise BadSnapshot(text[:40])
     return Snapshot(layout, version)
 
 
--- a/walkcart/leaves/link.py
+++ b/walkcart/leaves/link.py
@@ -297,10 +297,8 @@
         The last one stays open unless the leaf stated a shorter idle timeout.
         """
         idle = self._tools.clock.monotonic() - since
-        is_stated = self._exchanges.idle_timeout < IDLE_TIMEOUT.total_seconds()
-        return idle >= self._exchanges.idle_timeout and (
-            is_stated or self._connections > 1
-        )
+        told = self._exchanges.idle_timeout < IDLE_TIMEOUT.total_seconds()
+        return idle >= self._exchanges.idle_timeout and (told or self._connections > 1)
 
     async def _process(
         self, connection: HttpConnection, pending: Pending, last_used: float
