--- a/walkcart/fanout/delegatedgroup.py
+++ b/walkcart/fanout/delegatedgroup.py
@@ -133,9 +133,11 @@
             case _:
                 failure = self.outcome.failure()
                 found = {part.service: part for part in failure.missing}
-                other = failure.verdict.reason
+                default_reason = failure.verdict.reason
                 parts = [
-                    found.get(name, MissingPart(name, other, self.most_attempts))
+                    found.get(
+                        name, MissingPart(name, default_reason, self.most_attempts)
+                    )
                     for name in self.services
                 ]
         return {part.service: part for part in parts}
--- a/walkcart/fanout/delegationserver.py
+++ b/walkcart/fanout/delegationserver.py
@@ -141,8 +141,10 @@
     def _on_question(self, sender: str, message: Message, age: float) -> None:
         assert isinstance(message, DelegatedQuestion)
         key = (sender, message.id)
-        copy = (message.id, message.request)
-        known = copy in self._begun_at or key in self._closed_at or key in self._active
+        copy_key = (message.id, message.request)
+        known = (
+            copy_key in self._begun_at or key in self._closed_at or key in self._active
+        )
         if self._nursery is None or known:
             # The question was cancelled before it arrived, or this is a copy, and its
             # sender has or gets the answer. "Not run", as for a stale one, would be
@@ -165,7 +167,7 @@
         send = partial(self._links.send, sender)
         handover = Handover(message.id, message.services, send)
         self._active[key] = active = _ActiveQuestion(scope, handover)
-        _record_time(self._begun_at, copy, self._clock.monotonic())
+        _record_time(self._begun_at, copy_key, self._clock.monotonic())
         late = max(0.0, age - USUAL_TRANSIT_TIME)
         self._nursery.start_soon(self._gather_question, sender, message, late, active)
 
--- a/walkcart/fanout/gathering.py
+++ b/walkcart/fanout/gathering.py
@@ -118,13 +118,13 @@
             ShardProgress(shard, leaves) for shard, leaves in enumerate(layout.shards)
         ]
         self._other_snapshots: dict[Snapshot, dict[int, Replied]] = {}
-        self._open = len(self._progress)
+        self._open_count = len(self._progress)
         self._sent = 0
         self._may_have_run = False
         self._closed = False
         self._deadline = question.deadline - REPLY_TIME
-        self._start = 0.0
-        self._rounds = 0
+        self._started_at = 0.0
+        self._hedge_rounds = 0
         self._hedge_delay = 0.0
         self._hedge_at = float("inf")
         self._partial_at = float("inf")
@@ -152,14 +152,14 @@
         if pin.layout == layout.epoch == self._pin.layout:
             for shard, reply in kept.items():
                 moved._progress[shard].reply = reply
-                moved._open -= 1
+                moved._open_count -= 1
         return moved
 
     async def run(self) -> Answer:
         """Ask the shards until the answer is complete or no more replies can come."""
-        start = self._start = self._tools.clock.monotonic()
+        start = self._started_at = self._tools.clock.monotonic()
         policy = self._question.policy
-        open_count = self._open
+        open_count = self._open_count
         self._hedges.earn(open_count, policy.hedge_budget)
         self._retries.earn(open_count, policy.retry_budget)
         group = self._question.group
@@ -178,7 +178,7 @@
                 self._send_first(item, start)
         try:
             self._send_due()
-            while self._open and not self._is_enough():
+            while self._open_count and not self._is_enough():
                 await self._wait()
                 self._process_inbox()
                 self._send_due()
@@ -200,7 +200,7 @@
 
     async def _wait(self) -> None:
         """Wait for an outcome or until the next action is due."""
-        due = min(self._deadline, self._next_retry())
+        due = min(self._deadline, self._find_next_retry_time())
         if not self._watch.is_sequential:
             due = min(due, self._hedge_at)
         if self._tools.clock.monotonic() < self._partial_at:
@@ -210,7 +210,8 @@
             with trio.move_on_at(due):
                 await self._wakeup.wait()
 
-    def _next_retry(self) -> float:
+    def _find_next_retry_time(self) -> float:
+        """Return when the next retry is due; infinite without one that may be sent."""
         times = [
             item.retry_at
             for item in self._progress
@@ -276,8 +277,8 @@
             self._plan_retry(item, free=False)
             return
         item.reply = reply
-        item.time = self._tools.clock.monotonic() - self._start
-        self._open -= 1
+        item.time = self._tools.clock.monotonic() - self._started_at
+        self._open_count -= 1
         self._cancel_attempts(item)
 
     def _adopt_pin(self, snapshot: Snapshot) -> None:
@@ -310,8 +311,9 @@
             self._give_up(item)
 
     def _give_up(self, item: ShardProgress) -> None:
+        """Record that a shard gets no further attempt and no reply is awaited."""
         item.retry_at = None
-        self._open -= 1
+        self._open_count -= 1
 
     def _send_due(self) -> None:
         """Send the retries and hedges that are due."""
@@ -321,8 +323,8 @@
             if due and self._watch.may_send(str(item.shard)):
                 self._send_retry(item, now)
         if now >= self._hedge_at and not self._watch.is_sequential:
-            self._rounds += 1
-            more = self._rounds < MAX_HEDGE_ROUNDS
+            self._hedge_rounds += 1
+            more = self._hedge_rounds < MAX_HEDGE_ROUNDS
             self._hedge_at = now + self._hedge_delay if more else float("inf")
             self._hedge_late(now)
 
@@ -356,7 +358,7 @@
         leaf = self._select(item, now, without=set())
         if leaf is None:
             item.reason = Reason.NO_LEAF
-            self._open -= 1
+            self._open_count -= 1
             return
         self._send(item, leaf, now, hedge=False)
 
@@ -405,6 +407,7 @@
         self._tools.gateway.submit(leaf, attempt, self._question.group, self._receive)
 
     def _cancel_attempts(self, item: ShardProgress) -> None:
+        """Cancel the attempts that are still under way at a shard."""
         now = self._tools.clock.monotonic()
         for id, sent in item.under_way.items():
             self._tools.gateway.cancel(sent.leaf, id, now - sent.at)
--- a/walkcart/fanout/lateparts.py
+++ b/walkcart/fanout/lateparts.py
@@ -87,7 +87,7 @@
         """Return whether a group was requested as late parts."""
         return group in self._groups
 
-    def ask(
+    def request(
         self, progress: Collection[ServiceProgress], now: float
     ) -> list[DelegatedGroup]:
         """Request the late parts; return the groups that other instances gather."""
--- a/walkcart/fanout/peerselection.py
+++ b/walkcart/fanout/peerselection.py
@@ -90,8 +90,8 @@
         )
         # A group of 24 parts keeps a machine of half a core busy for 28 ms, one of 2.15
         # cores for 7 ms (computed): a quarter of the shortest objective.
-        parts = len(wanted.services) * PART_CPU_TIME
-        work = {name: parts / cores[name] for name in names[:MAX_CANDIDATES]}
+        cpu_time = len(wanted.services) * PART_CPU_TIME
+        work = {name: cpu_time / cores[name] for name in names[:MAX_CANDIDATES]}
         now = tools.clock.monotonic()
         for name in tools.accounts.find_peers_to_greet(names[:MAX_CANDIDATES], now):
             tools.links.reconnect(name)
--- a/walkcart/fanout/remoteparts.py
+++ b/walkcart/fanout/remoteparts.py
@@ -126,7 +126,7 @@
     def request_late_parts(self, now: float) -> None:
         """Request late parts together."""
         if self._late is not None:
-            self._groups += self._late.ask(self._progress.values(), now)
+            self._groups += self._late.request(self._progress.values(), now)
 
     def cancel(self) -> None:
         """Cancel all groups: the question has ended."""
--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -358,6 +358,7 @@
             self._watch.record_failed(item.service)
 
     def _accept(self, item: ServiceProgress, reply: Replied) -> None:
+        """Accept the first reply of a service, and drop later ones."""
         if item.covered:
             self._tools.metrics.count("leaf.late")
             return
@@ -404,6 +405,7 @@
             self._watch.record_sent(item.service)
 
     def _cancel_rest(self) -> None:
+        """Cancel the attempts and delegated groups that are still under way."""
         for item in self._progress.values():
             item.given_up = True
             self._sends.cancel(item)
--- a/walkcart/fanout/routedsends.py
+++ b/walkcart/fanout/routedsends.py
@@ -66,6 +66,7 @@
         )
         #: Whether repeats at leaves in other regions are deferred, to be sent together.
         self._defers_far = question.settle_at < float("inf")
+        #: Whether an attempt may be sent beside or after one that may have run.
         self._may_repeat = not question.await_confirmation
         self.sent = 0
         self.repeats = 0
@@ -230,6 +231,7 @@
             self._tools.pool.cancel(sent.leaf, id, self._question.kind, now - sent.at)
 
     def _may_retry(self, item: ServiceProgress, now: float) -> bool:
+        """Return whether a service may get another attempt after a failure."""
         if item.ran and not self._question.idempotent:
             return False
         if not (
@@ -241,6 +243,7 @@
         return len(item.tried) < MAX_TRIES and self._has_time(now)
 
     def _has_time(self, now: float) -> bool:
+        """Return whether another attempt may still be answered by the deadline."""
         times = self._tools.pool.times_of(
             self._question.kind, Distance.SAME_DATA_CENTRE
         )
--- a/walkcart/fanout/snapshots.py
+++ b/walkcart/fanout/snapshots.py
@@ -44,10 +44,10 @@
         common = frozenset.intersection(*sets)
         if common:
             return max(common)
-    return _find_widest(held_by_some)
+    return _find_most_held(held_by_some)
 
 
-def _find_widest(sets: list[frozenset[int]]) -> int | None:
+def _find_most_held(sets: list[frozenset[int]]) -> int | None:
     """Return the version in the most sets; among equals the newest."""
     counts = Counter(version for versions in sets for version in versions)
     if not counts:
--- a/walkcart/fanout/tests/test_foreign_messages.py
+++ b/walkcart/fanout/tests/test_foreign_messages.py
@@ -62,8 +62,8 @@
 class Harness:
     """A server of delegations, with the messages that it sends."""
 
-    def __init__(self, server, links, gathering, sent, log):
-        self.server = server
+    def __init__(self, carrier, links, gathering, sent, log):
+        self.carrier = carrier
         self.links = links
         self.gathering = gathering
         self.sent = sent
@@ -101,7 +101,7 @@
         gathering = EchoGathering()
         quarantines = SimpleNamespace(is_restricted=lambda message, origins: False)
         origins = RequestOrigins(RouteKeeper(clock, events, metrics), b"team")
-        server = DelegationServer(
+        carrier = DelegationServer(
             links,
             clock,
             gathering.gather,
@@ -112,8 +112,8 @@
         )
         async with trio.open_nursery() as nursery:
             await nursery.start(links.run)
-            await nursery.start(server.run)
-            harness = Harness(server, links, gathering, sent, log)
+            await nursery.start(carrier.run)
+            harness = Harness(carrier, links, gathering, sent, log)
             harness.quarantine = quarantine
             harness.transport, harness.address = transport, listener.address
             result = await act(harness)
@@ -148,7 +148,7 @@
         harness.receive("a", make_question("q"))
         await trio.sleep(GATHER_TIME / 2)
         harness.receive("a", make_question("q"), age=0.3)
-        harness.server.stop_accepting()
+        harness.carrier.stop_accepting()
         harness.receive("a", make_question("q"))
         await trio.sleep(GATHER_TIME)
         harness.receive("a", make_question("q"), age=0.4)
@@ -192,7 +192,7 @@
         for _ in range(4):
             await trio.sleep(RENEWAL_TIMEOUT / 4)
             harness.receive("c", DelegatedRenewal("s"))
-        return answers, harness.server.active_count
+        return answers, harness.carrier.active_count
 
     answers, active = run_harness(act)
     assert sorted(answers) == [("a", "q", b"/x"), ("b", "r", b"/x")]
@@ -263,7 +263,7 @@
         await trio.sleep(RENEWAL_TIMEOUT + GATHER_TIME)
         for sender, id, body in harness.answers():
             assert body == asked[sender, id]
-        assert harness.server.active_count == 0
+        assert harness.carrier.active_count == 0
         assert len(harness.quarantine) <= MAX_ENTRIES
 
     run_harness(act)
--- a/walkcart/leaves/gateway.py
+++ b/walkcart/leaves/gateway.py
@@ -76,21 +76,24 @@
             network, clock, events, metrics, tracer, self.record_status
         )
         self._links: dict[str, LeafLink] = {}
-        self._caps: dict[str, int] = {}
+        self._max_connections: dict[str, int] = {}
         self._groups: dict[str, ResolvedGroup] = {}
-        self._previous: tuple[ResolvedGroup, ...] = ()
-        self._delays: dict[str, HedgeDelay] = {}
+        self._previous_groups: tuple[ResolvedGroup, ...] = ()
+        self._hedge_delays: dict[str, HedgeDelay] = {}
         self._holders = HolderTable()
         self._view_version = -1
         self._checked_at = clock.monotonic()
+        #: Number of connections that this instance may open, by the leaf's address.
         self._shares: dict[str, int] = {}
+        #: Larger shares that aren't in use yet, each with the time since which it is
+        #: wanted, in seconds; by the leaf's address.
         self._wanted_since: dict[str, tuple[int, float]] = {}
         self._nursery: trio.Nursery | None = None
         forwarder.set_local_access(self._submit_here, self._cancel_here, table.find)
 
     def hedge_delay_of(self, group: str) -> HedgeDelay:
         """Return the hedge delay of a shard group, from its observed latencies."""
-        return self._delays.setdefault(group, HedgeDelay())
+        return self._hedge_delays.setdefault(group, HedgeDelay())
 
     def set_groups(self, groups: list[ResolvedGroup]) -> None:
         """Set the shard groups whose leaves' connections are shared from now on.
@@ -98,11 +101,11 @@
         The leaves of the previous groups stay connected until the next change, for
         questions that were admitted under the previous configuration.
         """
-        self._previous = tuple(self._groups.values())
+        self._previous_groups = tuple(self._groups.values())
         self._groups = {resolved.group.name: resolved for resolved in groups}
-        for resolved in (*self._previous, *groups):
+        for resolved in (*self._previous_groups, *groups):
             for leaf in resolved.leaves:
-                self._caps[leaf.address] = resolved.group.connections
+                self._max_connections[leaf.address] = resolved.group.connections
         self._apply_groups()
 
     def submit(
@@ -173,7 +176,7 @@
                 leaf.region,
                 ConnectionShares(resolved.group.connections),
             )
-            for resolved in (*self._previous, *self._groups.values())
+            for resolved in (*self._previous_groups, *self._groups.values())
             for leaf in resolved.leaves
         }
         self._holders.set_leaves(list(held.values()))
@@ -220,11 +223,11 @@
 
     def _update_share(self, address: str) -> None:
         leaf = self._table.find(address)
-        if leaf is None or address not in self._caps:
+        if leaf is None or address not in self._max_connections:
             self._wanted_since.pop(address, None)
             return
         holders = self._holders.holders(address)
-        shares = ConnectionShares(self._caps[address])
+        shares = ConnectionShares(self._max_connections[address])
         holds = self._view.own.name in holders
         self._apply_share(
             leaf, shares.connections_per_holder(len(holders)) if holds else 0
--- a/walkcart/leaves/pool.py
+++ b/walkcart/leaves/pool.py
@@ -31,8 +31,7 @@
 from walkcart.routing.shares import ConnectionShares
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Maximum number of connections, over all instances, to a leaf whose service the
-#: routing document doesn't describe.
+#: Limit of connections to a leaf whose service the routing document doesn't describe.
 DEFAULT_CONNECTIONS = 8
 #: Seconds between two rounds that close unneeded links and update the shares.
 TIDY_INTERVAL = 1.0
--- a/walkcart/wire/server.py
+++ b/walkcart/wire/server.py
@@ -60,22 +60,15 @@
 
 @dataclass(slots=True, eq=False)
 class _Connection:
-    """The state of one connection.
-
-    Args:
-        stream: stream to the client.
-        http: state of the protocol.
-        idle_scope: cancels the wait for the next request; None during a request.
-        idle_since: when the last such wait began, in seconds.
-        requests: number of requests served so far.
-        gone: whether the client disconnected during a request.
-    """
+    """The state of one connection."""
 
     stream: trio.abc.Stream
     http: h11.Connection
+    #: Cancels the wait for the next request; None during a request.
     idle_scope: trio.CancelScope | None = None
     idle_since: float = 0.0
     requests: int = field(default=0)
+    #: Whether the client disconnected while its request was handled.
     gone: bool = False
 
 
@@ -233,6 +226,7 @@
         raise BadRequest(Fault.TIMEOUT)
 
     async def _collect(self, connection: _Connection) -> HttpRequest | None:
+        """Collect the parts of one request; None if the client disconnected."""
         head: h11.Request | None = None
         chunks: list[bytes] = []
         size = 0
