--- a/walkcart/fanout/lateparts.py
+++ b/walkcart/fanout/lateparts.py
@@ -23,7 +23,7 @@
 from walkcart.routing.latetimes import LATE_REPLY_GRACE, find_late_request_time
 
 
-def plan_settling(
+def plan_late_request(
     tools: RoutedTools, question: RoutedQuestion, top: int
 ) -> RoutedQuestion:
     """Return the question with the time at which its late parts are requested.
--- a/walkcart/fanout/routed.py
+++ b/walkcart/fanout/routed.py
@@ -27,7 +27,7 @@
 from walkcart.fanout.crashwatch import CrashWatch
 from walkcart.fanout.dependence import is_vital, may_send_second_attempts
 from walkcart.fanout.duetimes import DueTimes
-from walkcart.fanout.lateparts import plan_settling
+from walkcart.fanout.lateparts import plan_late_request
 from walkcart.fanout.lateturns import check_queue_delay
 from walkcart.fanout.merginghandover import MergingHandover
 from walkcart.fanout.remoteparts import RemoteParts
@@ -69,7 +69,7 @@
     ) -> None:
         pool = tools.pool.limit_to(question.kind, question.regions, question.grant)
         tools = replace(tools, pool=pool)
-        question = plan_settling(tools, question, top)
+        question = plan_late_request(tools, question, top)
         self._tools = tools
         self._question = question
         self._top = top
