--- a/walkcart/leaves/directory.py
+++ b/walkcart/leaves/directory.py
@@ -92,6 +92,7 @@
         self._replaced: dict[tuple[str, int, str], None] = {}
         self._evacuated = NO_DATA_CENTRES
         self._listeners: list[Callable[[], None]] = []
+        #: Whether the entries have been read from the store.
         self.known = False
 
     def on_change(self, listener: Callable[[], None]) -> None:
--- a/walkcart/leaves/leaf.py
+++ b/walkcart/leaves/leaf.py
@@ -31,6 +31,7 @@
         return f"{self.layout}:{self.version}"
 
 
+#: Version of a snapshot for which replies of any version are accepted.
 ANY_VERSION = 0
 #: The snapshot of a request that any snapshot may answer.
 UNPINNED = Snapshot(0, ANY_VERSION)
--- a/walkcart/leaves/pool.py
+++ b/walkcart/leaves/pool.py
@@ -128,8 +128,8 @@
         ]
         if len(leaves) <= 1:
             return leaves[0] if leaves else None
-        standings = [self._describe(leaf, kind, now) for leaf in leaves]
-        chosen = choose_leaf(standings, objective, self._tools.random)
+        candidates = [self._describe(leaf, kind, now) for leaf in leaves]
+        chosen = choose_leaf(candidates, objective, self._tools.random)
         return next(leaf for leaf in leaves if chosen and leaf.id == chosen.key)
 
     def submit(self, leaf: Leaf, attempt: Attempt, kind: str, deliver: Deliver) -> None:
--- a/walkcart/wire/server.py
+++ b/walkcart/wire/server.py
@@ -64,9 +64,11 @@
 
     stream: trio.abc.Stream
     http: h11.Connection
+    #: Cancels the wait for the next request; None during a request.
     idle_scope: trio.CancelScope | None = None
     idle_since: float = 0.0
     requests: int = field(default=0)
+    #: Whether the client disconnected while its request was handled.
     gone: bool = False
 
 
@@ -224,6 +226,7 @@
         raise BadRequest(Fault.TIMEOUT)
 
     async def _collect(self, connection: _Connection) -> HttpRequest | None:
+        """Collect the parts of one request; None if the client disconnected."""
         head: h11.Request | None = None
         chunks: list[bytes] = []
         size = 0
