--- a/walkcart/entry/callerports.py
+++ b/walkcart/entry/callerports.py
@@ -44,11 +44,11 @@
     """Enforces the teams' rate limits, which all instances share."""
 
     async def admit(self, team: Team, max_wait: float) -> NotRun | None:
-        """Charge a request to its team's limit; return a refusal if it has no room.
+        """Charge a request to its team's limit; return a refusal if that is used up.
 
         Args:
             team: the team that sent the request.
-            max_wait: most seconds to wait for answers of other instances.
+            max_wait: longest time to wait for answers of other instances, in seconds.
         """
         ...
 
--- a/walkcart/entry/requestlog.py
+++ b/walkcart/entry/requestlog.py
@@ -18,7 +18,7 @@
 from walkcart.kernel.metrics import Metrics
 from walkcart.wire.verdicts import NotRun, Reason
 
-#: Most missing services that a log line names.
+#: Maximum number of missing services that a log line names.
 MAX_LOGGED_MISSING = 5
 #: Refusals with a metric of their own: the ones a team's operators look for first.
 REFUSAL_METRICS = {
--- a/walkcart/entry/requests.py
+++ b/walkcart/entry/requests.py
@@ -46,7 +46,7 @@
         order_by: field by which the rows of all shards are sorted; None keeps
             them in the order of the shards.
         descending: whether the highest value comes first.
-        limit: most rows in the reply; 0 for all.
+        limit: maximum number of rows in the reply; 0 for all.
     """
 
     query: msgspec.Raw
@@ -73,7 +73,7 @@
 
     Args:
         deadline: seconds until the reply is due; None for the policy's.
-        least_coverage: least fraction of the shards that must answer; None for the
+        least_coverage: smallest fraction of the shards that must answer; None for the
             policy's.
         idempotency_key: the header as sent.
         traceparent: the header as sent.
--- a/walkcart/entry/routed.py
+++ b/walkcart/entry/routed.py
@@ -46,10 +46,10 @@
 from walkcart.wire.http import HttpReply, HttpRequest
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Subtracted from the time that a caller waits: the answer's way back to it.
+#: Subtracted from the time that a caller waits: the time of the answer on the network.
 DEADLINE_RESERVE = timedelta(milliseconds=10)
-#: Subtracted from a route's objective: the request's way to this instance, which may
-#: include opening a connection, and the answer's way back. The delay in this instance
+#: Subtracted from a route's objective: the time of the request on the network, which
+#: may include opening a connection, and that of the answer. The delay in this instance
 #: is learned and subtracted as well.
 OBJECTIVE_RESERVE = timedelta(milliseconds=20)
 #: Retry-after of requests that are refused because no routing document is known yet.
@@ -158,7 +158,7 @@
         return await self._answer(question, table, route, team, start)
 
     async def _charge_limit(self, team: Team | None, deadline: float) -> NotRun | None:
-        """Charge a request to its team's limit; return a refusal if it has no room."""
+        """Charge a request to its team's limit; return a refusal if that is used up."""
         limits = self._tools.limits
         if limits is None or team is None or team.limit is None:
             return None
@@ -272,12 +272,12 @@
             case ToShards(services):
                 return services
             case ToSplit(parts) as target:
-                held = self._splits.get(route.name)
-                if held is None or held[0] != target:
+                current = self._splits.get(route.name)
+                if current is None or current[0] != target:
                     split = WeightedSplit(self._tools.random.random())
-                    held = self._splits[route.name] = (target, split)
+                    current = self._splits[route.name] = (target, split)
                 weights = [(part.service, part.weight) for part in parts]
-                return (held[1].choose(weights),)
+                return (current[1].choose(weights),)
 
     def _refuse(
         self, caller: CallerRequest, verdict: NotRun, team: str = ""
--- a/walkcart/entry/routedstop.py
+++ b/walkcart/entry/routedstop.py
@@ -36,7 +36,7 @@
 
     Args:
         service: serves the requests of callers.
-        carrier: serves questions of other instances.
+        delegation_server: serves questions of other instances.
         registration: registers this instance with the others.
         events: log for the stop.
         grace: time until the platform kills the process.
@@ -46,14 +46,14 @@
     def __init__(
         self,
         service: RoutedService,
-        carrier: DelegationServer,
+        delegation_server: DelegationServer,
         registration: Registration,
         events: EventLog,
         grace: timedelta,
         quota_shares: QuotaShares,
     ) -> None:
         self._service = service
-        self._carrier = carrier
+        self._delegation_server = delegation_server
         self._registration = registration
         self._events = events
         self._grace = grace
@@ -65,7 +65,7 @@
         start = trio.current_time()
         self._service.stopping = True
         self._service.server.announce_stop()
-        self._carrier.stop_accepting()
+        self._delegation_server.stop_accepting()
         with trio.move_on_after(LEASE_END_TIMEOUT.total_seconds()):
             await self._quota_shares.release_all()
         with trio.move_on_after(LEASE_END_TIMEOUT.total_seconds()):
@@ -81,7 +81,7 @@
 
     async def _drain(self) -> None:
         server = self._service.server
-        while server.connections or self._carrier.active_count:
+        while server.connections or self._delegation_server.active_count:
             server.close_idle(MIN_IDLE_TIME)
             await trio.sleep(POLL_INTERVAL)
         await self._service.stop_accepting()
--- a/walkcart/entry/startup.py
+++ b/walkcart/entry/startup.py
@@ -1,10 +1,10 @@
 """Delays requests that arrive while the instance is still starting.
 
-The load balancer uses all instances of a place when none is ready. So an instance gets
-requests as soon as it listens, some ten milliseconds before it has read the routes and
-the leaves. Such requests wait: if they were refused and sent again later, they would
-miss their objective. If the store can't be reached, the wait has no foreseeable end,
-so they are refused after a short time.
+The load balancer uses all instances of a data centre when none is ready. So an instance
+gets requests as soon as it listens, some ten milliseconds before it has read the routes
+and the leaves. Such requests wait: if they were refused and sent again later, they
+would miss their objective. If the store can't be reached, the wait has no foreseeable
+end, so they are refused after a short time.
 
 See Also:
     `walkcart.entry.routed.RoutedHandler`, which waits here first.
--- a/walkcart/entry/teamlimits.py
+++ b/walkcart/entry/teamlimits.py
@@ -22,7 +22,7 @@
 from walkcart.wire.verdicts import NotRun, Reason
 
 #: A team is far above its limit if an accountant states at least this many seconds
-#: until the turn of a refused request. Then the remaining shares that may have room
+#: until the turn of a refused request. Then the remaining shares that may grant it
 #: aren't asked if they are at most `MAX_UNASKED_FRACTION` of all shares: the few
 #: requests that they grant go to other callers, and this caller is refused at once.
 FAR_ABOVE_LIMIT_WAIT = 2.0
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Search:
-    """The search of one request for a share of its team's limit with room.
+    """The search of one request for a share of its team's limit that grants it.
 
     Args:
         team: name of the team that sent the request.
@@ -63,7 +63,7 @@
         allowance: unused grants of the team at this instance.
         deadline: when asking ends, in seconds of the monotonic clock.
         turns: seconds until the request's turn, as stated by each accountant that
-            had no room.
+            refused it.
     """
 
     team: str
@@ -77,7 +77,7 @@
         """Return whether the team is so far above its limit that asking ends now."""
         if not self.turns or self.turns[-1] < FAR_ABOVE_LIMIT_WAIT:
             return False
-        unasked = self.allowance.full.find_open(self.shares, now)
+        unasked = self.allowance.exhausted.find_available(self.shares, now)
         return len(unasked) <= len(self.shares) * MAX_UNASKED_FRACTION
 
 
@@ -85,7 +85,7 @@
     """Enforces rate limits by requesting grants from the accountants of their shares.
 
     Args:
-        asks: sends requests for grants to the accountants.
+        client: sends requests for grants to the accountants.
         bounds: bounds on how far a limit may be exceeded.
         find_limit: returns the limit of a team in the configuration in force.
         clock: source of time.
@@ -95,14 +95,14 @@
 
     def __init__(
         self,
-        asks: QuotaClient,
+        client: QuotaClient,
         bounds: QuotaBounds,
         find_limit: FindLimit,
         clock: Clock,
         random: Random,
         metrics: Metrics,
     ) -> None:
-        self._asks = asks
+        self._client = client
         self._bounds = bounds
         self._find_limit = find_limit
         self._clock = clock
@@ -110,7 +110,7 @@
         self._metrics = metrics
         self._allowances: dict[str, Allowance] = {}
         self._denials: dict[str, LastDenial] = {}
-        asks.on_late_grant(self._add_late_grant)
+        client.on_late_grant(self._add_late_grant)
 
     def retain_teams(self, teams: frozenset[str]) -> None:
         """Forget all teams but these: the others no longer have a limit."""
@@ -119,7 +119,7 @@
             self._denials.pop(name, None)
 
     async def admit(self, team: Team, max_wait: float) -> NotRun | None:
-        """Charge a request to its team's limit; return a refusal if it has no room."""
+        """Charge a request to its team's limit; return a refusal if that is used up."""
         if team.limit is None or team.limit.rate <= 0.0:
             return None
         start = self._clock.monotonic()
@@ -149,38 +149,40 @@
 
     async def _ask(self, search: _Search) -> NotRun | None:
         """Ask the accountants of the shares in turn until one grants a request."""
-        full = search.allowance.full
-        order = full.find_open(search.shares, self._clock.monotonic())
-        for share in self._asks.sort_by_distance(order):
+        exhausted = search.allowance.exhausted
+        order = exhausted.find_available(search.shares, self._clock.monotonic())
+        for share in self._client.sort_by_distance(order):
             now = self._clock.monotonic()
             if now >= search.deadline or search.is_far_above(now):
                 break
-            if not full.find_open([share], now):
-                # Another accountant has reported meanwhile that this share has no room.
+            if not exhausted.find_available([share], now):
+                # Meanwhile another accountant has reported that it is exhausted.
                 continue
             if await self._ask_share(share, search):
                 return None
         if not search.turns and len(order) == len(search.shares):
             return self._refuse_unknown(len(order))
-        wait = min(search.turns, default=full.find_room(self._clock.monotonic()))
+        wait = min(
+            search.turns, default=exhausted.find_min_wait(self._clock.monotonic())
+        )
         return self._refuse(search, wait)
 
     async def _ask_share(self, share: int, search: _Search) -> bool:
         """Ask the accountant of one share; return whether the request may run."""
         allowance = search.allowance
         request = self._make_request(search)
-        answer = await self._asks.ask(share, request, search.deadline)
+        answer = await self._client.ask(share, request, search.deadline)
         now = self._clock.monotonic()
         # A grant for another request, or a late one, may have arrived meanwhile.
         taken = allowance.try_consume(now)
         if answer is None:
             return taken
         if answer.reply.granted:
-            allowance.full.forget(share)
+            allowance.exhausted.forget(share)
             allowance.add_grant(answer.reply.granted - (not taken), answer.until)
             return True
-        allowance.full.take(answer.reply.full, now)
-        allowance.full.note(share, answer.reply.wait, now)
+        allowance.exhausted.merge_waits(answer.reply.full, now)
+        allowance.exhausted.record(share, answer.reply.wait, now)
         search.turns.append(answer.reply.turn)
         denial = LastDenial(now, answer.reply.use, answer.accountant)
         self._denials[search.team] = denial
@@ -197,8 +199,8 @@
         if limit is None:
             version, limit = 0, search.limit
         wanted = search.allowance.find_request_amount(now)
-        told = search.allowance.full.tell(now)
-        return QuotaRequest(search.team, limit, version, wanted, told)
+        waits = search.allowance.exhausted.list_waits(now)
+        return QuotaRequest(search.team, limit, version, wanted, waits)
 
     def _add_late_grant(self, team: str, amount: int, until: float) -> None:
         allowance = self._allowances.get(team)
@@ -206,19 +208,19 @@
             allowance.add_grant(amount, until)
 
     def _refuse(self, search: _Search, wait: float) -> NotRun:
-        """Refuse a request above the limit, with the time until there is room."""
+        """Refuse a request above the limit, with the time until one may be granted."""
         limit = search.limit
-        told = max(MIN_RETRY_DELAY, draw_retry_after(wait, self._random))
+        retry_after = max(MIN_RETRY_DELAY, draw_retry_after(wait, self._random))
         detail = f"the limit of {limit.rate:g} a second and {limit.burst:g} is used"
         denial = self._denials.get(search.team)
         if denial is not None:
             age = self._clock.monotonic() - denial.at
             detail += f": {denial.accountant} saw {denial.use:.2f} a second of its"
             detail += f" share {age * 1000:.0f} ms ago"
-        return NotRun(Reason.RATE_LIMITED, detail, told)
+        return NotRun(Reason.RATE_LIMITED, detail, retry_after)
 
     def _refuse_unknown(self, asked: int) -> NotRun:
         """Refuse a request since no accountant can tell if it is above the limit."""
-        told = draw_retry_after(UNKNOWN_RETRY_DELAY, self._random)
+        retry_after = draw_retry_after(UNKNOWN_RETRY_DELAY, self._random)
         detail = f"no accountant of {asked} shares was reached"
-        return NotRun(Reason.LIMIT_UNKNOWN, detail, told)
+        return NotRun(Reason.LIMIT_UNKNOWN, detail, retry_after)
--- a/walkcart/entry/tests/quotascenarios.py
+++ b/walkcart/entry/tests/quotascenarios.py
@@ -11,7 +11,7 @@
 FREE = Team("free")
 #: Usual rate of a team, as a fraction of its limit.
 USUAL = 0.6
-#: Most requests within the limit that may be refused, as a fraction, also with one
+#: Maximum fraction of the requests within the limit that may be refused, also with one
 #: failure.
 MAX_REFUSED_FRACTION = 1 / 200
 
--- a/walkcart/entry/tests/test_team_limits.py
+++ b/walkcart/entry/tests/test_team_limits.py
@@ -63,7 +63,7 @@
         fleet.change_limit("large", None)
         fleet.change_limit("small", None)
         await trio.sleep(10)
-        assert not any(member.held() for member in fleet.members)
+        assert not any(member.list_held_shares() for member in fleet.members)
         before = fleet.store.renewals
         await trio.sleep(10)
         assert fleet.store.renewals == before
@@ -130,7 +130,7 @@
     run_scenario(act)
 
 
-def test_bounds_leave_room_for_the_way_to_the_leaves():
+def test_bounds_leave_a_reserve_for_the_delivery_to_the_leaves():
     # The scenarios above check the times of admission. Requests reach the leaves later,
     # so the bounds need a reserve.
     limit = LARGE.limit
--- a/walkcart/once/claimant.py
+++ b/walkcart/once/claimant.py
@@ -98,45 +98,45 @@
             remaining: time until the request's deadline.
         """
         bucket = find_bucket(key)
-        limit = remaining.total_seconds() * CLAIM_TIME_FRACTION
+        timeout = remaining.total_seconds() * CLAIM_TIME_FRACTION
         ask = ClaimAsk(
-            self._make_token(), bucket, key, issued.issued.timestamp(), request, limit
+            self._make_token(), bucket, key, issued.issued.timestamp(), request, timeout
         )
-        answer = await self._ask(ask, limit)
+        answer = await self._ask(ask, timeout)
         if answer is None:
             self.withdraw(ClaimResult(ClaimOutcome.UNAVAILABLE, ask.token, bucket, key))
             return ClaimResult(ClaimOutcome.UNAVAILABLE, ask.token, bucket, key)
         outcome = ClaimOutcome(answer.outcome)
         return ClaimResult(outcome, ask.token, bucket, key, answer.status, answer.body)
 
-    def settle(self, grant: ClaimResult, status: int, body: bytes) -> None:
+    def settle(self, claim: ClaimResult, status: int, body: bytes) -> None:
         """Store the reply to the request of a granted claim, for repeats.
 
         Args:
-            grant: the claim.
+            claim: the granted claim.
             status: HTTP status of the reply.
             body: body of the reply.
         """
-        message = ClaimSettle(grant.token, grant.bucket, grant.key, status, body)
-        owner = self._find_owner(grant.bucket)
+        message = ClaimSettle(claim.token, claim.bucket, claim.key, status, body)
+        owner = self._find_owner(claim.bucket)
         if owner == self._view.own.name or not self._links.send(owner, message):
             self._owners.settle(message)
 
-    def withdraw(self, grant: ClaimResult) -> None:
+    def withdraw(self, claim: ClaimResult) -> None:
         """Remove a claim; its request must not have been sent."""
-        message = ClaimWithdraw(grant.token, grant.bucket, grant.key)
-        owner = self._find_owner(grant.bucket)
+        message = ClaimWithdraw(claim.token, claim.bucket, claim.key)
+        owner = self._find_owner(claim.bucket)
         if owner == self._view.own.name or not self._links.send(owner, message):
             self._owners.withdraw(message)
 
-    async def _ask(self, ask: ClaimAsk, limit: float) -> ClaimAnswer | None:
-        """Return the owner's answer; None if none came within `limit` seconds."""
-        waiting = _PendingAsk()
-        self._pending[ask.token] = waiting
+    async def _ask(self, ask: ClaimAsk, timeout: float) -> ClaimAnswer | None:
+        """Return the owner's answer; None if none came within `timeout` seconds."""
+        pending = _PendingAsk()
+        self._pending[ask.token] = pending
         try:
-            with trio.move_on_after(limit):
+            with trio.move_on_after(timeout):
                 self._send_ask(ask)
-                await waiting.answered.wait()
+                await pending.answered.wait()
         except trio.Cancelled:
             self.withdraw(
                 ClaimResult(ClaimOutcome.UNAVAILABLE, ask.token, ask.bucket, ask.key)
@@ -144,7 +144,7 @@
             raise
         finally:
             del self._pending[ask.token]
-        return waiting.answer
+        return pending.answer
 
     def _send_ask(self, ask: ClaimAsk) -> None:
         owner = self._find_owner(ask.bucket)
@@ -162,10 +162,10 @@
         return f"{own.name}.{own.incarnation:x}.{self._token_count:x}"
 
     def _deliver_answer(self, answer: ClaimAnswer) -> None:
-        waiting = self._pending.get(answer.token)
-        if waiting is not None and waiting.answer is None:
-            waiting.answer = answer
-            waiting.answered.set()
+        pending = self._pending.get(answer.token)
+        if pending is not None and pending.answer is None:
+            pending.answer = answer
+            pending.answered.set()
 
     def _on_answer(self, sender: str, message: Message) -> None:
         assert isinstance(message, ClaimAnswer)
--- a/walkcart/routing/accountants.py
+++ b/walkcart/routing/accountants.py
@@ -5,10 +5,10 @@
 them. A key in the shared store alone decides which one is the accountant.
 
 Examples:
-    >>> places = {"a": Site("north", 1.0), "b": Site("south", 2.0)}
-    >>> sorted(rank_candidates(0, places)) == sorted(places)
+    >>> sites = {"a": Site("north", 1.0), "b": Site("south", 2.0)}
+    >>> sorted(rank_candidates(0, sites)) == sorted(sites)
     True
-    >>> rank_candidates(0, places)[0] != rank_candidates(1, places)[0]
+    >>> rank_candidates(0, sites)[0] != rank_candidates(1, sites)[0]
     True
 """
 
@@ -28,12 +28,12 @@
 #: Seconds that an instance with a share waits longer than one without.
 BUSY_DELAY = 3.0
 #: Seconds between two attempts to take a share.
-RETRY = 1.0
+RETRY_INTERVAL = 1.0
 #: Attempts before the backoff begins. They last as long as a lost accountant's lease;
 #: after that the accountant must be alive and know other candidates.
 QUICK_ATTEMPTS = 12
-#: Upper bound of the backoff, in seconds.
-MAX_RETRY = 30.0
+#: Upper bound of that interval during the backoff, in seconds.
+MAX_RETRY_INTERVAL = 30.0
 #: Lower bound of the cores that count, so that an instance that states none has a rank.
 MIN_CORES = 0.01
 
@@ -74,18 +74,23 @@
     return sorted(instances, key=rank)[:MAX_CANDIDATES]
 
 
-def find_attempt_delay(place: int, is_busy: bool, was_heard: bool) -> float:
+def find_attempt_delay(rank: int, is_busy: bool, was_heard: bool) -> float:
     """Return how long a candidate waits before it tries to take a share, in seconds.
 
     Args:
-        place: rank of the candidate, from 0.
+        rank: rank of the candidate, from 0.
         is_busy: whether it accounts another share.
-        was_heard: whether an accountant was heard from, which may be alive; the wait
-            then counts from that time.
+        was_heard: whether an accountant of the share was heard from, which may still
+            be alive. The delay then counts from the last time.
     """
-    return place * CANDIDATE_DELAY + is_busy * BUSY_DELAY + was_heard * SILENCE_TIMEOUT
+    return rank * CANDIDATE_DELAY + is_busy * BUSY_DELAY + was_heard * SILENCE_TIMEOUT
 
 
-def find_retry_delay(tries: int) -> float:
-    """Return the seconds until the next attempt, after `tries` attempts."""
-    return float(min(MAX_RETRY, RETRY * 2.0 ** max(0, tries - QUICK_ATTEMPTS)))
+def find_retry_delay(attempts: int) -> float:
+    """Return the seconds until the next attempt, after `attempts` attempts."""
+    return float(
+        min(
+            MAX_RETRY_INTERVAL,
+            RETRY_INTERVAL * 2.0 ** max(0, attempts - QUICK_ATTEMPTS),
+        )
+    )
--- a/walkcart/routing/admission.py
+++ b/walkcart/routing/admission.py
@@ -33,11 +33,11 @@
 #: A query slower than this many times the recently fastest one is a sign of overload.
 SLOW_FACTOR = 2.5
 #: Factor on the limit at overload, and seconds between two decreases.
-DECREASE = 0.8
+DECREASE_FACTOR = 0.8
 DECREASE_INTERVAL = 0.1
 #: Half-life of the completion rate, in seconds.
-RATE_TIME = 2.0
-#: Growth per second of the recently fastest time, so that it is forgotten.
+RATE_HALF_LIFE = 2.0
+#: Relative growth per second of the recently fastest time, so that it is forgotten.
 BASE_DRIFT = 0.02
 
 
@@ -100,18 +100,18 @@
         return int(min(self._limit, self._max_limit))
 
     async def admit(
-        self, partner: str, share: float, max_limit: int, remaining: float
+        self, partner: str, weight: float, max_limit: int, remaining: float
     ) -> Admitted | AdmissionRefused:
         """Admit a request or refuse it, possibly after a short wait.
 
         Args:
             partner: name of the partner that sent the request.
-            share: weight of the partner.
+            weight: weight of the partner.
             max_limit: upper bound of the limit, from the routing intent.
             remaining: time left for the request, in seconds.
         """
         self._max_limit = max_limit
-        self._weights[partner] = share
+        self._weights[partner] = weight
         if self._total < self.limit and not self._waiting:
             return self._admit(partner)
         max_wait = remaining * MAX_WAIT_SHARE
@@ -186,7 +186,7 @@
         return (queued + 1) / (rate * share) if rate > 0 else float("inf")
 
     def _find_fraction(self, partner: str) -> float:
-        """Return the fraction of completions that `partner` gets among the waiting."""
+        """Return the share of completions that `partner` gets among waiting ones."""
         busy = [name for name, queue in self._queues.items() if queue]
         if partner not in busy:
             busy.append(partner)
@@ -203,20 +203,20 @@
     def _completion_rate(self) -> float:
         """Return the recent completions per second."""
         elapsed = self._clock.monotonic() - self._rate_at
-        return self._rate * 0.5 ** (elapsed / RATE_TIME)
+        return self._rate * 0.5 ** (elapsed / RATE_HALF_LIFE)
 
     def _record_completion(self, now: float) -> None:
         elapsed = now - self._rate_at
-        kept = 0.5 ** (elapsed / RATE_TIME)
-        # With weight ln 2 / RATE_TIME a steady stream yields its own rate.
-        self._rate = self._rate * kept + 0.693 / RATE_TIME
+        decay = 0.5 ** (elapsed / RATE_HALF_LIFE)
+        # With weight ln 2 / RATE_HALF_LIFE a steady stream yields its own rate.
+        self._rate = self._rate * decay + 0.693 / RATE_HALF_LIFE
         self._rate_at = now
 
     def _adapt(self, now: float, latency: float) -> None:
         base = self._update_base(now, latency)
         slow = latency > SLOW_FACTOR * base
         if slow and now - self._decreased_at >= DECREASE_INTERVAL:
-            self._limit = max(MIN_LIMIT, self._limit * DECREASE)
+            self._limit = max(MIN_LIMIT, self._limit * DECREASE_FACTOR)
             self._decreased_at = now
         elif not slow and self._total + 1 >= self.limit:
             # Only a limit that is fully used may grow.
--- a/walkcart/routing/allowances.py
+++ b/walkcart/routing/allowances.py
@@ -1,7 +1,8 @@
-"""What an instance holds of teams' rate limits, and how it asks for more.
+"""The grants of teams' rate limits that an instance holds, and how many it asks for.
 
-It has to suit many instances with a few requests of each team, one instance with many
-requests, and a team far above its limit, whose refusals must cost next to nothing.
+The scheme has to suit many instances with a few requests of each team, one instance
+with many requests, and a team far above its limit, whose refusals must cost next to
+nothing.
 
 Examples:
     >>> allowance = Allowance(hold=0.25)
@@ -45,7 +46,7 @@
         hold: validity of a grant, in seconds.
 
     Attributes:
-        full: the shares that were recently exhausted.
+        exhausted: the shares that were recently exhausted.
     """
 
     __slots__ = (
@@ -54,7 +55,7 @@
         "_granted",
         "_hold",
         "_use_rate",
-        "full",
+        "exhausted",
     )
 
     def __init__(self, hold: float) -> None:
@@ -63,7 +64,7 @@
         self._expires_at = -math.inf
         self._use_rate = 0.0
         self._decayed_at = -math.inf
-        self.full = ExhaustedShares()
+        self.exhausted = ExhaustedShares()
 
     def try_consume(self, now: float) -> bool:
         """Use up one held request; return False when none is held."""
@@ -75,7 +76,7 @@
         return True
 
     def add_grant(self, amount: int, until: float) -> None:
-        """Add a grant; everything held expires at the earliest end."""
+        """Add a grant; all held requests expire with the grant that ends first."""
         if amount < 1:
             return
         self._expires_at = min(until, self._expires_at) if self._granted else until
@@ -112,12 +113,12 @@
     """Adapts the timeout after which another accountant is asked.
 
     Examples:
-        >>> patience = ReplyTimeout()
-        >>> patience.find_timeout()
+        >>> timeout = ReplyTimeout()
+        >>> timeout.find_timeout()
         0.12
         >>> for _ in range(60):
-        ...     patience.record(0.002)
-        >>> patience.find_timeout()
+        ...     timeout.record(0.002)
+        >>> timeout.find_timeout()
         0.04
     """
 
@@ -127,7 +128,7 @@
         self._usual_time = MAX_TIMEOUT / TIMEOUT_FACTOR
 
     def record(self, seconds: float) -> None:
-        """Record how long a reply took; a longer one counts at once."""
+        """Record the time of a reply; one above the usual time replaces it at once."""
         average = self._usual_time + NEWEST_WEIGHT * (seconds - self._usual_time)
         self._usual_time = max(seconds, average)
 
--- a/walkcart/routing/exhaustedshares.py
+++ b/walkcart/routing/exhaustedshares.py
@@ -6,14 +6,14 @@
 fewer accountants have to be asked.
 
 Examples:
-    >>> full = ExhaustedShares()
-    >>> full.note(1, 0.4, now=10.0)
-    >>> full.find_open((0, 1, 2), now=10.1)
+    >>> exhausted = ExhaustedShares()
+    >>> exhausted.record(1, 0.4, now=10.0)
+    >>> exhausted.find_available((0, 1, 2), now=10.1)
     [0, 2]
     >>> other = ExhaustedShares()
-    >>> other.take(full.tell(now=10.1), now=50.0)
-    >>> other.find_open((0, 1, 2), now=50.2), other.find_open((0, 1, 2), now=50.4)
-    ([0, 2], [0, 1, 2])
+    >>> other.merge_waits(exhausted.list_waits(now=10.1), now=50.0)
+    >>> [other.find_available((0, 1, 2), now=time) for time in (50.2, 50.4)]
+    [[0, 2], [0, 1, 2]]
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 #: Longest time for which an exhausted share isn't asked again, in seconds: a limit may
 #: be raised, and a new accountant may take the share.
 MAX_SKIP_TIME = 1.0
-#: Maximum number of shares that are passed on.
+#: Maximum number of exhausted shares that one message passes on.
 MAX_SENT = 8
 
 #: Exhausted shares, each with the seconds until it may recover.
@@ -34,35 +34,37 @@
 class ExhaustedShares:
     """The shares of one team's limit that were recently exhausted."""
 
-    __slots__ = ("_open_at",)
+    __slots__ = ("_recovers_at",)
 
     def __init__(self) -> None:
-        self._open_at: dict[int, float] = {}
+        self._recovers_at: dict[int, float] = {}
 
-    def note(self, share: int, wait: float, now: float) -> None:
+    def record(self, share: int, wait: float, now: float) -> None:
         """Record that a share is exhausted for `wait` seconds."""
-        self._open_at[share] = now + min(wait, MAX_SKIP_TIME)
+        self._recovers_at[share] = now + min(wait, MAX_SKIP_TIME)
 
     def forget(self, share: int) -> None:
         """Record that a share is no longer exhausted."""
-        self._open_at.pop(share, None)
+        self._recovers_at.pop(share, None)
 
-    def find_open(self, shares: Iterable[int], now: float) -> list[int]:
-        """Return those of `shares` that may grant requests."""
-        return [share for share in shares if self._open_at.get(share, 0.0) <= now]
+    def find_available(self, shares: Iterable[int], now: float) -> list[int]:
+        """Return the items of `shares` that aren't known to be exhausted."""
+        return [share for share in shares if self._recovers_at.get(share, 0.0) <= now]
 
-    def find_room(self, now: float) -> float:
+    def find_min_wait(self, now: float) -> float:
         """Return the seconds until the first exhausted share may recover, 0 if none."""
-        left = [at - now for at in self._open_at.values() if at > now]
+        left = [at - now for at in self._recovers_at.values() if at > now]
         return min(left, default=0.0)
 
-    def tell(self, now: float) -> ShareWaits:
-        """Return the exhausted shares, to be sent to another instance."""
-        found = [(share, at - now) for share, at in self._open_at.items() if at > now]
+    def list_waits(self, now: float) -> ShareWaits:
+        """Return the exhausted shares with their waits, to send to another instance."""
+        found = [
+            (share, at - now) for share, at in self._recovers_at.items() if at > now
+        ]
         return tuple(found[:MAX_SENT])
 
-    def take(self, told: ShareWaits, now: float) -> None:
+    def merge_waits(self, waits: ShareWaits, now: float) -> None:
         """Record the exhausted shares that another instance sent."""
-        for share, wait in told[:MAX_SENT]:
+        for share, wait in waits[:MAX_SENT]:
             if isfinite(wait) and wait > 0.0:
-                self.note(share, wait, now)
+                self.record(share, wait, now)
--- a/walkcart/routing/gatherers.py
+++ b/walkcart/routing/gatherers.py
@@ -70,12 +70,12 @@
         needed: number of cores that gathering needs in the data centre.
     """
     chosen: list[str] = []
-    held = 0.0
+    cores = 0.0
     for name in ranked:
-        if len(chosen) >= MIN_GATHERERS and held >= needed:
+        if len(chosen) >= MIN_GATHERERS and cores >= needed:
             break
         chosen.append(name)
-        held += capacities[name]
+        cores += capacities[name]
     return chosen
 
 
@@ -89,13 +89,13 @@
 
     def __init__(self) -> None:
         self._count = 0.0
-        self._at = float("-inf")
+        self._counted_at = float("-inf")
         self._estimate = 0.0
 
     def record(self, now: float, parts: int) -> None:
-        """Record a question with so many parts."""
+        """Record a question that consists of `parts` parts."""
         self._count = self._decay(now) + parts
-        self._at = now
+        self._counted_at = now
 
     def estimate(self, now: float) -> float:
         """Return the parts per second, rounded up; it falls only by a large factor."""
@@ -106,7 +106,7 @@
         return self._estimate
 
     def _decay(self, now: float) -> float:
-        return self._count * math.exp(min(0.0, self._at - now) / AVERAGING_TIME)
+        return self._count * math.exp(min(0.0, self._counted_at - now) / AVERAGING_TIME)
 
 
 def find_needed_capacity(rate: float, instances: int, data_centres: int) -> float:
--- a/walkcart/routing/instancelimiter.py
+++ b/walkcart/routing/instancelimiter.py
@@ -9,10 +9,10 @@
 there is no limit.
 
 Examples:
-    >>> room = InstanceLimiter()
-    >>> room.submit("first", PendingQuestion(rank=0, due=1.0, deadline=5.0), now=0.0)
+    >>> limiter = InstanceLimiter()
+    >>> limiter.submit("first", PendingQuestion(rank=0, due=1.0, deadline=5.0), now=0.0)
     Started()
-    >>> room.limit
+    >>> limiter.limit
     inf
 """
 
@@ -31,15 +31,15 @@
 #: a large configuration, drains by itself.
 STANDING_TIME = 0.25
 #: Factor on the questions in progress that gives the limit after a standing delay.
-DECREASE = 0.7
+DECREASE_FACTOR = 0.7
 #: Factor by which the limit grows in each `STANDING_TIME` without a standing delay.
-INCREASE = 1.25
+INCREASE_FACTOR = 1.25
 #: Lower bound of the limit: some questions must complete to measure the drain rate.
 MIN_LIMIT = 2.0
 #: Seconds without a standing delay after which the limit is lifted if nothing waits.
 RECOVERY_TIME = 2.0
 #: Half-life of a completion in the completion rate, in seconds.
-RATE_TIME = 2.0
+RATE_HALF_LIFE = 2.0
 #: Weight of a new observation in the mean time that questions are in progress.
 TIME_WEIGHT = 0.2
 #: Safety factor on the expected wait of a new question: refusing at once is better
@@ -48,8 +48,8 @@
 #: Bounds of the time after which a refused caller may retry, in seconds.
 MIN_RETRY = 0.05
 MAX_RETRY = 30.0
-#: Seconds until a retry while no recent completion was seen.
-BLIND_RETRY = 1.0
+#: Seconds until a retry while the drain rate is unknown: no recent completion was seen.
+DEFAULT_RETRY = 1.0
 #: ln 2: turns the exponentially decayed sum of completions into a rate per second.
 _LN_2 = 0.693
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingQuestion:
-    """A question that asks to be worked on.
+    """The properties of a question that asks to start.
 
     Args:
         rank: urgency; 0 is the most urgent.
@@ -129,7 +129,7 @@
         self._rate_at = 0.0
         #: Moving average of the seconds that a question is in progress.
         self._mean_time = 0.0
-        #: Virtual time of fair queueing, and where each team's last turn ended.
+        #: Virtual time of fair queueing, and the turn of each team's last question.
         self._virtual_time = 0.0
         self._team_turns: dict[str, float] = {}
 
@@ -166,14 +166,14 @@
             self._start(entry.team, self._find_turn(entry))
             return Started()
         turn = self._find_turn(entry)
-        held = _Queued(item, entry, turn)
-        ahead = sum(1 for other in self._queue if other.order < held.order)
+        queued = _Queued(item, entry, turn)
+        ahead = sum(1 for other in self._queue if other.order < queued.order)
         wait = self._estimate_wait(ahead, now)
         if now + wait * WAIT_SAFETY_FACTOR + entry.time > entry.deadline:
             return Overloaded(self._find_retry(now), wait)
         self._team_turns[entry.team] = turn
         urgency = Urgency(entry.rank, entry.due, now, turn)
-        self._queue.add(held, urgency)
+        self._queue.add(queued, urgency)
         return Waiting()
 
     def finish(self, now: float, elapsed: float) -> None:
@@ -186,7 +186,7 @@
             now: current time, in seconds.
             elapsed: seconds that the question was in progress.
         """
-        self._rate = self._completion_rate(now) + _LN_2 / RATE_TIME
+        self._rate = self._completion_rate(now) + _LN_2 / RATE_HALF_LIFE
         self._rate_at = now
         gain = TIME_WEIGHT if self._mean_time else 1.0
         self._mean_time += gain * (elapsed - self._mean_time)
@@ -198,20 +198,20 @@
 
     def cancel_waiting(self, item: T) -> None:
         """Remove a waiting question whose caller stopped waiting."""
-        for held in self._queue:
-            if held.item is item:
-                self._queue.remove(held)
+        for queued in self._queue:
+            if queued.item is item:
+                self._queue.remove(queued)
                 return
 
     def start_waiting(self, now: float) -> list[T]:
         """Start the waiting questions that fit the limit, and return them."""
         started = []
         while self.in_progress < self.limit:
-            held = self._queue.pop(now)
-            if held is None:
+            queued = self._queue.pop(now)
+            if queued is None:
                 break
-            self._start(held.entry.team, held.turn)
-            started.append(held.item)
+            self._start(queued.entry.team, queued.turn)
+            started.append(queued.item)
         return started
 
     def remove_late(self, now: float) -> list[tuple[T, Overloaded]]:
@@ -221,11 +221,11 @@
         """
         late = []
         ahead = 0
-        for held in sorted(self._queue, key=lambda held: held.order):
+        for queued in sorted(self._queue, key=lambda queued: queued.order):
             wait = self._estimate_wait(ahead, now)
-            if now + wait + held.entry.time > held.entry.deadline:
-                self._queue.remove(held)
-                late.append((held.item, Overloaded(self._find_retry(now), wait)))
+            if now + wait + queued.entry.time > queued.entry.deadline:
+                self._queue.remove(queued)
+                late.append((queued.item, Overloaded(self._find_retry(now), wait)))
             else:
                 ahead += 1
         return late
@@ -253,7 +253,7 @@
         """Return the seconds until the current queue has drained, within bounds."""
         rate = self._find_drain_rate(now)
         if rate <= 0:
-            return BLIND_RETRY
+            return DEFAULT_RETRY
         excess = max(0.0, self.in_progress - self.limit)
         wait = (self.waiting + excess + 1) / rate
         return min(MAX_RETRY, max(MIN_RETRY, wait))
@@ -271,13 +271,13 @@
 
     def _completion_rate(self, now: float) -> float:
         """Return the recent completions per second."""
-        return self._rate * 0.5 ** ((now - self._rate_at) / RATE_TIME)
+        return self._rate * 0.5 ** ((now - self._rate_at) / RATE_HALF_LIFE)
 
     def _adapt(self, now: float) -> None:
         self._adapted_at = now
         if self.standing_delay() > MAX_LOOP_DELAY:
             self._overloaded_at = now
-            limit = min(self.limit, float(self.in_progress)) * DECREASE
+            limit = min(self.limit, float(self.in_progress)) * DECREASE_FACTOR
             self.limit = max(MIN_LIMIT, limit)
         elif self.limit < float("inf"):
             self._relax(now)
@@ -285,6 +285,6 @@
     def _relax(self, now: float) -> None:
         """Raise the limit while it is fully used; lift it after a calm time."""
         if self.in_progress >= int(self.limit):
-            self.limit *= INCREASE
+            self.limit *= INCREASE_FACTOR
         if now - self._overloaded_at >= RECOVERY_TIME and not self.waiting:
             self.limit = float("inf")
--- a/walkcart/routing/leaflimiter.py
+++ b/walkcart/routing/leaflimiter.py
@@ -7,15 +7,15 @@
 effect at a leaf that works at its usual speed with little load.
 
 Examples:
-    >>> room = LeafLimiter(slots=2)
+    >>> limiter = LeafLimiter(slots=2)
     >>> busy = SlotRequest(rank=1, left=0.17, time=0.02)
-    >>> room.allows(busy, sent=1, others=0.0, now=0.0)
+    >>> limiter.allows(busy, sent=1, others=0.0, now=0.0)
     True
-    >>> room.record_urgent(rank=0, objective=0.09, now=0.0)
+    >>> limiter.record_urgent(rank=0, objective=0.09, now=0.0)
     >>> slow = SlotRequest(rank=1, left=0.17, time=0.2)
-    >>> room.allows(slow, sent=1, others=0.0, now=0.0)
+    >>> limiter.allows(slow, sent=1, others=0.0, now=0.0)
     False
-    >>> room.allows(SlotRequest(rank=0, left=0.09, time=0.06), 1, 0.0, now=0.0)
+    >>> limiter.allows(SlotRequest(rank=0, left=0.09, time=0.06), 1, 0.0, now=0.0)
     True
 """
 
--- a/walkcart/routing/peerchoice.py
+++ b/walkcart/routing/peerchoice.py
@@ -26,11 +26,11 @@
 
 #: Expected time of a peer without observations, in seconds.
 FIRST_TIME = 0.1
-#: Time to wait for the message that a question was accepted: so many round trips,
-#: within the bounds below, in seconds. The lower bound covers a busy event loop. The
-#: upper one is half of the shortest objective of the users' requests, or a share of the
-#: time that the question has if that is longer: busy machines of an eighth of a core
-#: need 70 to 160 ms.
+#: Timeout for the message that a question was accepted, in round trips to the peer. It
+#: stays within the bounds below, in seconds. The lower bound covers a busy event loop.
+#: The upper one is half of the shortest objective of the users' requests, or a share of
+#: the time that the question has if that is longer: busy machines of an eighth of a
+#: core need 70 to 160 ms.
 TIMEOUT_ROUND_TRIPS = 2.5
 MIN_TIMEOUT = 0.03
 BASE_MAX_TIMEOUT = 0.06
@@ -40,10 +40,10 @@
 MAX_TIMEOUT = 0.3
 #: Factor by which the expected round trip grows with each timeout.
 TIMEOUT_FACTOR = 1.5
-#: First backoff after a timeout, in seconds; it doubles each time.
+#: First backoff after a timeout and its upper bound, in seconds; it doubles each time.
 FIRST_BACKOFF = 0.5
 MAX_BACKOFF = 4.0
-#: Seconds between two greetings of a silent peer: a fifth of what callers with the
+#: Seconds between two greetings to a silent peer: a fifth of what callers with the
 #: shortest objective wait for, so that a peer that is back is used soon.
 GREETING_INTERVAL = 0.2
 #: Share of the expected time that each question in progress adds to it.
@@ -52,7 +52,7 @@
 #: take this many times as long. A peer that keeps getting the same services learns
 #: three times as soon which of their leaves are slow, and has connections to them.
 SWITCH_FACTOR = 1.25
-#: Weight of a new round trip.
+#: Weight of a new round trip, and the round trip before any observation, in seconds.
 ROUND_TRIP_WEIGHT = 0.2
 FIRST_ROUND_TRIP = 0.02
 
@@ -64,9 +64,9 @@
     time: DecayedLatency
     in_progress: int = 0
     heard_at: float = float("-inf")
-    silent_until: float = float("-inf")
-    silence: float = FIRST_BACKOFF
-    unheard: bool = False
+    backoff_until: float = float("-inf")
+    backoff: float = FIRST_BACKOFF
+    is_silent: bool = False
     greeted_at: float = float("-inf")
     round_trip: float = FIRST_ROUND_TRIP
 
@@ -90,21 +90,20 @@
         usable = [
             name
             for name in names
-            if self._peer(name).silent_until <= now and not self._peer(name).unheard
+            if self._peer(name).backoff_until <= now and not self._peer(name).is_silent
         ]
         if not usable:
             return None
         times = {name: self._estimate_time(name, now, work[name]) for name in usable}
-        least = min(times.values())
-        return next(name for name in usable if times[name] <= SWITCH_FACTOR * least)
+        fastest = min(times.values())
+        return next(name for name in usable if times[name] <= SWITCH_FACTOR * fastest)
 
     def find_peers_to_greet(self, names: Sequence[str], now: float) -> list[str]:
-        """Return the silent peers that are to be greeted now, since they may be back.
+        """Return the silent peers to which a greeting is due, since they may be back.
 
-        No question waits for the answer to a greeting. Without greetings, after the
-        loss of a data centre, an instance that has a question only every few seconds,
-        longer than the backoff of a silent peer, would lose time on a silent peer with
-        each question.
+        No question waits for the answer to a greeting. Without greetings, an instance
+        with a question only every few seconds would send each of them to a silent peer
+        after the loss of a data centre, and lose time: the backoff is over by then.
 
         Args:
             names: names of the peers that may be used.
@@ -113,8 +112,8 @@
         found = []
         for name in names:
             peer = self._peer(name)
-            due = max(peer.silent_until, peer.greeted_at + GREETING_INTERVAL)
-            if peer.unheard and due <= now:
+            due = max(peer.backoff_until, peer.greeted_at + GREETING_INTERVAL)
+            if peer.is_silent and due <= now:
                 peer.greeted_at = now
                 found.append(name)
         return found
@@ -131,16 +130,16 @@
         """Record that a question was accepted, `elapsed` seconds after it was sent."""
         peer = self._peer(name)
         peer.heard_at = now
-        peer.unheard = False
+        peer.is_silent = False
         peer.round_trip += ROUND_TRIP_WEIGHT * (elapsed - peer.round_trip)
 
     def record_answer(self, name: str, now: float, elapsed: float) -> None:
         """Record an answer, `elapsed` seconds after the question was sent."""
         peer = self._peer(name)
         peer.heard_at = now
-        peer.unheard = False
+        peer.is_silent = False
         peer.time.observe(now, elapsed)
-        peer.silence = FIRST_BACKOFF
+        peer.backoff = FIRST_BACKOFF
 
     def record_timeout(self, name: str, now: float) -> None:
         """Record that a peer didn't answer in time.
@@ -148,18 +147,18 @@
         It gets no question until it is heard from, and none during its backoff.
         """
         peer = self._peer(name)
-        peer.unheard = True
+        peer.is_silent = True
         limit = MAX_TIMEOUT / TIMEOUT_ROUND_TRIPS
         peer.round_trip = min(limit, peer.round_trip * TIMEOUT_FACTOR)
-        peer.silent_until = now + peer.silence
-        peer.silence = min(MAX_BACKOFF, peer.silence * 2)
+        peer.backoff_until = now + peer.backoff
+        peer.backoff = min(MAX_BACKOFF, peer.backoff * 2)
 
     def record_greeting(self, name: str) -> None:
         """Record a greeting from a peer, which has likely just started."""
         peer = self._peer(name)
-        peer.silent_until = float("-inf")
-        peer.silence = FIRST_BACKOFF
-        peer.unheard = False
+        peer.backoff_until = float("-inf")
+        peer.backoff = FIRST_BACKOFF
+        peer.is_silent = False
 
     def last_heard_at(self, name: str) -> float:
         """Return when a peer was last heard from, in seconds; -inf if never."""
@@ -177,12 +176,12 @@
             time: time that the question has, in seconds.
         """
         peer = self._peer(name)
-        longest = min(MAX_TIMEOUT, max(BASE_MAX_TIMEOUT, TIMEOUT_SHARE * time))
+        max_timeout = min(MAX_TIMEOUT, max(BASE_MAX_TIMEOUT, TIMEOUT_SHARE * time))
         if peer.heard_at == float("-inf"):
             # Its round trip isn't known yet.
-            return longest
+            return max_timeout
         wanted = TIMEOUT_ROUND_TRIPS * peer.round_trip
-        return min(longest, max(MIN_TIMEOUT, wanted))
+        return min(max_timeout, max(MIN_TIMEOUT, wanted))
 
     def _estimate_time(self, name: str, now: float, work: float) -> float:
         peer = self._peer(name)
--- a/walkcart/routing/placement.py
+++ b/walkcart/routing/placement.py
@@ -31,7 +31,8 @@
 #: operators pay for those bytes. See ``docs/design/platform.md`` for the measurement.
 OTHER_REGION_COST = 0.2
 #: Cost of traffic by distance, as a share of the cost to another region. One user pays
-#: more for bytes between data centres than between regions, the other one a quarter.
+#: more for bytes between data centres than between regions, the other one a quarter as
+#: much.
 COST_BY_DISTANCE = {
     Distance.SAME_DATA_CENTRE: 0.0,
     Distance.SAME_REGION: 0.5,
@@ -78,22 +79,22 @@
     success_rate: float = 1.0
 
 
-def estimate_time(standing: LeafCandidate, objective: float) -> float:
+def estimate_time(leaf: LeafCandidate, objective: float) -> float:
     """Return the estimated time of a request at a leaf, with its costs, in seconds.
 
     Args:
-        standing: the leaf.
+        leaf: the leaf.
         objective: seconds within which the request is to be answered.
     """
-    service = standing.time
-    if standing.cold:
+    service = leaf.time
+    if leaf.cold:
         service *= COLD_FACTOR
-    waiting = max(0.0, standing.load + 1.0 - standing.slots)
-    time = service * (1.0 + waiting / max(1, standing.slots))
-    time /= standing.success_rate
-    time += (1.0 - standing.success_rate) * FAILURE_COST * objective
-    time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[standing.distance]
-    if standing.stalled:
+    waiting = max(0.0, leaf.load + 1.0 - leaf.slots)
+    time = service * (1.0 + waiting / max(1, leaf.slots))
+    time /= leaf.success_rate
+    time += (1.0 - leaf.success_rate) * FAILURE_COST * objective
+    time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[leaf.distance]
+    if leaf.stalled:
         time += STALLED_COST
     return time
 
@@ -114,6 +115,6 @@
     if len(usable) <= 1:
         return usable[0] if usable else None
     timed = [(estimate_time(item, objective), item) for item in usable]
-    least = min(time for time, _ in timed)
-    best = [item for time, item in timed if time <= least * (1.0 + NEAR_TIE)]
+    shortest = min(time for time, _ in timed)
+    best = [item for time, item in timed if time <= shortest * (1.0 + NEAR_TIE)]
     return best[0] if len(best) == 1 else random.choice(best)
--- a/walkcart/routing/quarantine.py
+++ b/walkcart/routing/quarantine.py
@@ -51,8 +51,8 @@
 #: Seconds after its last strike or answer at which a request is forgotten. Callers
 #: retry for minutes; a release that repairs the leaves takes hours.
 MEMORY_TIME = 1800.0
-#: Requests that are remembered, with their strikes about 100 KB (calculated). A flood
-#: of different requests displaces only those with as few strikes.
+#: Maximum number of remembered requests; with their strikes they take about 100 KB
+#: (calculated). A flood of different requests displaces only those with as few strikes.
 MAX_ENTRIES = 256
 
 
@@ -107,19 +107,22 @@
 
     def find_level(self, fingerprint: bytes, now: float) -> QuarantineLevel:
         """Return how a request is to be treated."""
-        held = self._entries.get(fingerprint)
-        if held is None or now - held.latest > MEMORY_TIME:
+        record = self._entries.get(fingerprint)
+        if record is None or now - record.latest > MEMORY_TIME:
             return QuarantineLevel.USUAL
-        if len(held.strikes) < CAREFUL_STRIKES:
+        if len(record.strikes) < CAREFUL_STRIKES:
             return QuarantineLevel.USUAL
-        if len(held.strikes) < REFUSED_STRIKES or self.find_wait(fingerprint, now) <= 0:
+        if (
+            len(record.strikes) < REFUSED_STRIKES
+            or self.find_wait(fingerprint, now) <= 0
+        ):
             return QuarantineLevel.CAREFUL
         return QuarantineLevel.REFUSED
 
     def find_wait(self, fingerprint: bytes, now: float) -> float:
         """Return the seconds until a refused request may be tried again."""
-        held = self._entries.get(fingerprint)
-        return held.struck_at + REFUSAL_TIME - now if held else 0.0
+        record = self._entries.get(fingerprint)
+        return record.struck_at + REFUSAL_TIME - now if record else 0.0
 
     def record_strike(self, fingerprint: bytes, strike: int, now: float) -> None:
         """Record a strike, identified by a random number."""
@@ -127,28 +130,28 @@
 
     def record_answer(self, fingerprint: bytes, now: float) -> bool:
         """Record that a leaf answered a request; return whether it voided strikes."""
-        held = self._entries.get(fingerprint)
-        if held is None or not held.strikes:
+        record = self._entries.get(fingerprint)
+        if record is None or not record.strikes:
             return False
-        self._entries[fingerprint] = StrikeRecord(frozenset(), held.struck_at, now)
+        self._entries[fingerprint] = StrikeRecord(frozenset(), record.struck_at, now)
         return True
 
-    def merge(self, fingerprint: bytes, told: StrikeRecord, now: float) -> bool:
+    def merge(self, fingerprint: bytes, news: StrikeRecord, now: float) -> bool:
         """Merge the evidence of another instance; return whether it was news."""
-        if now - told.latest > MEMORY_TIME:
+        if now - news.latest > MEMORY_TIME:
             return False
-        held = self._entries.get(fingerprint)
-        merged = told if held is None else _merge_records(held, told)
+        record = self._entries.get(fingerprint)
+        merged = news if record is None else _merge_records(record, news)
         if merged.struck_at <= merged.answered_at:
             merged = StrikeRecord(frozenset(), merged.struck_at, merged.answered_at)
-        if held is not None and merged.strikes == held.strikes:
+        if record is not None and merged.strikes == record.strikes:
             # The times may still be newer.
             self._entries[fingerprint] = merged
             return False
-        if held is None and not self._ensure_capacity(merged, now):
+        if record is None and not self._ensure_capacity(merged, now):
             return False
         self._entries[fingerprint] = merged
-        return held is not None or bool(merged.strikes)
+        return record is not None or bool(merged.strikes)
 
     def entries(self, now: float) -> Iterable[tuple[bytes, StrikeRecord]]:
         """Return the remembered requests with their evidence; drop expired ones."""
@@ -162,17 +165,17 @@
         self._drop_expired(now)
         if len(self._entries) < MAX_ENTRIES:
             return True
-        least = min(self._entries, key=lambda item: self._entries[item].weight)
-        if self._entries[least].weight > wanted.weight:
+        lightest = min(self._entries, key=lambda item: self._entries[item].weight)
+        if self._entries[lightest].weight > wanted.weight:
             return False
-        del self._entries[least]
+        del self._entries[lightest]
         return True
 
     def _drop_expired(self, now: float) -> None:
         expired = [
             fingerprint
-            for fingerprint, held in self._entries.items()
-            if now - held.latest > MEMORY_TIME
+            for fingerprint, record in self._entries.items()
+            if now - record.latest > MEMORY_TIME
         ]
         for fingerprint in expired:
             del self._entries[fingerprint]
--- a/walkcart/routing/quotas.py
+++ b/walkcart/routing/quotas.py
@@ -34,7 +34,7 @@
 from walkcart.routing.shares import rank_rendezvous
 from walkcart.routing.tokenbucket import MAX_TURN_WAIT, BucketSize, TokenBucket
 
-#: Shares of a limit at most: when one is lost, five sixths of the limit stay usable.
+#: Maximum number of shares of a limit: when one is lost, five sixths of it stay usable.
 MAX_SHARES = 6
 #: Minimum depth of one share's bucket, in tokens. In smaller buckets much of the limit
 #: lies idle as fractions of a request, so small limits get fewer shares.
@@ -44,7 +44,7 @@
 DEPTH_FRACTION = 1 / 2
 #: Fraction of the slack that is the start level of all shares' buckets together.
 START_FRACTION = 1 / 6
-#: Starts of one share within a window that get the start level.
+#: Maximum number of starts of one share within a window that get the start level.
 MAX_STARTS = 2
 #: Fraction of the tolerance that held grants may use up; the rest covers the time from
 #: the grant to the leaves.
@@ -52,7 +52,7 @@
 #: Minimum validity of a grant, in seconds: a round trip between regions with a busy
 #: processor at both ends.
 MIN_HOLD = 0.1
-#: Buckets kept before full ones are dropped; a dropped bucket is recreated full.
+#: Number of buckets at which full ones are dropped; a dropped one is recreated full.
 MAX_BUCKETS = 4096
 
 
@@ -145,7 +145,7 @@
         wait: seconds until one request may run; infinite if never in this share.
         turn: seconds until the asker's turn, behind others that were refused.
         use: requests of the team per second that this accountant recently granted.
-        full: other exhausted shares that the accountant was told of.
+        full: other exhausted shares that instances reported to the accountant.
     """
 
     granted: int
@@ -161,7 +161,7 @@
 
     bucket: TokenBucket
     version: int
-    full: ExhaustedShares = field(default_factory=ExhaustedShares)
+    exhausted: ExhaustedShares = field(default_factory=ExhaustedShares)
 
 
 class ShareAccount:
@@ -197,21 +197,23 @@
         bucket = entry.bucket
         if bucket.size is _NO_BUCKET:
             return QuotaReply(0, math.inf, MAX_TURN_WAIT)
-        entry.full.take(request.full, now)
-        granted = bucket.take(request.amount, now)
+        entry.exhausted.merge_waits(request.full, now)
+        granted = bucket.consume(request.amount, now)
         if granted:
             return QuotaReply(granted, use=bucket.find_use(now))
-        wait, turn = bucket.find_wait(now), bucket.take_turn(now)
-        return QuotaReply(0, wait, turn, bucket.find_use(now), entry.full.tell(now))
+        wait, turn = bucket.find_wait(now), bucket.assign_turn(now)
+        return QuotaReply(
+            0, wait, turn, bucket.find_use(now), entry.exhausted.list_waits(now)
+        )
 
-    def _add(self, want: QuotaRequest, size: BucketSize, now: float) -> _Entry:
+    def _add(self, request: QuotaRequest, size: BucketSize, now: float) -> _Entry:
         """Add a team's bucket, filled as if it had existed since the start."""
         if len(self._entries) >= MAX_BUCKETS:
             self._drop_full(now)
         level = size.start if self._with_start else 0.0
         level += size.rate * (now - self._started_at)
         bucket = TokenBucket(size, level, now)
-        entry = self._entries[want.team] = _Entry(bucket, want.version)
+        entry = self._entries[request.team] = _Entry(bucket, request.version)
         return entry
 
     def _drop_full(self, now: float) -> None:
--- a/walkcart/routing/repeats.py
+++ b/walkcart/routing/repeats.py
@@ -32,9 +32,9 @@
 #: matters only when much fails. Then a repeat that only completes a partial answer is
 #: worth a tenth of one that saves the answer.
 VITAL_SHARE = 0.5
-#: An instance with at least so many repeats of the allowance lends none. In a small
-#: fleet the instances that gather have enough of their own, and a lent repeat is
-#: missing here.
+#: An instance lends none if its part of the allowance is at least this many repeats per
+#: window. In a small fleet the instances that gather have enough of their own, and a
+#: lent repeat is then missing at the lender.
 MAX_LENDER_ALLOWANCE = 4.0
 #: Parts into which a window is divided.
 WINDOW_PARTS = 20
--- a/walkcart/routing/replicas.py
+++ b/walkcart/routing/replicas.py
@@ -87,20 +87,20 @@
             case "round_robin":
                 return self._choose_next(shard, usable)
             case "outstanding":
-                return self._choose_least(usable, _rank_outstanding)
+                return self._choose_lowest(usable, _rank_outstanding)
             case _:
-                return self._choose_least(usable, _rank_expected_time)
+                return self._choose_lowest(usable, _rank_expected_time)
 
     def _choose_next(self, shard: object, usable: Sequence[Candidate]) -> Candidate:
         turn = self._turns.get(shard, -1) + 1
         self._turns[shard] = turn
         return usable[turn % len(usable)]
 
-    def _choose_least(self, usable: Sequence[Candidate], rank) -> Candidate:
+    def _choose_lowest(self, usable: Sequence[Candidate], rank) -> Candidate:
         ranks = [rank(item) for item in usable]
-        least = min(ranks)
+        lowest = min(ranks)
         best = [
-            item for item, value in zip(usable, ranks, strict=True) if value == least
+            item for item, value in zip(usable, ranks, strict=True) if value == lowest
         ]
         return best[0] if len(best) == 1 else self._random.choice(best)
 
--- a/walkcart/routing/requesttimes.py
+++ b/walkcart/routing/requesttimes.py
@@ -30,8 +30,8 @@
 #: Seconds of the objective that are reserved for the time after the reply: this
 #: instance's event loop and the merge.
 HEDGE_RESERVE = 0.005
-#: High times of the second attempt's leaf that must remain until the objective; 1.5 of
-#: them gain nothing.
+#: High times of the second attempt's leaf that must remain until the objective. A
+#: reserve of 1.5 gains nothing.
 HIGH_TIMES_LEFT = 1.0
 #: High times after which a second attempt without an objective is due.
 NO_OBJECTIVE_FACTOR = 1.5
--- a/walkcart/routing/retryafter.py
+++ b/walkcart/routing/retryafter.py
@@ -19,11 +19,11 @@
 MAX_SPREAD = 1.5
 
 
-def draw_retry_after(drained: float, random: Random) -> timedelta:
+def draw_retry_after(wait: float, random: Random) -> timedelta:
     """Return a random time after which one of several refused callers is to retry.
 
     Args:
-        drained: seconds until there is capacity again.
+        wait: seconds until there is capacity again.
         random: source of randomness.
     """
-    return timedelta(seconds=drained * random.uniform(1.0, MAX_SPREAD))
+    return timedelta(seconds=wait * random.uniform(1.0, MAX_SPREAD))
--- a/walkcart/routing/tests/test_cold_leaves.py
+++ b/walkcart/routing/tests/test_cold_leaves.py
@@ -15,31 +15,34 @@
 
 
 @given(st.lists(st.floats(0.0, 0.4), max_size=80), st.integers(0, 12))
-def test_no_sliding_window_holds_more_than_the_share(gaps, most):
+def test_no_sliding_window_holds_more_than_the_share(gaps, max_requests):
     log, now, sent = SendLog(), 0.0, []
     for gap in gaps:
         now += gap
-        if log.try_send(now, most):
+        if log.try_send(now, max_requests):
             sent.append(now)
     for first in sent:
-        assert sum(first <= at <= first + WINDOW for at in sent) <= most
+        assert sum(first <= at <= first + WINDOW for at in sent) <= max_requests
 
 
 @given(st.floats(0.0, 0.9), st.integers(1, 12))
-def test_the_returned_wait_is_long_enough(now, most):
+def test_the_returned_wait_is_long_enough(now, max_requests):
     log = SendLog()
-    for _ in range(most):
-        assert log.try_send(now, most)
-    wait = log.wait(now, most)
+    for _ in range(max_requests):
+        assert log.try_send(now, max_requests)
+    wait = log.wait(now, max_requests)
     assert wait > 0.0
-    assert log.try_send(now + wait + 1e-6, most)
+    assert log.try_send(now + wait + 1e-6, max_requests)
 
 
 @given(st.floats(0.01, 200.0), st.floats(1.0, 3.0), st.floats(0.0, 20.0))
 def test_the_shares_add_up_to_the_bound(rate, tolerance, slack):
-    most = ColdBound(tolerance, slack).max_requests(rate)
-    assert most <= rate * tolerance + slack + 1e-6
-    assert sum(ColdShare(index, 3).find_limit(most) for index in range(3)) == most
+    max_requests = ColdBound(tolerance, slack).max_requests(rate)
+    assert max_requests <= rate * tolerance + slack + 1e-6
+    assert (
+        sum(ColdShare(index, 3).find_limit(max_requests) for index in range(3))
+        == max_requests
+    )
 
 
 def test_without_a_rate_there_is_no_bound():
--- a/walkcart/routing/tests/test_decisions.py
+++ b/walkcart/routing/tests/test_decisions.py
@@ -34,15 +34,15 @@
 
 
 def test_reported_load_is_capped():
-    liar = Candidate("liar", 0, 1000.0, 0.01)
+    misreporting = Candidate("misreporting", 0, 1000.0, 0.01)
     slow = Candidate("slow", 0, 0.0, 0.2)
-    assert choose("expected_wait", liar, slow) == "liar"
+    assert choose("expected_wait", misreporting, slow) == "misreporting"
 
 
 def test_a_leaf_that_reports_no_load_is_detected_by_its_latency():
-    liar = Candidate("liar", 0, 0.0, 0.05)
+    misreporting = Candidate("misreporting", 0, 0.0, 0.05)
     honest = Candidate("honest", 0, 2.0, 0.01)
-    assert choose("expected_wait", liar, honest) == "honest"
+    assert choose("expected_wait", misreporting, honest) == "honest"
 
 
 def test_a_preferred_leaf_goes_first_until_it_is_much_slower():
--- a/walkcart/routing/tests/test_quota_schemes.py
+++ b/walkcart/routing/tests/test_quota_schemes.py
@@ -1,9 +1,9 @@
 """Compares three schemes for a rate limit over all instances, on the same events.
 
 * Accounts, the scheme in use: a few instances account shares, and all others ask them.
-* Told: each instance counts its own use and reports it to others with messages that are
-  sent anyway. It subtracts the reported use of the others from the limit; an instance
-  without reports uses a part of the slack.
+* Reports: each instance counts its own use and reports it to others with messages that
+  are sent anyway. It subtracts the reported use of the others from the limit; an
+  instance without reports uses a part of the slack.
 * Parts: each instance uses an equal part of the limit, by its view of the fleet.
 
 All three are simulated with plain data and no network. Messages and calls of the store
@@ -168,7 +168,7 @@
         # Accountants of the own region, one in three, are asked first.
         shares = sorted(shares, key=lambda share: (share - instance) % 3)
         for share in shares:
-            if not allowance.full.find_open([share], simulation.now):
+            if not allowance.exhausted.find_available([share], simulation.now):
                 continue
             self.reassign_if_cut(share)
             holder = self.holders[share]
@@ -176,33 +176,33 @@
                 simulation.cost["messages"] += 2
                 if not simulation.can_reach(instance, holder):
                     continue
-            told = allowance.full.tell(simulation.now)
+            waits = allowance.exhausted.list_waits(simulation.now)
             request = QuotaRequest(
-                TEAM, LIMIT, 1, allowance.find_request_amount(simulation.now), told
+                TEAM, LIMIT, 1, allowance.find_request_amount(simulation.now), waits
             )
             reply = self.accounts[share].grant(request, simulation.now)
             if reply.granted:
                 allowance.record_use(simulation.now)
                 allowance.add_grant(reply.granted - 1, simulation.now + BOUNDS.hold)
                 return True
-            allowance.full.take(reply.full, simulation.now)
-            allowance.full.note(share, reply.wait, simulation.now)
+            allowance.exhausted.merge_waits(reply.full, simulation.now)
+            allowance.exhausted.record(share, reply.wait, simulation.now)
         return False
 
 
-class Told:
+class Reports:
     """Each instance counts its own use and reports it to some others."""
 
     def __init__(self, simulation):
         self.simulation = simulation
         self.used = [deque() for _ in range(simulation.count)]
         #: Reports that each instance has: use in the last window by sender, and when.
-        self.heard = [{} for _ in range(simulation.count)]
-        self.told_at = simulation.now
+        self.reports = [{} for _ in range(simulation.count)]
+        self.reported_at = simulation.now
 
     def restart(self, instance):
         self.used[instance].clear()
-        self.heard[instance].clear()
+        self.reports[instance].clear()
 
     def count_own_use(self, instance):
         used = self.used[instance]
@@ -221,16 +221,16 @@
             for other in simulation.random.sample(range(simulation.count), others):
                 simulation.cost["messages"] += 1
                 if simulation.can_reach(instance, other):
-                    self.heard[other][instance] = (count, simulation.now)
+                    self.reports[other][instance] = (count, simulation.now)
 
     def admit(self, instance):
         simulation = self.simulation
-        while self.told_at + REPORT_INTERVAL <= simulation.now:
-            self.told_at += REPORT_INTERVAL
+        while self.reported_at + REPORT_INTERVAL <= simulation.now:
+            self.reported_at += REPORT_INTERVAL
             self.report()
         fresh = [
             count
-            for other, (count, at) in self.heard[instance].items()
+            for other, (count, at) in self.reports[instance].items()
             if other != instance and at > simulation.now - REPORT_TTL
         ]
         own = self.count_own_use(instance)
@@ -266,10 +266,10 @@
         self.buckets[instance] = self.make(instance)
 
     def admit(self, instance):
-        return bool(self.buckets[instance].take(1, self.simulation.now))
+        return bool(self.buckets[instance].consume(1, self.simulation.now))
 
 
-SCHEMES = {"accounts": Accounts, "told": Told, "parts": Parts}
+SCHEMES = {"accounts": Accounts, "reports": Reports, "parts": Parts}
 
 
 def simulate(name, count, seed=1, with_faults=False, busy=False, seconds=40.0):
@@ -300,7 +300,7 @@
 @pytest.mark.parametrize("count", [72, 300])
 def test_reporting_use_exceeds_the_bound_in_large_fleets(count):
     # This rules the scheme out: many instances each run some before they get reports.
-    assert find_max_with_faults("told", count) > BOUNDS.max_requests(LIMIT)
+    assert find_max_with_faults("reports", count) > BOUNDS.max_requests(LIMIT)
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
--- a/walkcart/routing/tokenbucket.py
+++ b/walkcart/routing/tokenbucket.py
@@ -6,7 +6,7 @@
 
 Examples:
     >>> bucket = TokenBucket(BucketSize(rate=2.0, depth=8.0, start=0.0), 8.0, now=0.0)
-    >>> bucket.take(5, now=0.0), bucket.take(5, now=0.0)
+    >>> bucket.consume(5, now=0.0), bucket.consume(5, now=0.0)
     (4, 1)
 
 See Also:
@@ -74,7 +74,7 @@
         self._level = min(self._level, size.depth)
         self._turn_at = now
 
-    def take(self, wanted: int, now: float) -> int:
+    def consume(self, wanted: int, now: float) -> int:
         """Take up to `wanted` tokens; return how many were taken."""
         self._refill(now)
         if self._level < 1.0 - _EPSILON:
@@ -90,7 +90,7 @@
         self._refill(now)
         return max(0.0, 1.0 - self._level) / self.size.rate
 
-    def take_turn(self, now: float) -> float:
+    def assign_turn(self, now: float) -> float:
         """Return the seconds until the turn of one more refused caller.
 
         Each caller gets a later turn, so that callers return at the rate of the tokens.
--- a/walkcart/routing/urgency.py
+++ b/walkcart/routing/urgency.py
@@ -56,7 +56,7 @@
 
     def __init__(self) -> None:
         self._waiting: list[tuple[Urgency, T]] = []
-        self._taken = 0
+        self._pop_count = 0
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -93,9 +93,11 @@
         eligible = [entry for entry in self._waiting if may_go(entry[1])]
         if not eligible:
             return None
-        by_age = len(eligible) > 1 and (self._taken + 1) % OLDEST_FIRST_INTERVAL == 0
+        by_age = (
+            len(eligible) > 1 and (self._pop_count + 1) % OLDEST_FIRST_INTERVAL == 0
+        )
         if len(eligible) > 1:
-            self._taken += 1
+            self._pop_count += 1
         if by_age:
             chosen = min(eligible, key=lambda entry: entry[0].since)
         else:
