--- a/walkcart/once/claimant.py
+++ b/walkcart/once/claimant.py
@@ -98,11 +98,11 @@
             remaining: time until the request's deadline.
         """
         bucket = find_bucket(key)
-        timeout = remaining.total_seconds() * CLAIM_TIME_FRACTION
+        limit = remaining.total_seconds() * CLAIM_TIME_FRACTION
         ask = ClaimAsk(
-            self._make_token(), bucket, key, issued.issued.timestamp(), request, timeout
+            self._make_token(), bucket, key, issued.issued.timestamp(), request, limit
         )
-        answer = await self._ask(ask, timeout)
+        answer = await self._ask(ask, limit)
         if answer is None:
             self.withdraw(ClaimResult(ClaimOutcome.UNAVAILABLE, ask.token, bucket, key))
             return ClaimResult(ClaimOutcome.UNAVAILABLE, ask.token, bucket, key)
@@ -129,14 +129,14 @@
         if owner == self._view.own.name or not self._links.send(owner, message):
             self._owners.withdraw(message)
 
-    async def _ask(self, ask: ClaimAsk, timeout: float) -> ClaimAnswer | None:
-        """Return the owner's answer; None if none came within `timeout` seconds."""
-        pending = _PendingAsk()
-        self._pending[ask.token] = pending
+    async def _ask(self, ask: ClaimAsk, limit: float) -> ClaimAnswer | None:
+        """Return the owner's answer; None if none came within `limit` seconds."""
+        waiting = _PendingAsk()
+        self._pending[ask.token] = waiting
         try:
-            with trio.move_on_after(timeout):
+            with trio.move_on_after(limit):
                 self._send_ask(ask)
-                await pending.answered.wait()
+                await waiting.answered.wait()
         except trio.Cancelled:
             self.withdraw(
                 ClaimResult(ClaimOutcome.UNAVAILABLE, ask.token, ask.bucket, ask.key)
@@ -144,7 +144,7 @@
             raise
         finally:
             del self._pending[ask.token]
-        return pending.answer
+        return waiting.answer
 
     def _send_ask(self, ask: ClaimAsk) -> None:
         owner = self._find_owner(ask.bucket)
@@ -162,10 +162,10 @@
         return f"{own.name}.{own.incarnation:x}.{self._token_count:x}"
 
     def _deliver_answer(self, answer: ClaimAnswer) -> None:
-        pending = self._pending.get(answer.token)
-        if pending is not None and pending.answer is None:
-            pending.answer = answer
-            pending.answered.set()
+        waiting = self._pending.get(answer.token)
+        if waiting is not None and waiting.answer is None:
+            waiting.answer = answer
+            waiting.answered.set()
 
     def _on_answer(self, sender: str, message: Message) -> None:
         assert isinstance(message, ClaimAnswer)
