--- a/walkcart/entry/overloadgate.py
+++ b/walkcart/entry/overloadgate.py
@@ -70,7 +70,7 @@
         self._metrics = metrics
         self._find_weight = find_weight
         self._is_enabled = is_enabled
-        self.limiter: InstanceLimiter[_Waiter] = InstanceLimiter()
+        self.room: InstanceLimiter[_Waiter] = InstanceLimiter()
         self._service_times: dict[str, DecayedLatency] = {}
         self._busy = trio.Event()
 
@@ -97,14 +97,14 @@
             now = self._clock.monotonic()
             times = self._service_times.setdefault(question.kind, DecayedLatency())
             times.observe(now, now - start)
-            self.limiter.finish(now, now - start)
+            self.room.finish(now, now - start)
             self._start_waiting(now)
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Sample the event loop's delay until cancelled."""
         task_status.started()
         while True:
-            if not self.limiter.in_progress:
+            if not self.room.in_progress:
                 self._busy = trio.Event()
                 await self._busy.wait()
             due = self._clock.monotonic() + SAMPLE_INTERVAL
@@ -119,28 +119,28 @@
             delay: seconds by which the event loop is behind.
             now: current time, in seconds of the monotonic clock.
         """
-        before = self.limiter.limit
-        self.limiter.record_delay(delay, now)
-        if self.limiter.limit != before:
+        before = self.room.limit
+        self.room.record_delay(delay, now)
+        if self.room.limit != before:
             self._report_limit(before)
         self._start_waiting(now)
         self._reject_late(now)
 
     def _report_limit(self, before: float) -> None:
         """Report a changed limit in metrics and, if it is set or lifted, in the log."""
-        limited = self.limiter.limit < float("inf")
-        self._metrics.gauge("room.limit", int(self.limiter.limit) if limited else 0)
+        limited = self.room.limit < float("inf")
+        self._metrics.gauge("room.limit", int(self.room.limit) if limited else 0)
         if limited != (before < float("inf")):
             self._events.emit(
                 Events.ROOM_LIMITED if limited else Events.ROOM_FREE,
-                in_progress=self.limiter.in_progress,
-                behind_ms=round(self.limiter.standing_delay() * 1000),
+                in_progress=self.room.in_progress,
+                behind_ms=round(self.room.standing_delay() * 1000),
             )
 
     async def _enter(self, question: RoutedQuestion) -> NotRun | None:
         now = self._clock.monotonic()
         waiter = _Waiter()
-        outcome = self.limiter.submit(waiter, self._describe(question, now), now)
+        outcome = self.room.submit(waiter, self._describe(question, now), now)
         self._busy.set()
         match outcome:
             case Started():
@@ -153,12 +153,12 @@
                 await waiter.turn.wait()
         except BaseException:
             if waiter.started:
-                self.limiter.cancel_started()
+                self.room.cancel_started()
                 self._start_waiting(self._clock.monotonic())
             raise
         finally:
             if not waiter.turn.is_set():
-                self.limiter.cancel_waiting(waiter)
+                self.room.cancel_waiting(waiter)
         waited = self._clock.monotonic() - now
         self._metrics.time("room.wait", waited * 1000)
         if waiter.started:
@@ -179,15 +179,15 @@
 
     def _start_waiting(self, now: float) -> None:
         """Wake the questions whose turn has come."""
-        if not self.limiter.waiting:
+        if not self.room.waiting:
             return
-        for waiter in self.limiter.start_waiting(now):
+        for waiter in self.room.start_waiting(now):
             waiter.started = True
             waiter.turn.set()
 
     def _reject_late(self, now: float) -> None:
         """Refuse the waiting questions that can no longer be answered in time."""
-        for waiter, rejection in self.limiter.remove_late(now):
+        for waiter, rejection in self.room.remove_late(now):
             waiter.rejection = rejection
             waiter.turn.set()
 
@@ -204,9 +204,9 @@
             team=question.team,
             waited_ms=round(waited * 1000),
             expected_ms=round(rejection.wait * 1000),
-            in_progress=self.limiter.in_progress,
-            waiting=self.limiter.waiting,
-            behind_ms=round(self.limiter.standing_delay() * 1000),
+            in_progress=self.room.in_progress,
+            waiting=self.room.waiting,
+            behind_ms=round(self.room.standing_delay() * 1000),
             retry_ms=round(retry.total_seconds() * 1000),
         )
         detail = "this instance has more to do than it can in time"
--- a/walkcart/entry/routed.py
+++ b/walkcart/entry/routed.py
@@ -272,12 +272,12 @@
             case ToShards(services):
                 return services
             case ToSplit(parts) as target:
-                current = self._splits.get(route.name)
-                if current is None or current[0] != target:
+                held = self._splits.get(route.name)
+                if held is None or held[0] != target:
                     split = WeightedSplit(self._tools.random.random())
-                    current = self._splits[route.name] = (target, split)
+                    held = self._splits[route.name] = (target, split)
                 weights = [(part.service, part.weight) for part in parts]
-                return (current[1].choose(weights),)
+                return (held[1].choose(weights),)
 
     def _refuse(
         self, caller: CallerRequest, verdict: NotRun, team: str = ""
--- a/walkcart/entry/routedstop.py
+++ b/walkcart/entry/routedstop.py
@@ -36,7 +36,7 @@
 
     Args:
         service: serves the requests of callers.
-        delegation_server: serves questions of other instances.
+        carrier: serves questions of other instances.
         registration: registers this instance with the others.
         events: log for the stop.
         grace: time until the platform kills the process.
@@ -46,14 +46,14 @@
     def __init__(
         self,
         service: RoutedService,
-        delegation_server: DelegationServer,
+        carrier: DelegationServer,
         registration: Registration,
         events: EventLog,
         grace: timedelta,
         quota_shares: QuotaShares,
     ) -> None:
         self._service = service
-        self._delegation_server = delegation_server
+        self._delegation_server = carrier
         self._registration = registration
         self._events = events
         self._grace = grace
--- a/walkcart/entry/teamlimits.py
+++ b/walkcart/entry/teamlimits.py
@@ -77,7 +77,7 @@
         """Return whether the team is so far above its limit that asking ends now."""
         if not self.turns or self.turns[-1] < FAR_ABOVE_LIMIT_WAIT:
             return False
-        unasked = self.allowance.exhausted.find_available(self.shares, now)
+        unasked = self.allowance.full.find_available(self.shares, now)
         return len(unasked) <= len(self.shares) * MAX_UNASKED_FRACTION
 
 
@@ -85,7 +85,7 @@
     """Enforces rate limits by requesting grants from the accountants of their shares.
 
     Args:
-        client: sends requests for grants to the accountants.
+        asks: sends requests for grants to the accountants.
         bounds: bounds on how far a limit may be exceeded.
         find_limit: returns the limit of a team in the configuration in force.
         clock: source of time.
@@ -95,14 +95,14 @@
 
     def __init__(
         self,
-        client: QuotaClient,
+        asks: QuotaClient,
         bounds: QuotaBounds,
         find_limit: FindLimit,
         clock: Clock,
         random: Random,
         metrics: Metrics,
     ) -> None:
-        self._client = client
+        self._client = asks
         self._bounds = bounds
         self._find_limit = find_limit
         self._clock = clock
@@ -110,7 +110,7 @@
         self._metrics = metrics
         self._allowances: dict[str, Allowance] = {}
         self._denials: dict[str, LastDenial] = {}
-        client.on_late_grant(self._add_late_grant)
+        asks.on_late_grant(self._add_late_grant)
 
     def retain_teams(self, teams: frozenset[str]) -> None:
         """Forget all teams but these: the others no longer have a limit."""
@@ -149,22 +149,20 @@
 
     async def _ask(self, search: _Search) -> NotRun | None:
         """Ask the accountants of the shares in turn until one grants a request."""
-        exhausted = search.allowance.exhausted
-        order = exhausted.find_available(search.shares, self._clock.monotonic())
+        full = search.allowance.full
+        order = full.find_available(search.shares, self._clock.monotonic())
         for share in self._client.sort_by_distance(order):
             now = self._clock.monotonic()
             if now >= search.deadline or search.is_far_above(now):
                 break
-            if not exhausted.find_available([share], now):
+            if not full.find_available([share], now):
                 # Meanwhile another accountant has reported that it is exhausted.
                 continue
             if await self._ask_share(share, search):
                 return None
         if not search.turns and len(order) == len(search.shares):
             return self._refuse_unknown(len(order))
-        wait = min(
-            search.turns, default=exhausted.find_min_wait(self._clock.monotonic())
-        )
+        wait = min(search.turns, default=full.find_min_wait(self._clock.monotonic()))
         return self._refuse(search, wait)
 
     async def _ask_share(self, share: int, search: _Search) -> bool:
@@ -178,11 +176,11 @@
         if answer is None:
             return taken
         if answer.reply.granted:
-            allowance.exhausted.forget(share)
+            allowance.full.forget(share)
             allowance.add_grant(answer.reply.granted - (not taken), answer.until)
             return True
-        allowance.exhausted.merge_waits(answer.reply.full, now)
-        allowance.exhausted.record(share, answer.reply.wait, now)
+        allowance.full.merge_waits(answer.reply.full, now)
+        allowance.full.record(share, answer.reply.wait, now)
         search.turns.append(answer.reply.turn)
         denial = LastDenial(now, answer.reply.use, answer.accountant)
         self._denials[search.team] = denial
@@ -199,8 +197,8 @@
         if limit is None:
             version, limit = 0, search.limit
         wanted = search.allowance.find_request_amount(now)
-        waits = search.allowance.exhausted.list_waits(now)
-        return QuotaRequest(search.team, limit, version, wanted, waits)
+        told = search.allowance.full.list_waits(now)
+        return QuotaRequest(search.team, limit, version, wanted, told)
 
     def _add_late_grant(self, team: str, amount: int, until: float) -> None:
         allowance = self._allowances.get(team)
@@ -210,17 +208,17 @@
     def _refuse(self, search: _Search, wait: float) -> NotRun:
         """Refuse a request above the limit, with the time until one may be granted."""
         limit = search.limit
-        retry_after = max(MIN_RETRY_DELAY, draw_retry_after(wait, self._random))
+        told = max(MIN_RETRY_DELAY, draw_retry_after(wait, self._random))
         detail = f"the limit of {limit.rate:g} a second and {limit.burst:g} is used"
         denial = self._denials.get(search.team)
         if denial is not None:
             age = self._clock.monotonic() - denial.at
             detail += f": {denial.accountant} saw {denial.use:.2f} a second of its"
             detail += f" share {age * 1000:.0f} ms ago"
-        return NotRun(Reason.RATE_LIMITED, detail, retry_after)
+        return NotRun(Reason.RATE_LIMITED, detail, told)
 
     def _refuse_unknown(self, asked: int) -> NotRun:
         """Refuse a request since no accountant can tell if it is above the limit."""
-        retry_after = draw_retry_after(UNKNOWN_RETRY_DELAY, self._random)
+        told = draw_retry_after(UNKNOWN_RETRY_DELAY, self._random)
         detail = f"no accountant of {asked} shares was reached"
-        return NotRun(Reason.LIMIT_UNKNOWN, detail, retry_after)
+        return NotRun(Reason.LIMIT_UNKNOWN, detail, told)
--- a/walkcart/entry/tests/quotafleet.py
+++ b/walkcart/entry/tests/quotafleet.py
@@ -162,7 +162,7 @@
         await trio.sleep(STOP_DURATION)
         self.scope.cancel()
 
-    def list_held_shares(self):
+    def held(self):
         """Return the shares that this instance accounts for now."""
         if self.scope.cancel_called:
             return []
@@ -207,9 +207,7 @@
         self.version += 1
 
     def find_accountant(self, share):
-        found = [
-            member for member in self.members if share in member.list_held_shares()
-        ]
+        found = [member for member in self.members if share in member.held()]
         assert len(found) < 2, "two instances account for one share"
         return found[0] if found else None
 
--- a/walkcart/entry/tests/test_overload_gate.py
+++ b/walkcart/entry/tests/test_overload_gate.py
@@ -46,7 +46,7 @@
 
 def limit_to(gate, limit):
     """Set a limit, as after a persistent delay of the event loop."""
-    gate.limiter.limit = float(limit)
+    gate.room.limit = float(limit)
 
 
 def test_without_a_limit_all_questions_start_at_once():
@@ -90,7 +90,7 @@
             await trio.sleep(0.55)
             question = make_question(timeout=0.3)
             await serve(gate, question, found, "hasty")
-            waiting = gate.limiter.waiting
+            waiting = gate.room.waiting
         return found, waiting, log.getvalue()
 
     found, waiting, log = run_mocked(run)
@@ -115,7 +115,7 @@
             with trio.move_on_after(0.02):
                 await serve(gate, make_question(), found, "gone")
             nursery.start_soon(serve, gate, make_question(), found, "next")
-        return found, gate.limiter.in_progress, gate.limiter.waiting
+        return found, gate.room.in_progress, gate.room.waiting
 
     found, in_progress, waiting = run_mocked(run)
     assert set(found) == {"first", "next"}
@@ -133,10 +133,10 @@
             for _ in range(12):
                 await trio.sleep(0.05)
                 gate.record_loop_delay(0.2, trio.current_time())
-                limits.append(gate.limiter.limit)
+                limits.append(gate.room.limit)
             await nursery.start(gate.run)
             await trio.sleep(5)
-            limits.append(gate.limiter.limit)
+            limits.append(gate.room.limit)
             nursery.cancel_scope.cancel()
         return limits, log.getvalue()
 
--- a/walkcart/entry/tests/test_team_limit_faults.py
+++ b/walkcart/entry/tests/test_team_limit_faults.py
@@ -59,7 +59,7 @@
 
 def test_request_whose_deadline_passes_between_two_asks_is_refused():
     async def act(fleet):
-        member = next(m for m in fleet.members if not m.list_held_shares())
+        member = next(m for m in fleet.members if not m.held())
         fleet.cut(member)
         refusals = []
 
@@ -172,7 +172,7 @@
 
 def test_partitioned_instance_admits_nothing():
     async def act(fleet):
-        member = next(m for m in fleet.members if not m.list_held_shares())
+        member = next(m for m in fleet.members if not m.held())
         fleet.cut(member)
         for _ in range(20):
             refusal = await fleet.request(member, "large")
@@ -190,9 +190,7 @@
     async def act(fleet):
         near = fleet.find_accountant(0)
         member = next(
-            m
-            for m in fleet.members
-            if m.region == near.region and not m.list_held_shares()
+            m for m in fleet.members if m.region == near.region and not m.held()
         )
         fleet.cut(member, [near])
         for _ in range(30):
@@ -241,7 +239,7 @@
 
 async def inject_failure(fleet):
     """Inject or end one random failure, more often of an accountant than of others."""
-    holders = [member for member in fleet.members if member.list_held_shares()]
+    holders = [member for member in fleet.members if member.held()]
     member = fleet.random.choice([*fleet.members, *holders, *holders])
     gone = member.scope.cancel_called
     match fleet.random.choice(
--- a/walkcart/entry/tests/test_team_limits.py
+++ b/walkcart/entry/tests/test_team_limits.py
@@ -63,7 +63,7 @@
         fleet.change_limit("large", None)
         fleet.change_limit("small", None)
         await trio.sleep(10)
-        assert not any(member.list_held_shares() for member in fleet.members)
+        assert not any(member.held() for member in fleet.members)
         before = fleet.store.renewals
         await trio.sleep(10)
         assert fleet.store.renewals == before
--- a/walkcart/routing/accountants.py
+++ b/walkcart/routing/accountants.py
@@ -74,16 +74,16 @@
     return sorted(instances, key=rank)[:MAX_CANDIDATES]
 
 
-def find_attempt_delay(rank: int, is_busy: bool, was_heard: bool) -> float:
+def find_attempt_delay(place: int, is_busy: bool, was_heard: bool) -> float:
     """Return how long a candidate waits before it tries to take a share, in seconds.
 
     Args:
-        rank: rank of the candidate, from 0.
+        place: rank of the candidate, from 0.
         is_busy: whether it accounts another share.
         was_heard: whether an accountant of the share was heard from, which may still
             be alive. The delay then counts from the last time.
     """
-    return rank * CANDIDATE_DELAY + is_busy * BUSY_DELAY + was_heard * SILENCE_TIMEOUT
+    return place * CANDIDATE_DELAY + is_busy * BUSY_DELAY + was_heard * SILENCE_TIMEOUT
 
 
 def find_retry_delay(attempts: int) -> float:
--- a/walkcart/routing/admission.py
+++ b/walkcart/routing/admission.py
@@ -100,18 +100,18 @@
         return int(min(self._limit, self._max_limit))
 
     async def admit(
-        self, partner: str, weight: float, max_limit: int, remaining: float
+        self, partner: str, share: float, max_limit: int, remaining: float
     ) -> Admitted | AdmissionRefused:
         """Admit a request or refuse it, possibly after a short wait.
 
         Args:
             partner: name of the partner that sent the request.
-            weight: weight of the partner.
+            share: weight of the partner.
             max_limit: upper bound of the limit, from the routing intent.
             remaining: time left for the request, in seconds.
         """
         self._max_limit = max_limit
-        self._weights[partner] = weight
+        self._weights[partner] = share
         if self._total < self.limit and not self._waiting:
             return self._admit(partner)
         max_wait = remaining * MAX_WAIT_SHARE
--- a/walkcart/routing/allowances.py
+++ b/walkcart/routing/allowances.py
@@ -55,7 +55,7 @@
         "_granted",
         "_hold",
         "_use_rate",
-        "exhausted",
+        "full",
     )
 
     def __init__(self, hold: float) -> None:
@@ -64,7 +64,7 @@
         self._expires_at = -math.inf
         self._use_rate = 0.0
         self._decayed_at = -math.inf
-        self.exhausted = ExhaustedShares()
+        self.full = ExhaustedShares()
 
     def try_consume(self, now: float) -> bool:
         """Use up one held request; return False when none is held."""
--- a/walkcart/routing/exhaustedshares.py
+++ b/walkcart/routing/exhaustedshares.py
@@ -63,8 +63,8 @@
         ]
         return tuple(found[:MAX_SENT])
 
-    def merge_waits(self, waits: ShareWaits, now: float) -> None:
+    def merge_waits(self, told: ShareWaits, now: float) -> None:
         """Record the exhausted shares that another instance sent."""
-        for share, wait in waits[:MAX_SENT]:
+        for share, wait in told[:MAX_SENT]:
             if isfinite(wait) and wait > 0.0:
                 self.record(share, wait, now)
--- a/walkcart/routing/gatherers.py
+++ b/walkcart/routing/gatherers.py
@@ -70,12 +70,12 @@
         needed: number of cores that gathering needs in the data centre.
     """
     chosen: list[str] = []
-    cores = 0.0
+    held = 0.0
     for name in ranked:
-        if len(chosen) >= MIN_GATHERERS and cores >= needed:
+        if len(chosen) >= MIN_GATHERERS and held >= needed:
             break
         chosen.append(name)
-        cores += capacities[name]
+        held += capacities[name]
     return chosen
 
 
--- a/walkcart/routing/instancelimiter.py
+++ b/walkcart/routing/instancelimiter.py
@@ -166,14 +166,14 @@
             self._start(entry.team, self._find_turn(entry))
             return Started()
         turn = self._find_turn(entry)
-        queued = _Queued(item, entry, turn)
-        ahead = sum(1 for other in self._queue if other.order < queued.order)
+        held = _Queued(item, entry, turn)
+        ahead = sum(1 for other in self._queue if other.order < held.order)
         wait = self._estimate_wait(ahead, now)
         if now + wait * WAIT_SAFETY_FACTOR + entry.time > entry.deadline:
             return Overloaded(self._find_retry(now), wait)
         self._team_turns[entry.team] = turn
         urgency = Urgency(entry.rank, entry.due, now, turn)
-        self._queue.add(queued, urgency)
+        self._queue.add(held, urgency)
         return Waiting()
 
     def finish(self, now: float, elapsed: float) -> None:
@@ -198,20 +198,20 @@
 
     def cancel_waiting(self, item: T) -> None:
         """Remove a waiting question whose caller stopped waiting."""
-        for queued in self._queue:
-            if queued.item is item:
-                self._queue.remove(queued)
+        for held in self._queue:
+            if held.item is item:
+                self._queue.remove(held)
                 return
 
     def start_waiting(self, now: float) -> list[T]:
         """Start the waiting questions that fit the limit, and return them."""
         started = []
         while self.in_progress < self.limit:
-            queued = self._queue.pop(now)
-            if queued is None:
+            held = self._queue.pop(now)
+            if held is None:
                 break
-            self._start(queued.entry.team, queued.turn)
-            started.append(queued.item)
+            self._start(held.entry.team, held.turn)
+            started.append(held.item)
         return started
 
     def remove_late(self, now: float) -> list[tuple[T, Overloaded]]:
@@ -221,11 +221,11 @@
         """
         late = []
         ahead = 0
-        for queued in sorted(self._queue, key=lambda queued: queued.order):
+        for held in sorted(self._queue, key=lambda held: held.order):
             wait = self._estimate_wait(ahead, now)
-            if now + wait + queued.entry.time > queued.entry.deadline:
-                self._queue.remove(queued)
-                late.append((queued.item, Overloaded(self._find_retry(now), wait)))
+            if now + wait + held.entry.time > held.entry.deadline:
+                self._queue.remove(held)
+                late.append((held.item, Overloaded(self._find_retry(now), wait)))
             else:
                 ahead += 1
         return late
--- a/walkcart/routing/latency.py
+++ b/walkcart/routing/latency.py
@@ -84,8 +84,8 @@
         self._refresh(now)
         if not self._sorted:
             return None
-        index = min(len(self._sorted) - 1, int(share * len(self._sorted)))
-        return self._sorted[index]
+        place = min(len(self._sorted) - 1, int(share * len(self._sorted)))
+        return self._sorted[place]
 
     def _refresh(self, now: float) -> None:
         if now - self._sorted_at >= SORT_INTERVAL or len(self._sorted) < 16:
--- a/walkcart/routing/peerchoice.py
+++ b/walkcart/routing/peerchoice.py
@@ -59,14 +59,25 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """The observations of one peer."""
+    """The observations of one peer.
+
+    Args:
+        time: time from a question to its answer.
+        in_progress: number of questions that this instance waits for.
+        heard_at: when it was last heard from, in seconds.
+        backoff_until: when its backoff ends, in seconds.
+        silence: its next backoff, in seconds.
+        unheard: whether it wasn't heard from since its last timeout.
+        greeted_at: when it was last sent a greeting, in seconds.
+        round_trip: expected round trip to it, in seconds.
+    """
 
     time: DecayedLatency
     in_progress: int = 0
     heard_at: float = float("-inf")
     backoff_until: float = float("-inf")
-    backoff: float = FIRST_BACKOFF
-    is_silent: bool = False
+    silence: float = FIRST_BACKOFF
+    unheard: bool = False
     greeted_at: float = float("-inf")
     round_trip: float = FIRST_ROUND_TRIP
 
@@ -90,7 +101,7 @@
         usable = [
             name
             for name in names
-            if self._peer(name).backoff_until <= now and not self._peer(name).is_silent
+            if self._peer(name).backoff_until <= now and not self._peer(name).unheard
         ]
         if not usable:
             return None
@@ -113,7 +124,7 @@
         for name in names:
             peer = self._peer(name)
             due = max(peer.backoff_until, peer.greeted_at + GREETING_INTERVAL)
-            if peer.is_silent and due <= now:
+            if peer.unheard and due <= now:
                 peer.greeted_at = now
                 found.append(name)
         return found
@@ -130,16 +141,16 @@
         """Record that a question was accepted, `elapsed` seconds after it was sent."""
         peer = self._peer(name)
         peer.heard_at = now
-        peer.is_silent = False
+        peer.unheard = False
         peer.round_trip += ROUND_TRIP_WEIGHT * (elapsed - peer.round_trip)
 
     def record_answer(self, name: str, now: float, elapsed: float) -> None:
         """Record an answer, `elapsed` seconds after the question was sent."""
         peer = self._peer(name)
         peer.heard_at = now
-        peer.is_silent = False
+        peer.unheard = False
         peer.time.observe(now, elapsed)
-        peer.backoff = FIRST_BACKOFF
+        peer.silence = FIRST_BACKOFF
 
     def record_timeout(self, name: str, now: float) -> None:
         """Record that a peer didn't answer in time.
@@ -147,18 +158,18 @@
         It gets no question until it is heard from, and none during its backoff.
         """
         peer = self._peer(name)
-        peer.is_silent = True
+        peer.unheard = True
         limit = MAX_TIMEOUT / TIMEOUT_ROUND_TRIPS
         peer.round_trip = min(limit, peer.round_trip * TIMEOUT_FACTOR)
-        peer.backoff_until = now + peer.backoff
-        peer.backoff = min(MAX_BACKOFF, peer.backoff * 2)
+        peer.backoff_until = now + peer.silence
+        peer.silence = min(MAX_BACKOFF, peer.silence * 2)
 
     def record_greeting(self, name: str) -> None:
         """Record a greeting from a peer, which has likely just started."""
         peer = self._peer(name)
         peer.backoff_until = float("-inf")
-        peer.backoff = FIRST_BACKOFF
-        peer.is_silent = False
+        peer.silence = FIRST_BACKOFF
+        peer.unheard = False
 
     def last_heard_at(self, name: str) -> float:
         """Return when a peer was last heard from, in seconds; -inf if never."""
--- a/walkcart/routing/placement.py
+++ b/walkcart/routing/placement.py
@@ -79,22 +79,22 @@
     success_rate: float = 1.0
 
 
-def estimate_time(leaf: LeafCandidate, objective: float) -> float:
+def estimate_time(standing: LeafCandidate, objective: float) -> float:
     """Return the estimated time of a request at a leaf, with its costs, in seconds.
 
     Args:
-        leaf: the leaf.
+        standing: the properties of the leaf.
         objective: seconds within which the request is to be answered.
     """
-    service = leaf.time
-    if leaf.cold:
+    service = standing.time
+    if standing.cold:
         service *= COLD_FACTOR
-    waiting = max(0.0, leaf.load + 1.0 - leaf.slots)
-    time = service * (1.0 + waiting / max(1, leaf.slots))
-    time /= leaf.success_rate
-    time += (1.0 - leaf.success_rate) * FAILURE_COST * objective
-    time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[leaf.distance]
-    if leaf.stalled:
+    waiting = max(0.0, standing.load + 1.0 - standing.slots)
+    time = service * (1.0 + waiting / max(1, standing.slots))
+    time /= standing.success_rate
+    time += (1.0 - standing.success_rate) * FAILURE_COST * objective
+    time += OTHER_REGION_COST * objective * COST_BY_DISTANCE[standing.distance]
+    if standing.stalled:
         time += STALLED_COST
     return time
 
--- a/walkcart/routing/quarantine.py
+++ b/walkcart/routing/quarantine.py
@@ -107,22 +107,19 @@
 
     def find_level(self, fingerprint: bytes, now: float) -> QuarantineLevel:
         """Return how a request is to be treated."""
-        record = self._entries.get(fingerprint)
-        if record is None or now - record.latest > MEMORY_TIME:
+        held = self._entries.get(fingerprint)
+        if held is None or now - held.latest > MEMORY_TIME:
             return QuarantineLevel.USUAL
-        if len(record.strikes) < CAREFUL_STRIKES:
+        if len(held.strikes) < CAREFUL_STRIKES:
             return QuarantineLevel.USUAL
-        if (
-            len(record.strikes) < REFUSED_STRIKES
-            or self.find_wait(fingerprint, now) <= 0
-        ):
+        if len(held.strikes) < REFUSED_STRIKES or self.find_wait(fingerprint, now) <= 0:
             return QuarantineLevel.CAREFUL
         return QuarantineLevel.REFUSED
 
     def find_wait(self, fingerprint: bytes, now: float) -> float:
         """Return the seconds until a refused request may be tried again."""
-        record = self._entries.get(fingerprint)
-        return record.struck_at + REFUSAL_TIME - now if record else 0.0
+        held = self._entries.get(fingerprint)
+        return held.struck_at + REFUSAL_TIME - now if held else 0.0
 
     def record_strike(self, fingerprint: bytes, strike: int, now: float) -> None:
         """Record a strike, identified by a random number."""
@@ -130,28 +127,28 @@
 
     def record_answer(self, fingerprint: bytes, now: float) -> bool:
         """Record that a leaf answered a request; return whether it voided strikes."""
-        record = self._entries.get(fingerprint)
-        if record is None or not record.strikes:
+        held = self._entries.get(fingerprint)
+        if held is None or not held.strikes:
             return False
-        self._entries[fingerprint] = StrikeRecord(frozenset(), record.struck_at, now)
+        self._entries[fingerprint] = StrikeRecord(frozenset(), held.struck_at, now)
         return True
 
-    def merge(self, fingerprint: bytes, news: StrikeRecord, now: float) -> bool:
+    def merge(self, fingerprint: bytes, told: StrikeRecord, now: float) -> bool:
         """Merge the evidence of another instance; return whether it was news."""
-        if now - news.latest > MEMORY_TIME:
+        if now - told.latest > MEMORY_TIME:
             return False
-        record = self._entries.get(fingerprint)
-        merged = news if record is None else _merge_records(record, news)
+        held = self._entries.get(fingerprint)
+        merged = told if held is None else _merge_records(held, told)
         if merged.struck_at <= merged.answered_at:
             merged = StrikeRecord(frozenset(), merged.struck_at, merged.answered_at)
-        if record is not None and merged.strikes == record.strikes:
+        if held is not None and merged.strikes == held.strikes:
             # The times may still be newer.
             self._entries[fingerprint] = merged
             return False
-        if record is None and not self._ensure_capacity(merged, now):
+        if held is None and not self._ensure_capacity(merged, now):
             return False
         self._entries[fingerprint] = merged
-        return record is not None or bool(merged.strikes)
+        return held is not None or bool(merged.strikes)
 
     def entries(self, now: float) -> Iterable[tuple[bytes, StrikeRecord]]:
         """Return the remembered requests with their evidence; drop expired ones."""
@@ -174,8 +171,8 @@
     def _drop_expired(self, now: float) -> None:
         expired = [
             fingerprint
-            for fingerprint, record in self._entries.items()
-            if now - record.latest > MEMORY_TIME
+            for fingerprint, held in self._entries.items()
+            if now - held.latest > MEMORY_TIME
         ]
         for fingerprint in expired:
             del self._entries[fingerprint]
--- a/walkcart/routing/quotas.py
+++ b/walkcart/routing/quotas.py
@@ -161,7 +161,7 @@
 
     bucket: TokenBucket
     version: int
-    exhausted: ExhaustedShares = field(default_factory=ExhaustedShares)
+    full: ExhaustedShares = field(default_factory=ExhaustedShares)
 
 
 class ShareAccount:
@@ -197,13 +197,13 @@
         bucket = entry.bucket
         if bucket.size is _NO_BUCKET:
             return QuotaReply(0, math.inf, MAX_TURN_WAIT)
-        entry.exhausted.merge_waits(request.full, now)
+        entry.full.merge_waits(request.full, now)
         granted = bucket.consume(request.amount, now)
         if granted:
             return QuotaReply(granted, use=bucket.find_use(now))
         wait, turn = bucket.find_wait(now), bucket.assign_turn(now)
         return QuotaReply(
-            0, wait, turn, bucket.find_use(now), entry.exhausted.list_waits(now)
+            0, wait, turn, bucket.find_use(now), entry.full.list_waits(now)
         )
 
     def _add(self, request: QuotaRequest, size: BucketSize, now: float) -> _Entry:
--- a/walkcart/routing/tests/test_instance_limiter.py
+++ b/walkcart/routing/tests/test_instance_limiter.py
@@ -29,7 +29,7 @@
     """
 
     def __init__(self):
-        self.limiter = InstanceLimiter()
+        self.room = InstanceLimiter()
         self.done = {}
         self.refused = {}
         self._ends = []
@@ -47,17 +47,17 @@
             while self._ends and self._ends[0][0] <= now:
                 _, _, item, started_at = heapq.heappop(self._ends)
                 self._record(self.done, item, now)
-                self.limiter.finish(now, now - started_at)
-            loop_delay = max(0.0, self.limiter.in_progress / CAPACITY - DURATION) / 4
-            self.limiter.record_delay(loop_delay, now)
-            for item in self.limiter.start_waiting(now):
+                self.room.finish(now, now - started_at)
+            loop_delay = max(0.0, self.room.in_progress / CAPACITY - DURATION) / 4
+            self.room.record_delay(loop_delay, now)
+            for item in self.room.start_waiting(now):
                 self._start(item, now)
-            for item, _ in self.limiter.remove_late(now):
+            for item, _ in self.room.remove_late(now):
                 self._record(self.refused, item, now)
             now += INTERVAL / 5
 
     def _submit(self, item, now):
-        match self.limiter.submit(item, item[2], now):
+        match self.room.submit(item, item[2], now):
             case Started():
                 self._start(item, now)
             case Overloaded():
@@ -92,18 +92,18 @@
 def test_without_a_standing_delay_nothing_waits_and_nothing_is_refused():
     simulation = Simulation()
     simulation.run(arrive("plain", rate=CAPACITY * 0.9, seconds=5.0), until=6.0)
-    assert simulation.limiter.limit == float("inf")
+    assert simulation.room.limit == float("inf")
     assert simulation.count("plain") == int(CAPACITY * 0.9 * 5.0)
     assert not simulation.refused
 
 
 def test_single_late_samples_are_no_overload():
-    limiter = InstanceLimiter()
+    room = InstanceLimiter()
     now = 0.0
     for number in range(20):
-        limiter.record_delay(1.0 if number % 4 == 0 else 0.0, now)
+        room.record_delay(1.0 if number % 4 == 0 else 0.0, now)
         now += INTERVAL
-    assert limiter.limit == float("inf")
+    assert room.limit == float("inf")
 
 
 def test_overload_refuses_at_once_and_leaves_nothing_waiting():
@@ -117,7 +117,7 @@
     assert len(served) >= 0.8 * CAPACITY * 6.0
     waits = sorted(elapsed for elapsed, _ in simulation.refused["plain"])
     assert waits[len(waits) // 2] < 0.05
-    assert simulation.limiter.waiting == 0
+    assert simulation.room.waiting == 0
 
 
 def test_urgent_questions_are_served_first_and_others_do_not_starve():
@@ -157,51 +157,51 @@
 
 
 def test_the_retry_time_covers_the_questions_ahead():
-    limiter = InstanceLimiter()
+    room = InstanceLimiter()
     now = 0.0
     entry = PendingQuestion(rank=0, due=0.3, deadline=0.6, time=DURATION)
     for number in range(60):
-        limiter.submit(number, entry, now)
+        room.submit(number, entry, now)
     # The loop stays behind, and two questions end every 50 ms.
     result = None
     for _ in range(8):
         now += INTERVAL
-        limiter.record_delay(0.2, now)
+        room.record_delay(0.2, now)
         for _ in range(2):
-            limiter.finish(now, elapsed=1.5)
+            room.finish(now, elapsed=1.5)
     entry = PendingQuestion(rank=0, due=now + 0.3, deadline=now + 0.3, time=DURATION)
     waiting = 0
     while not isinstance(result, Overloaded):
-        result = limiter.submit(f"new-{waiting}", entry, now)
+        result = room.submit(f"new-{waiting}", entry, now)
         waiting += isinstance(result, Waiting)
     # Fewer than 40 a second end; the retry time must cover all questions ahead.
-    ahead = limiter.waiting + limiter.in_progress - limiter.limit
+    ahead = room.waiting + room.in_progress - room.limit
     assert result.retry_after >= ahead / 40.0 * 0.9
 
 
 def test_the_limit_is_lifted_when_the_loop_has_caught_up():
     simulation = Simulation()
     simulation.run(arrive("plain", CAPACITY * 2, 4.0), until=4.0 + RECOVERY_TIME + 4.0)
-    assert simulation.limiter.limit == float("inf")
-    assert simulation.limiter.in_progress == 0
+    assert simulation.room.limit == float("inf")
+    assert simulation.room.in_progress == 0
 
 
 def test_a_question_whose_caller_left_is_removed():
-    limiter = InstanceLimiter()
-    limiter.in_progress, limiter.limit = 2, 2.0
+    room = InstanceLimiter()
+    room.in_progress, room.limit = 2, 2.0
     entry = PendingQuestion(rank=0, due=1.0, deadline=9.0)
-    assert isinstance(limiter.submit("gone", entry, 0.0), Waiting)
-    limiter.cancel_waiting("gone")
-    limiter.finish(0.1, elapsed=0.1)
-    assert limiter.start_waiting(0.1) == []
+    assert isinstance(room.submit("gone", entry, 0.0), Waiting)
+    room.cancel_waiting("gone")
+    room.finish(0.1, elapsed=0.1)
+    assert room.start_waiting(0.1) == []
 
 
 def test_a_standing_delay_sets_a_limit():
-    limiter = InstanceLimiter()
+    room = InstanceLimiter()
     for number in range(10):
-        limiter.submit(number, PendingQuestion(0, 1.0, 1.0), 0.0)
+        room.submit(number, PendingQuestion(0, 1.0, 1.0), 0.0)
     now = 0.0
     while now < 3 * STANDING_TIME:
-        limiter.record_delay(2 * MAX_LOOP_DELAY, now)
+        room.record_delay(2 * MAX_LOOP_DELAY, now)
         now += INTERVAL
-    assert limiter.limit < 10
+    assert room.limit < 10
--- a/walkcart/routing/tests/test_leaf_limiter.py
+++ b/walkcart/routing/tests/test_leaf_limiter.py
@@ -11,16 +11,16 @@
 
 
 def make_limiter():
-    limiter = LeafLimiter(slots=2)
-    limiter.record_urgent(0, 0.088, now=0.0)
-    limiter.record_urgent(1, 0.17, now=0.0)
-    return limiter
+    room = LeafLimiter(slots=2)
+    room.record_urgent(0, 0.088, now=0.0)
+    room.record_urgent(1, 0.17, now=0.0)
+    return room
 
 
-def count_sent(limiter, request, now=0.0, others=0.0):
+def count_sent(room, request, now=0.0, others=0.0):
     """Return how many requests are sent before one has to wait, at most 50."""
     sent = 0
-    while sent < 50 and limiter.allows(request, sent, others, now):
+    while sent < 50 and room.allows(request, sent, others, now):
         sent += 1
     return sent
 
@@ -31,21 +31,21 @@
 
 
 def test_a_slow_leaf_gets_one_long_request_and_keeps_a_slot_for_urgent_ones():
-    limiter = make_limiter()
-    assert count_sent(limiter, slow_down(LONG, 11)) == 1
-    assert limiter.allows(slow_down(URGENT, 11), sent=1, others=0.0, now=0.0)
+    room = make_limiter()
+    assert count_sent(room, slow_down(LONG, 11)) == 1
+    assert room.allows(slow_down(URGENT, 11), sent=1, others=0.0, now=0.0)
 
 
 def test_the_reserve_ends_without_urgent_requests():
-    limiter = make_limiter()
+    room = make_limiter()
     later = EXPECTED_TIME + 0.1
-    assert count_sent(limiter, slow_down(LONG, 11), now=later) == 2
+    assert count_sent(room, slow_down(LONG, 11), now=later) == 2
 
 
 def test_the_load_of_other_instances_counts():
-    limiter = make_limiter()
-    assert count_sent(limiter, LONG, others=20.0) == 1
-    assert count_sent(limiter, LONG, others=12.0) == 8
+    room = make_limiter()
+    assert count_sent(room, LONG, others=20.0) == 1
+    assert count_sent(room, LONG, others=12.0) == 8
 
 
 def test_one_request_may_always_go_so_that_its_reply_shows_capacity():
@@ -58,10 +58,10 @@
 
 
 def test_a_less_urgent_request_is_never_preferred_to_an_urgent_one():
-    limiter = make_limiter()
+    room = make_limiter()
     for factor in (1, 2, 5, 8, 11):
         for others in (0.0, 1.0, 4.0, 9.0):
             for sent in range(14):
                 urgent = SlotRequest(0, LONG.left, LONG.time * factor)
-                allowed = limiter.allows(slow_down(LONG, factor), sent, others, 0.0)
-                assert not allowed or limiter.allows(urgent, sent, others, 0.0)
+                allowed = room.allows(slow_down(LONG, factor), sent, others, 0.0)
+                assert not allowed or room.allows(urgent, sent, others, 0.0)
--- a/walkcart/routing/tests/test_quarantine.py
+++ b/walkcart/routing/tests/test_quarantine.py
@@ -87,15 +87,15 @@
 
 
 @given(news, st.randoms(use_true_random=False))
-def test_news_may_arrive_in_any_order_and_more_than_once(records, random):
-    shuffled = [*records, *records]
+def test_news_may_arrive_in_any_order_and_more_than_once(told, random):
+    shuffled = [*told, *told]
     random.shuffle(shuffled)
     one, other = Quarantine(), Quarantine()
-    for item in records:
+    for item in told:
         one.merge(REQUEST, item, 10.0)
     for item in shuffled:
         other.merge(REQUEST, item, 10.0)
-    for item in records:
+    for item in told:
         one.merge(REQUEST, item, 10.0)
     first, second = one.find(REQUEST), other.find(REQUEST)
     if first is None or second is None:
--- a/walkcart/routing/tests/test_quota_schemes.py
+++ b/walkcart/routing/tests/test_quota_schemes.py
@@ -168,7 +168,7 @@
         # Accountants of the own region, one in three, are asked first.
         shares = sorted(shares, key=lambda share: (share - instance) % 3)
         for share in shares:
-            if not allowance.exhausted.find_available([share], simulation.now):
+            if not allowance.full.find_available([share], simulation.now):
                 continue
             self.reassign_if_cut(share)
             holder = self.holders[share]
@@ -176,17 +176,17 @@
                 simulation.cost["messages"] += 2
                 if not simulation.can_reach(instance, holder):
                     continue
-            waits = allowance.exhausted.list_waits(simulation.now)
+            told = allowance.full.list_waits(simulation.now)
             request = QuotaRequest(
-                TEAM, LIMIT, 1, allowance.find_request_amount(simulation.now), waits
+                TEAM, LIMIT, 1, allowance.find_request_amount(simulation.now), told
             )
             reply = self.accounts[share].grant(request, simulation.now)
             if reply.granted:
                 allowance.record_use(simulation.now)
                 allowance.add_grant(reply.granted - 1, simulation.now + BOUNDS.hold)
                 return True
-            allowance.exhausted.merge_waits(reply.full, simulation.now)
-            allowance.exhausted.record(share, reply.wait, simulation.now)
+            allowance.full.merge_waits(reply.full, simulation.now)
+            allowance.full.record(share, reply.wait, simulation.now)
         return False
 
 
@@ -197,12 +197,12 @@
         self.simulation = simulation
         self.used = [deque() for _ in range(simulation.count)]
         #: Reports that each instance has: use in the last window by sender, and when.
-        self.reports = [{} for _ in range(simulation.count)]
+        self.heard = [{} for _ in range(simulation.count)]
         self.reported_at = simulation.now
 
     def restart(self, instance):
         self.used[instance].clear()
-        self.reports[instance].clear()
+        self.heard[instance].clear()
 
     def count_own_use(self, instance):
         used = self.used[instance]
@@ -221,7 +221,7 @@
             for other in simulation.random.sample(range(simulation.count), others):
                 simulation.cost["messages"] += 1
                 if simulation.can_reach(instance, other):
-                    self.reports[other][instance] = (count, simulation.now)
+                    self.heard[other][instance] = (count, simulation.now)
 
     def admit(self, instance):
         simulation = self.simulation
@@ -230,7 +230,7 @@
             self.report()
         fresh = [
             count
-            for other, (count, at) in self.reports[instance].items()
+            for other, (count, at) in self.heard[instance].items()
             if other != instance and at > simulation.now - REPORT_TTL
         ]
         own = self.count_own_use(instance)
--- a/walkcart/routing/tests/test_quotas.py
+++ b/walkcart/routing/tests/test_quotas.py
@@ -101,20 +101,20 @@
         if allowance.try_consume(self.now):
             return True
         shares = list_shares(limit, BOUNDS, TEAM)
-        for number in allowance.exhausted.find_available(shares, self.now):
+        for number in allowance.full.find_available(shares, self.now):
             if (instance, number) in self.cuts:
                 continue
             amount = allowance.find_request_amount(self.now)
-            waits = allowance.exhausted.list_waits(self.now)
-            request = QuotaRequest(TEAM, limit, version, amount, waits)
+            told = allowance.full.list_waits(self.now)
+            request = QuotaRequest(TEAM, limit, version, amount, told)
             reply = self.shares[number].account.grant(request, self.now)
             if self.random.random() < self.loss:
                 continue  # the reply is lost
             if reply.granted:
                 allowance.add_grant(reply.granted - 1, self.now + BOUNDS.hold)
                 return True
-            allowance.exhausted.merge_waits(reply.full, self.now)
-            allowance.exhausted.record(number, reply.wait, self.now)
+            allowance.full.merge_waits(reply.full, self.now)
+            allowance.full.record(number, reply.wait, self.now)
         return False
 
     def check(self):
@@ -282,20 +282,20 @@
 
 
 def test_an_exhausted_share_is_skipped_until_it_may_recover():
-    exhausted = ExhaustedShares()
-    exhausted.record(1, wait=0.4, now=10.0)
-    exhausted.record(2, wait=math.inf, now=10.0)
-    assert exhausted.find_available(range(3), 10.1) == [0]
-    assert exhausted.find_available(range(3), 10.5) == [0, 1]
-    assert exhausted.find_available(range(3), 11.0) == [0, 1, 2]
-    assert exhausted.find_min_wait(10.1) == pytest.approx(0.3)
+    full = ExhaustedShares()
+    full.record(1, wait=0.4, now=10.0)
+    full.record(2, wait=math.inf, now=10.0)
+    assert full.find_available(range(3), 10.1) == [0]
+    assert full.find_available(range(3), 10.5) == [0, 1]
+    assert full.find_available(range(3), 11.0) == [0, 1, 2]
+    assert full.find_min_wait(10.1) == pytest.approx(0.3)
 
 
 def test_accountants_pass_on_exhausted_shares():
     limit = RateLimit(12.0, 12.0)
     account = ShareAccount(0, BOUNDS, 0.0, True)
-    waits = ((1, 0.2), (2, 0.3))
-    while account.grant(QuotaRequest(TEAM, limit, 1, 1, waits), now=50.0).granted:
+    told = ((1, 0.2), (2, 0.3))
+    while account.grant(QuotaRequest(TEAM, limit, 1, 1, told), now=50.0).granted:
         pass
     reply = account.grant(make_request(limit), now=50.1)
     assert [share for share, _ in reply.full] == [1, 2]
