--- a/walkcart/routing/admission.py
+++ b/walkcart/routing/admission.py
@@ -186,7 +186,7 @@
         return (queued + 1) / (rate * share) if rate > 0 else float("inf")
 
     def _find_fraction(self, partner: str) -> float:
-        """Return the share of completions that `partner` gets among waiting ones."""
+        """Return the share of completions that `partner` gets among those waiting."""
         busy = [name for name, queue in self._queues.items() if queue]
         if partner not in busy:
             busy.append(partner)
--- a/walkcart/routing/allowances.py
+++ b/walkcart/routing/allowances.py
@@ -46,7 +46,7 @@
         hold: validity of a grant, in seconds.
 
     Attributes:
-        exhausted: the shares that were recently exhausted.
+        full: the shares that were recently exhausted.
     """
 
     __slots__ = (
--- a/walkcart/routing/tests/test_quota_schemes.py
+++ b/walkcart/routing/tests/test_quota_schemes.py
@@ -1,7 +1,7 @@
 """Compares three schemes for a rate limit over all instances, on the same events.
 
 * Accounts, the scheme in use: a few instances account shares, and all others ask them.
-* Reports: each instance counts its own use and reports it to others with messages that
+* Told: each instance counts its own use and reports it to others with messages that
   are sent anyway. It subtracts the reported use of the others from the limit; an
   instance without reports uses a part of the slack.
 * Parts: each instance uses an equal part of the limit, by its view of the fleet.
@@ -190,7 +190,7 @@
         return False
 
 
-class Reports:
+class Told:
     """Each instance counts its own use and reports it to some others."""
 
     def __init__(self, simulation):
@@ -269,7 +269,7 @@
         return bool(self.buckets[instance].consume(1, self.simulation.now))
 
 
-SCHEMES = {"accounts": Accounts, "reports": Reports, "parts": Parts}
+SCHEMES = {"accounts": Accounts, "told": Told, "parts": Parts}
 
 
 def simulate(name, count, seed=1, with_faults=False, busy=False, seconds=40.0):
@@ -300,7 +300,7 @@
 @pytest.mark.parametrize("count", [72, 300])
 def test_reporting_use_exceeds_the_bound_in_large_fleets(count):
     # This rules the scheme out: many instances each run some before they get reports.
-    assert find_max_with_faults("reports", count) > BOUNDS.max_requests(LIMIT)
+    assert find_max_with_faults("told", count) > BOUNDS.max_requests(LIMIT)
 
 
 @pytest.mark.parametrize("count", [7, 72, 300])
