--- a/walkcart/routing/instancelimiter.py
+++ b/walkcart/routing/instancelimiter.py
@@ -102,6 +102,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Queued(Generic[T]):
+    """A waiting question, with its turn in fair queueing."""
+
     item: T
     entry: PendingQuestion
     turn: float
--- a/walkcart/routing/latetimes.py
+++ b/walkcart/routing/latetimes.py
@@ -18,7 +18,8 @@
 
 from __future__ import annotations
 
-#: Seconds from a peer's reply to the next step of the asking instance; both are busy.
+#: Seconds from a peer's reply to the next step of the asking instance, while the
+#: processors of both are busy.
 STEP_TIME = 0.01
 #: Seconds after the request time during which replies of other instances are still
 #: waited for.
--- a/walkcart/routing/peerchoice.py
+++ b/walkcart/routing/peerchoice.py
@@ -62,7 +62,7 @@
     """The observations of one peer.
 
     Args:
-        time: time from a question to its answer.
+        time: average time from a question to its answer.
         in_progress: number of questions that this instance waits for.
         heard_at: when it was last heard from, in seconds.
         backoff_until: when its backoff ends, in seconds.
--- a/walkcart/routing/urgency.py
+++ b/walkcart/routing/urgency.py
@@ -5,8 +5,8 @@
 the team whose turn it is, then the earliest objective. Within a rank and turn, a
 request that has missed its objective goes after those that can still meet theirs, since
 its answer loses little by being later still. Each fourth time the request that has
-waited longest goes, so that no rank starves, and none overtakes a more urgent one that
-came before it.
+waited longest goes, so that no rank starves. No request overtakes a more urgent one
+that came before it.
 
 Examples:
     >>> queue = UrgencyQueue()
