--- a/walkcart/once/owner.py
+++ b/walkcart/once/owner.py
@@ -327,7 +327,7 @@
         return Bucket((), (*bucket.segments, reference))
 
     def _answer_asks(self, plan: Plan) -> None:
-        """Answer the claims; call it only after the data that they depend on is stored."""
+        """Answer the claims, after the data that the answers depend on is stored."""
         if not plan.changed:
             self._abandoned.clear()
         for ask, answer in plan.answers:
