--- a/walkcart/entry/overloadgate.py
+++ b/walkcart/entry/overloadgate.py
@@ -19,7 +19,7 @@
 from walkcart.kernel.events import Events
 from walkcart.kernel.metrics import Metrics
 from walkcart.routing.instancelimiter import (
-    BLIND_RETRY,
+    DEFAULT_RETRY,
     InstanceLimiter,
     Overloaded,
     PendingQuestion,
@@ -49,7 +49,7 @@
     Args:
         clock: source of time.
         random: spreads the retry times of refused questions.
-        events: log for refusals, and for the limit's coming and going.
+        events: log for refusals, and for when the limit is set or lifted.
         metrics: registry for the limit, refusals and waits.
         find_weight: returns a team's weight in fair queueing, relative to others.
         is_enabled: returns whether the gate is in use; if not, it admits everything.
@@ -127,7 +127,7 @@
         self._reject_late(now)
 
     def _report_limit(self, before: float) -> None:
-        """Report a changed limit in metrics and, if it comes or goes, in the log."""
+        """Report a changed limit in metrics and, if it is set or lifted, in the log."""
         limited = self.room.limit < float("inf")
         self._metrics.gauge("room.limit", int(self.room.limit) if limited else 0)
         if limited != (before < float("inf")):
@@ -163,7 +163,7 @@
         self._metrics.time("room.wait", waited * 1000)
         if waiter.started:
             return None
-        rejection = waiter.rejection or Overloaded(BLIND_RETRY, waited)
+        rejection = waiter.rejection or Overloaded(DEFAULT_RETRY, waited)
         return self._refuse(question, rejection, waited)
 
     def _describe(self, question: RoutedQuestion, now: float) -> PendingQuestion:
--- a/walkcart/once/claimant.py
+++ b/walkcart/once/claimant.py
@@ -109,23 +109,23 @@
         outcome = ClaimOutcome(answer.outcome)
         return ClaimResult(outcome, ask.token, bucket, key, answer.status, answer.body)
 
-    def settle(self, grant: ClaimResult, status: int, body: bytes) -> None:
+    def settle(self, claim: ClaimResult, status: int, body: bytes) -> None:
         """Store the reply to the request of a granted claim, for repeats.
 
         Args:
-            grant: the claim.
+            claim: the granted claim.
             status: HTTP status of the reply.
             body: body of the reply.
         """
-        message = ClaimSettle(grant.token, grant.bucket, grant.key, status, body)
-        owner = self._find_owner(grant.bucket)
+        message = ClaimSettle(claim.token, claim.bucket, claim.key, status, body)
+        owner = self._find_owner(claim.bucket)
         if owner == self._view.own.name or not self._links.send(owner, message):
             self._owners.settle(message)
 
-    def withdraw(self, grant: ClaimResult) -> None:
+    def withdraw(self, claim: ClaimResult) -> None:
         """Remove a claim; its request must not have been sent."""
-        message = ClaimWithdraw(grant.token, grant.bucket, grant.key)
-        owner = self._find_owner(grant.bucket)
+        message = ClaimWithdraw(claim.token, claim.bucket, claim.key)
+        owner = self._find_owner(claim.bucket)
         if owner == self._view.own.name or not self._links.send(owner, message):
             self._owners.withdraw(message)
 
--- a/walkcart/routing/quarantine.py
+++ b/walkcart/routing/quarantine.py
@@ -51,8 +51,8 @@
 #: Seconds after its last strike or answer at which a request is forgotten. Callers
 #: retry for minutes; a release that repairs the leaves takes hours.
 MEMORY_TIME = 1800.0
-#: Requests that are remembered, with their strikes about 100 KB (calculated). A flood
-#: of different requests displaces only those with as few strikes.
+#: Maximum number of remembered requests; with their strikes they take about 100 KB
+#: (calculated). A flood of different requests displaces only those with as few strikes.
 MAX_ENTRIES = 256
 
 
@@ -162,10 +162,10 @@
         self._drop_expired(now)
         if len(self._entries) < MAX_ENTRIES:
             return True
-        least = min(self._entries, key=lambda item: self._entries[item].weight)
-        if self._entries[least].weight > wanted.weight:
+        lightest = min(self._entries, key=lambda item: self._entries[item].weight)
+        if self._entries[lightest].weight > wanted.weight:
             return False
-        del self._entries[least]
+        del self._entries[lightest]
         return True
 
     def _drop_expired(self, now: float) -> None:
--- a/walkcart/routing/tests/test_instance_limiter.py
+++ b/walkcart/routing/tests/test_instance_limiter.py
@@ -123,12 +123,14 @@
 def test_urgent_questions_are_served_first_and_others_do_not_starve():
     simulation = Simulation()
     urgent = arrive("urgent", rate=CAPACITY, seconds=8.0, rank=0)
-    lesser = arrive("lesser", rate=CAPACITY, seconds=8.0, rank=2, patience=4.0)
-    simulation.run(urgent + lesser, until=12.0)
+    less_urgent = arrive(
+        "less_urgent", rate=CAPACITY, seconds=8.0, rank=2, patience=4.0
+    )
+    simulation.run(urgent + less_urgent, until=12.0)
     total = 2 * int(CAPACITY * 8.0)
-    overall = (simulation.count("urgent") + simulation.count("lesser")) / total
-    assert simulation.count("urgent") > simulation.count("lesser")
-    assert simulation.count("lesser") / int(CAPACITY * 8.0) >= overall / 4
+    overall = (simulation.count("urgent") + simulation.count("less_urgent")) / total
+    assert simulation.count("urgent") > simulation.count("less_urgent")
+    assert simulation.count("less_urgent") / int(CAPACITY * 8.0) >= overall / 4
 
 
 def test_a_team_that_sends_many_times_its_usual_load_takes_no_capacity_of_others():
--- a/walkcart/routing/tests/test_leaf_limiter.py
+++ b/walkcart/routing/tests/test_leaf_limiter.py
@@ -10,7 +10,7 @@
     return SlotRequest(request.rank, request.left, request.time * factor)
 
 
-def make_room():
+def make_limiter():
     room = LeafLimiter(slots=2)
     room.record_urgent(0, 0.088, now=0.0)
     room.record_urgent(1, 0.17, now=0.0)
@@ -27,29 +27,29 @@
 
 def test_a_leaf_at_its_usual_speed_may_queue_requests_that_come_in_time():
     # The last one waits 9 * 16.5 ms = 148.5 ms and then takes 16.5 ms itself.
-    assert count_sent(make_room(), LONG) == 20
+    assert count_sent(make_limiter(), LONG) == 20
 
 
 def test_a_slow_leaf_gets_one_long_request_and_keeps_a_slot_for_urgent_ones():
-    room = make_room()
+    room = make_limiter()
     assert count_sent(room, slow_down(LONG, 11)) == 1
     assert room.allows(slow_down(URGENT, 11), sent=1, others=0.0, now=0.0)
 
 
 def test_the_reserve_ends_without_urgent_requests():
-    room = make_room()
+    room = make_limiter()
     later = EXPECTED_TIME + 0.1
     assert count_sent(room, slow_down(LONG, 11), now=later) == 2
 
 
 def test_the_load_of_other_instances_counts():
-    room = make_room()
+    room = make_limiter()
     assert count_sent(room, LONG, others=20.0) == 1
     assert count_sent(room, LONG, others=12.0) == 8
 
 
 def test_one_request_may_always_go_so_that_its_reply_shows_capacity():
-    assert make_room().allows(slow_down(LONG, 100), sent=0, others=50.0, now=0.0)
+    assert make_limiter().allows(slow_down(LONG, 100), sent=0, others=50.0, now=0.0)
 
 
 def test_requests_without_an_objective_are_not_limited():
@@ -58,7 +58,7 @@
 
 
 def test_a_less_urgent_request_is_never_preferred_to_an_urgent_one():
-    room = make_room()
+    room = make_limiter()
     for factor in (1, 2, 5, 8, 11):
         for others in (0.0, 1.0, 4.0, 9.0):
             for sent in range(14):
--- a/walkcart/routing/tests/test_quota_schemes.py
+++ b/walkcart/routing/tests/test_quota_schemes.py
@@ -1,9 +1,9 @@
 """Compares three schemes for a rate limit over all instances, on the same events.
 
 * Accounts, the scheme in use: a few instances account shares, and all others ask them.
-* Told: each instance counts its own use and reports it to others with messages that are
-  sent anyway. It subtracts the reported use of the others from the limit; an instance
-  without reports uses a part of the slack.
+* Told: each instance counts its own use and reports it to others with messages that
+  are sent anyway. It subtracts the reported use of the others from the limit; an
+  instance without reports uses a part of the slack.
 * Parts: each instance uses an equal part of the limit, by its view of the fleet.
 
 All three are simulated with plain data and no network. Messages and calls of the store
@@ -168,7 +168,7 @@
         # Accountants of the own region, one in three, are asked first.
         shares = sorted(shares, key=lambda share: (share - instance) % 3)
         for share in shares:
-            if not allowance.full.find_open([share], simulation.now):
+            if not allowance.full.find_available([share], simulation.now):
                 continue
             self.reassign_if_cut(share)
             holder = self.holders[share]
@@ -176,7 +176,7 @@
                 simulation.cost["messages"] += 2
                 if not simulation.can_reach(instance, holder):
                     continue
-            told = allowance.full.tell(simulation.now)
+            told = allowance.full.list_waits(simulation.now)
             request = QuotaRequest(
                 TEAM, LIMIT, 1, allowance.find_request_amount(simulation.now), told
             )
@@ -185,8 +185,8 @@
                 allowance.record_use(simulation.now)
                 allowance.add_grant(reply.granted - 1, simulation.now + BOUNDS.hold)
                 return True
-            allowance.full.take(reply.full, simulation.now)
-            allowance.full.note(share, reply.wait, simulation.now)
+            allowance.full.merge_waits(reply.full, simulation.now)
+            allowance.full.record(share, reply.wait, simulation.now)
         return False
 
 
@@ -198,7 +198,7 @@
         self.used = [deque() for _ in range(simulation.count)]
         #: Reports that each instance has: use in the last window by sender, and when.
         self.heard = [{} for _ in range(simulation.count)]
-        self.told_at = simulation.now
+        self.reported_at = simulation.now
 
     def restart(self, instance):
         self.used[instance].clear()
@@ -225,8 +225,8 @@
 
     def admit(self, instance):
         simulation = self.simulation
-        while self.told_at + REPORT_INTERVAL <= simulation.now:
-            self.told_at += REPORT_INTERVAL
+        while self.reported_at + REPORT_INTERVAL <= simulation.now:
+            self.reported_at += REPORT_INTERVAL
             self.report()
         fresh = [
             count
@@ -266,7 +266,7 @@
         self.buckets[instance] = self.make(instance)
 
     def admit(self, instance):
-        return bool(self.buckets[instance].take(1, self.simulation.now))
+        return bool(self.buckets[instance].consume(1, self.simulation.now))
 
 
 SCHEMES = {"accounts": Accounts, "told": Told, "parts": Parts}
--- a/walkcart/routing/urgency.py
+++ b/walkcart/routing/urgency.py
@@ -5,8 +5,8 @@
 the team whose turn it is, then the earliest objective. Within a rank and turn, a
 request that has missed its objective goes after those that can still meet theirs, since
 its answer loses little by being later still. Each fourth time the request that has
-waited longest goes, so that no rank starves, and none overtakes a more urgent one that
-came before it.
+waited longest goes, so that no rank starves. No request overtakes a more urgent one
+that came before it.
 
 Examples:
     >>> queue = UrgencyQueue()
@@ -56,7 +56,7 @@
 
     def __init__(self) -> None:
         self._waiting: list[tuple[Urgency, T]] = []
-        self._taken = 0
+        self._pop_count = 0
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -93,9 +93,11 @@
         eligible = [entry for entry in self._waiting if may_go(entry[1])]
         if not eligible:
             return None
-        by_age = len(eligible) > 1 and (self._taken + 1) % OLDEST_FIRST_INTERVAL == 0
+        by_age = (
+            len(eligible) > 1 and (self._pop_count + 1) % OLDEST_FIRST_INTERVAL == 0
+        )
         if len(eligible) > 1:
-            self._taken += 1
+            self._pop_count += 1
         if by_age:
             chosen = min(eligible, key=lambda entry: entry[0].since)
         else:
