--- a/walkcart/lazyimport.py
+++ b/walkcart/lazyimport.py
@@ -1,8 +1,8 @@
 """Lazy loading of names and modules.
 
 An instance on the platform must start fast and uses only a part of walkcart and of its
-libraries. So a subpackage with public names from ten modules mustn't load all of them,
-nor a library all modules for uses that an instance doesn't have.
+libraries. So importing a subpackage mustn't load every module that defines one of its
+public names, and importing a library mustn't load modules that an instance never uses.
 
 References:
     PEP 562, module ``__getattr__``.
@@ -33,19 +33,19 @@
         7
     """
 
-    def find(name: str) -> Any:
+    def get_name(name: str) -> Any:
         if name not in modules:
             raise AttributeError(f"module {package!r} has no attribute {name!r}")
         return getattr(import_module(f"{package}.{modules[name]}"), name)
 
-    return find
+    return get_name
 
 
 def defer_modules(names: Iterable[str]) -> None:
     """Make modules load when one of their names is first used, not when imported.
 
     Modules that are loaded already or not installed are left alone. Call this before
-    importing anything that imports the modules. ``from module import name`` loads the
+    importing anything that imports the modules. A ``from module import name`` loads the
     module at once.
 
     Args:
@@ -66,13 +66,14 @@
     assert spec.loader is not None
     module = module_from_spec(spec)
     loader = spec.loader
-    # Other threads must wait for the names while one thread loads the module.
+    # While one thread loads the module, others that look up a name in it must wait.
+    # The lock is reentrant, as code of the module may look up its own names.
     lock = RLock()
     load_started = False
 
     def load(attribute: str) -> Any:
         nonlocal load_started
-        # The import system looks up such names in every module.
+        # The import system looks up such names in every module without using it.
         if attribute.startswith("__"):
             raise AttributeError(attribute)
         with lock:
--- a/walkcart/platform/apikeys.py
+++ b/walkcart/platform/apikeys.py
@@ -16,8 +16,8 @@
 
 #: Authentication scheme of API keys (RFC 6750), compared without regard to case.
 SCHEME = b"bearer"
-#: Maximum length of a key in bytes: some ten times that of keys in use. The bound keeps
-#: a caller from making an instance digest a whole request head.
+#: Maximum length of a key in bytes, about ten times the length of keys in use. Without
+#: a bound, a caller could make an instance digest a whole request head.
 MAX_KEY_BYTES = 512
 #: First and last visible ASCII character; a key consists of visible characters only.
 _VISIBLE_ASCII = (0x21, 0x7E)
--- a/walkcart/platform/callerprotocol.py
+++ b/walkcart/platform/callerprotocol.py
@@ -28,10 +28,10 @@
 from walkcart.wire.server import Fault
 from walkcart.wire.verdicts import MayHaveRun, NotRun, Reason
 
-#: Headers that are set for each leaf; the caller's values are dropped.
+#: Headers that an instance sets anew for each leaf; the caller's values are dropped.
 _SET_PER_LEAF = frozenset({DEADLINE_MS, EXPECTED_LEAF})
-#: Headers of the caller that aren't forwarded where requests need keys: only this
-#: instance names the team.
+#: Headers of the caller that aren't forwarded where requests need keys. The instance
+#: derives the team from the key, so a team that the caller names isn't trusted.
 _CALLER_CREDENTIALS = frozenset({AUTHORIZATION, TEAM})
 _TRACEPARENT = b"traceparent"
 _CONTENT_TYPE = (b"content-type", b"application/octet-stream")
@@ -55,6 +55,7 @@
         milliseconds = read_number(request.header(DEADLINE_MS))
         timeout = None
         if milliseconds is not None:
+            # The largest readable number would overflow a timedelta.
             timeout = timedelta(milliseconds=min(milliseconds, 10**9))
         headers = strip_hop_headers(request.headers, _SET_PER_LEAF)
         return CallerRequest(
@@ -76,17 +77,17 @@
             team: the team that the key belongs to; empty on a public route without a
                 key.
         """
-        kept = (
+        forwarded = (
             item
             for item in request.headers
             if item[0].lower() not in _CALLER_CREDENTIALS
         )
-        named = ((TEAM, team.encode()),) if team else ()
-        headers = (*kept, *named)
+        team_header = ((TEAM, team.encode()),) if team else ()
+        headers = (*forwarded, *team_header)
         return HttpRequest(request.method, request.target, headers, request.body)
 
     def render_merged(self, answer: RoutedAnswer, top: int) -> HttpReply:
-        """Render a merged answer: the greatest records and the stamps of the parts."""
+        """Render a merged answer: the `top` greatest records and the stamps of all parts."""
         merged = merge_parts(answer, top)
         headers = [_CONTENT_TYPE, (PART_STAMPS, b", ".join(merged.proofs))]
         if merged.missing:
@@ -117,12 +118,12 @@
                 return HttpReply(_BAD_GATEWAY)
 
     def render_fault(self, fault: Fault) -> HttpReply:
-        """Render the reply to bytes that aren't a valid request."""
+        """Render the reply to a caller whose bytes aren't a valid request."""
         return HttpReply(fault.value)
 
 
 def merge_parts(answer: RoutedAnswer, top: int) -> MergedAnswer:
-    """Merge the parts of an answer: the greatest `top` records and all stamps."""
+    """Merge the parts of an answer: keep the `top` greatest records and all stamps."""
     bodies = [reply.body for _, reply in answer.replies]
     bodies += [part.body for part in answer.merged]
     proofs = tuple(_get_stamp(reply) for _, reply in answer.replies)
@@ -133,7 +134,7 @@
 
 
 def _make_retry_after(retry_after: timedelta | None) -> tuple[bytes, bytes]:
-    """Return the header with the seconds after which a retry makes sense."""
+    """Return the header that states after how many seconds a retry makes sense."""
     seconds = retry_after.total_seconds() if retry_after else 0.0
     return (RETRY_AFTER, b"%.3f" % seconds)
 
@@ -147,8 +148,9 @@
 def _forward_reply(reply: Replied) -> HttpReply:
     """Return a leaf's reply, or 502 if its status would be a false promise.
 
-    A leaf that has not run a request says so in a header, and such a reply never gets
-    here. The status alone proves nothing, but callers would trust it.
+    Callers read some statuses as a promise that the request has not run. A leaf that
+    really has not run it says so in a header, and such replies are handled earlier; so
+    here a status of this kind proves nothing.
     """
     if reply.status in _NOT_RUN_STATUSES:
         return HttpReply(_BAD_GATEWAY)
--- a/walkcart/platform/documents.py
+++ b/walkcart/platform/documents.py
@@ -26,9 +26,9 @@
 from walkcart.platform.teamdocuments import StoredTeam, read_regions, read_teams
 from walkcart.store.items import Item
 
-#: Prefix of all keys that operators store. It is followed as a whole, so that the state
-#: that an instance reads at the start, or gets from another instance, holds evacuations
-#: together with the configuration.
+#: Prefix of all keys that operators store. All of them are followed as one copy, so that
+#: an instance that starts, or is fed by another instance, gets the evacuations together
+#: with the configuration.
 OPERATOR_PREFIX = "op/"
 #: Key of the configuration.
 CONFIGURATION_KEY = "op/config"
@@ -37,9 +37,9 @@
 #: Prefix of the keys of the leaves' entries; the leaf's id follows.
 LEAF_PREFIX = "servers/"
 
-#: Type of routes whose requests may run more than once; those of others may not.
+#: Type of the routes whose requests may run more than once.
 _IDEMPOTENT = "idempotent"
-#: State of a leaf that is about to stop.
+#: State in the entry of a leaf that is about to stop.
 _DRAINING = "draining"
 
 
@@ -58,7 +58,7 @@
     route_type: str
     # Maximum time for which a request is held, in ms.
     timeout_ms: float
-    # Latency objective of an answer, in ms: later ones don't earn their full value.
+    # Latency objective of an answer, in ms; a later answer is worth less to the caller.
     target_latency_ms: float = 0.0
     # Maximum number of leaves that one request is sent to, per shard if sharded.
     max_attempts: int = 1
@@ -120,7 +120,7 @@
     warmup_left_ms: float
     # Number of times that the entry was written.
     seq: int
-    # Start of this process life in Unix milliseconds; 0 where leaves don't report it.
+    # Start of the leaf's process in Unix milliseconds; 0 if the leaf doesn't report it.
     born: int = 0
 
 
@@ -207,13 +207,13 @@
 def leaf_entry_differs(old: bytes, new: bytes) -> bool:
     """Return whether a leaf's new entry differs in anything that instances act on.
 
-    Leaves rewrite their entries all the time. That a leaf is still alive, or that less
-    of its cold time remains, changes nothing for a reader that has the entry already.
-    That the leaf became cold again does.
+    Leaves rewrite their entries all the time, to show that they are alive and how much
+    of their cold time remains. A reader that has the previous entry doesn't act on that.
+    It does act on a cold time that starts anew.
     """
     before, after = _decode_leaf_entry(old), _decode_leaf_entry(new)
     if before is None or after is None:
-        # LeafEntries logs an unreadable entry, once.
+        # `LeafEntries` logs each unreadable entry once.
         return before is not after
     if 0 < after.warmup_left_ms >= before.warmup_left_ms:
         return True
@@ -230,7 +230,7 @@
 
 
 class LeafEntries:
-    """Decoded entries of leaves; a change decodes only the changed entries.
+    """Holds the decoded entries of leaves and decodes only those that change.
 
     Args:
         regions: region by data centre.
--- a/walkcart/platform/headers.py
+++ b/walkcart/platform/headers.py
@@ -10,12 +10,12 @@
 DEADLINE_MS = b"x-deadline-ms"
 #: A leaf's proof that the reply is its own; forwarded unchanged.
 STAMP = b"x-response-stamp"
-#: Process life of the leaf that a request is meant for; any other life replies 421.
+#: Id of the leaf process that a request is meant for; any other process replies 421.
 EXPECTED_LEAF = b"x-expect-instance"
 #: Load of the replying leaf: running requests, waiting requests, slots, and the current
 #: duration of its work in percent of the usual one.
 LOAD = b"x-server-load"
-#: Milliseconds for which the replying leaf is still cold.
+#: Milliseconds for which the replying leaf is still cold (slow after its start).
 COLD_MS = b"x-warmup-ms"
 #: Marks a refusal: the leaf has not run the request and won't.
 NOT_RUN = b"x-not-executed"
@@ -34,8 +34,8 @@
 KEEP_ALIVE = b"keep-alive"
 CONTENT_ENCODING = b"content-encoding"
 
-#: Headers that belong to one connection (RFC 9110, 7.6.1), and those of the framing,
-#: which each connection sets itself.
+#: Headers that apply to one connection only (RFC 9110, 7.6.1), and the headers of
+#: message framing, which the sender on each connection sets anew.
 _HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -53,14 +53,14 @@
 )
 
 
-def strip_hop_headers(headers: Headers, also: frozenset[bytes]) -> Headers:
+def strip_hop_headers(headers: Headers, others: frozenset[bytes]) -> Headers:
     """Return the headers that are forwarded to the next hop.
 
     Args:
         headers: headers with names in lower case.
-        also: further names to drop.
+        others: names of further headers to drop.
     """
-    named = find_header(headers, b"connection") or ""
-    dropped = {part.strip().lower().encode("latin-1") for part in named.split(",")}
-    dropped |= _HOP_BY_HOP | also
+    listed = find_header(headers, b"connection") or ""
+    dropped = {part.strip().lower().encode("latin-1") for part in listed.split(",")}
+    dropped |= _HOP_BY_HOP | others
     return tuple(item for item in headers if item[0] not in dropped)
--- a/walkcart/platform/leafprotocol.py
+++ b/walkcart/platform/leafprotocol.py
@@ -23,7 +23,8 @@
 from walkcart.wire.http import HttpReply, HttpRequest, find_header
 from walkcart.wire.verdicts import MayHaveRun, Reason
 
-#: Status of a leaf whose address another life has taken over; the request was not run.
+#: Status by which a leaf refuses a request that was meant for another leaf process at
+#: the same address. The request was not run.
 _MISDIRECTED = 421
 _TIMEOUT_PARAMETER = b"timeout="
 #: Headers in which a leaf describes itself, not the request.
@@ -48,8 +49,8 @@
             (DEADLINE_MS, b"%d" % max(1, int(remaining * 1000))),
             (EXPECTED_LEAF, attempt.leaf_id.encode()),
         )
-        routed = attempt.caller_request
-        return HttpRequest(routed.method, routed.target, headers, routed.body)
+        request = attempt.caller_request
+        return HttpRequest(request.method, request.target, headers, request.body)
 
     def is_reply_to(self, attempt: Attempt, found: HeaderMap) -> bool:
         """Return whether a reply echoes the id of this request, or no id at all."""
@@ -62,7 +63,7 @@
         )
 
     def read_status(self, found: HeaderMap) -> LeafStatus:
-        """Read a leaf's load, its pace and how long it stays cold from its headers."""
+        """Read a leaf's load, its pace and its remaining cold time from reply headers."""
         figures = [
             read_number(part.strip()) for part in found.get(LOAD, b"").split(b",")
         ]
@@ -88,8 +89,8 @@
         Args:
             attempt: the attempt that the reply belongs to.
             reply: the reply.
-            found: its headers by name.
-            elapsed: seconds from sending to the reply.
+            found: the reply's headers by name.
+            elapsed: seconds from sending the request to receiving the reply.
         """
         if reply.status == _MISDIRECTED:
             return Refused(Reason.LEAF_REPLACED)
@@ -117,7 +118,7 @@
         return None
 
     def make_status_request(self) -> HttpRequest | None:
-        """Return None: leaves report their load on replies, and a check would cost."""
+        """Return None: leaves report their load on replies, so requests for it are waste."""
         return None
 
     def make_cancel_request(self, attempt_id: str) -> HttpRequest | None:
@@ -126,7 +127,7 @@
 
 
 def _read_retry_after(found: HeaderMap) -> timedelta | None:
-    """Return the wait until a retry, or None if the leaf gave no valid time."""
+    """Return how long to wait before a retry, or None if the leaf gave no valid time."""
     try:
         wait = timedelta(seconds=float(found[RETRY_AFTER]))
     except (KeyError, ValueError, OverflowError):
--- a/walkcart/platform/records.py
+++ b/walkcart/platform/records.py
@@ -11,7 +11,7 @@
 def merge_records(bodies: Iterable[bytes], top: int) -> bytes:
     """Return the greatest `top` records of all bodies in descending order.
 
-    Equal records aren't merged into one: each counts.
+    Equal records aren't deduplicated.
 
     Examples:
         >>> merge_records([b"a" * 16 + b"c" * 16 + b"rest", b"b" * 16], 2) == (
--- a/walkcart/platform/settings.py
+++ b/walkcart/platform/settings.py
@@ -38,7 +38,8 @@
 class _Bounds(msgspec.Struct, rename="camel"):
     """Limits set by the platform's rules, as far as the product needs them."""
 
-    # Repeats that a service may get, as a fraction of its requests in the window.
+    # Maximum number of repeats to a service, as a fraction of its requests in the
+    # window.
     retry_budget_ratio: float = 0.2
     # Length of that window, in seconds.
     retry_window_s: float = 10.0
@@ -107,11 +108,12 @@
         readiness: address of the balancer's readiness check.
         peer_ports: first and last port for connections between instances.
         store: address of the shared store.
-        store_rate: calls per second that the store allows all instances together.
-        repeat_ratio: repeats that a service may get per request.
-        repeat_window: window over which that ratio holds.
+        store_rate: calls per second that the store accepts from all instances
+            together.
+        repeat_ratio: maximum number of repeats to a service, per request.
+        repeat_window: window over which requests and repeats are counted.
         repeat_allowance: repeats beyond the ratio, for all instances together.
-        grace: time from the signal to stop until the process is killed.
+        grace: time from the stop signal until the process is killed.
         cores: CPU capacity, in cores of the usual speed.
         cold_bound: limits on the requests to cold leaves.
         quota_bounds: by how much teams' rate limits may be exceeded.
--- a/walkcart/platform/store.py
+++ b/walkcart/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value store, which is the product's shared store."""
+"""Client of the platform's key-value store, which all instances share."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
 _NOT_FOUND = 404
 _HISTORY_GONE = 410
 _CONDITION_FAILED = 412
-#: Too many calls, or unavailable: in both cases nothing was done.
+#: Statuses for too many calls and for an unavailable store; the call had no effect.
 _NOT_EXECUTED = frozenset({429, 503})
 
 _JSON_HEADERS = ((b"content-type", b"application/json"),)
 
 
 class _Item(msgspec.Struct, rename="camel"):
-    # Key of the item; the wire name is borrowed from elsewhere on the platform.
+    # Key of the item. It has nothing to do with TLS; the platform uses this wire name.
     tls_key: str
     revision: int
     # Standard base64 on the wire, decoded by msgspec.
     value: bytes = b""
-    # Set in watches only: the key was removed.
+    # Whether the key was removed; set only in replies to watches.
     deleted: bool = False
-    # Id of the lease, or 0.
+    # Id of the lease that the item is bound to, or 0.
     lease: int = 0
 
 
@@ -149,9 +149,9 @@
         reply = await self._get(_WATCH, query, wait)
         if reply.status == _HISTORY_GONE:
             return HistoryLost()
-        found = self._decode_success(reply, _Events)
-        changes = tuple(_read_change(item) for item in found.events)
-        return Changes(changes, found.as_of)
+        content = self._decode_success(reply, _Events)
+        changes = tuple(_read_change(item) for item in content.events)
+        return Changes(changes, content.as_of)
 
     async def commit(
         self, transaction: Transaction
@@ -166,8 +166,8 @@
         if reply.status == _NOT_FOUND:
             return LeaseNotFound()
         if reply.status == _CONDITION_FAILED:
-            rows = self._decode(reply, _Items).items
-            return Rejected(tuple(_read_item(item) for item in rows))
+            items = self._decode(reply, _Items).items
+            return Rejected(tuple(_read_item(item) for item in items))
         return Committed(self._decode_success(reply, _Revision).revision)
 
     async def grant_lease(self, time_to_live: timedelta) -> Lease:
@@ -185,7 +185,7 @@
         return Lease(lease.id, parse_duration_ms(renewed.ttl_ms))
 
     async def end_lease(self, lease: Lease) -> None:
-        """End a lease; it is no error if the lease has ended already."""
+        """End a lease; do nothing if it has ended already."""
         await self._call(HttpRequest("DELETE", f"{_END}{lease.id}"))
 
     async def _get(
@@ -209,7 +209,7 @@
         return reply
 
     def _decode_success(self, reply: HttpReply, kind: type[T]) -> T:
-        """Decode the body of a reply; reject any status but 200."""
+        """Decode the body of a reply; raise an error for any status but 200."""
         if reply.status != _OK:
             raise self._calls.reject_reply(f"status {reply.status}")
         return self._decode(reply, kind)
--- a/walkcart/platform/teamdocuments.py
+++ b/walkcart/platform/teamdocuments.py
@@ -23,6 +23,7 @@
     priority: int | None = None
     # Requests per second over all instances; 0 means no limit.
     rate_per_s: Annotated[float, msgspec.Meta(ge=0)] = 0.0
+    # Requests beyond the rate that may come at once.
     burst: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     allowed_regions: list[str] = []
 
@@ -32,7 +33,7 @@
 
 
 def read_teams(teams: list[StoredTeam] | None) -> tuple[Team, ...] | None:
-    """Return the teams; None means that no keys are needed, [] that none is known."""
+    """Return the teams: None if requests need no key, empty if no key is valid."""
     return None if teams is None else tuple(_read_team(team) for team in teams)
 
 
