--- a/walkcart/cli/clients.py
+++ b/walkcart/cli/clients.py
@@ -29,6 +29,7 @@
 T = TypeVar("T")
 #: Timeout of a request to an instance, in seconds.
 CALL_TIMEOUT = 15.0
+#: Maximum size of the body of an instance's reply.
 MAX_BODY_BYTES = 16 << 20
 #: Time after which the tool gives up on a store that is unavailable.
 OUTAGE_TIMEOUT = timedelta(seconds=10)
@@ -91,11 +92,11 @@
     Raises:
         CommandFailed: the instance gave no reply.
     """
-    own = (
+    common_headers = (
         (b"authorization", f"Bearer {token}".encode()),
         (b"content-type", b"application/json"),
     )
-    request = HttpRequest(method, target, (*own, *headers), body)
+    request = HttpRequest(method, target, (*common_headers, *headers), body)
     try:
         with trio.fail_after(CALL_TIMEOUT):
             stream = await TcpNetwork().connect(settings.instance)
--- a/walkcart/cli/edits.py
+++ b/walkcart/cli/edits.py
@@ -11,28 +11,28 @@
 from walkcart.intent.selectors import KEY_PATTERN, VALUE_PATTERN
 
 Edit = Callable[[Configuration], Configuration]
-#: Priority of the intents that drain leaves.
+#: Priority of the routing intents that drain leaves.
 DRAIN_PRIORITY = 1000
 #: Kinds of objects whose labels can be changed.
 LABELLED_KINDS = ("service", "partner", "shard_group")
 
 
-def read_labels(words: list[str]) -> tuple[dict[str, str], list[str]]:
+def read_labels(texts: list[str]) -> tuple[dict[str, str], list[str]]:
     """Return the labels to set, given as ``key=value``, and to remove, as ``key-``.
 
     Raises:
-        CommandFailed: a word has neither form.
+        CommandFailed: a text has neither form.
     """
     added: dict[str, str] = {}
     removed: list[str] = []
-    for word in words:
-        key, separator, value = word.partition("=")
+    for text in texts:
+        key, separator, value = text.partition("=")
         if separator and KEY_PATTERN.fullmatch(key) and VALUE_PATTERN.fullmatch(value):
             added[key] = value
-        elif not separator and word.endswith("-") and KEY_PATTERN.fullmatch(word[:-1]):
-            removed.append(word[:-1])
+        elif not separator and text.endswith("-") and KEY_PATTERN.fullmatch(text[:-1]):
+            removed.append(text[:-1])
         else:
-            raise CommandFailed(Exit.USAGE, f"{word!r}: expected key=value or key-")
+            raise CommandFailed(Exit.USAGE, f"{text!r}: expected key=value or key-")
     return added, removed
 
 
@@ -42,8 +42,8 @@
     """Return an edit that changes the labels of one object."""
 
     def edit(base: Configuration) -> Configuration:
-        place = KINDS[kind][1]
-        items = getattr(base, place)
+        field = KINDS[kind][1]
+        items = getattr(base, field)
         if all(item.name != name for item in items):
             raise CommandFailed(Exit.FAILED, f"no {kind} is named {name!r}")
         changed = tuple(
@@ -52,7 +52,7 @@
             else item
             for item in items
         )
-        return replace(base, **{place: changed})
+        return replace(base, **{field: changed})
 
     return edit
 
@@ -62,14 +62,14 @@
     name = make_object_name("labels", selector)
 
     def edit(base: Configuration) -> Configuration:
-        held = {item.name: item for item in base.label_rules}
-        before = held[name].labels if name in held else {}
+        objects = {item.name: item for item in base.label_rules}
+        before = objects[name].labels if name in objects else {}
         labels = _change_labels(before, added, removed)
         if labels:
-            held[name] = LabelRule(name, selector, labels)
+            objects[name] = LabelRule(name, selector, labels)
         else:
-            held.pop(name, None)
-        return replace(base, label_rules=_sort_by_name(held))
+            objects.pop(name, None)
+        return replace(base, label_rules=_sort_by_name(objects))
 
     return edit
 
@@ -81,9 +81,9 @@
     )
 
     def edit(base: Configuration) -> Configuration:
-        held = {item.name: item for item in base.routing_intents}
-        held[intent.name] = intent
-        return replace(base, routing_intents=_sort_by_name(held))
+        objects = {item.name: item for item in base.routing_intents}
+        objects[intent.name] = intent
+        return replace(base, routing_intents=_sort_by_name(objects))
 
     return edit
 
@@ -93,11 +93,11 @@
     name = make_object_name("drain", selector)
 
     def edit(base: Configuration) -> Configuration:
-        held = {item.name: item for item in base.routing_intents}
-        if name not in held:
+        objects = {item.name: item for item in base.routing_intents}
+        if name not in objects:
             raise CommandFailed(Exit.FAILED, f"nothing is drained by {selector!r}")
-        del held[name]
-        return replace(base, routing_intents=_sort_by_name(held))
+        del objects[name]
+        return replace(base, routing_intents=_sort_by_name(objects))
 
     return edit
 
@@ -115,5 +115,5 @@
     return {key: value for key, value in merged.items() if key not in removed}
 
 
-def _sort_by_name(held: dict) -> tuple:
-    return tuple(held[name] for name in sorted(held))
+def _sort_by_name(objects: dict) -> tuple:
+    return tuple(objects[name] for name in sorted(objects))
--- a/walkcart/cli/lossaccount.py
+++ b/walkcart/cli/lossaccount.py
@@ -17,7 +17,7 @@
 
 from walkcart.cli.losscauses import Cause, InstanceHistory, Outcome, RequestEnd
 
-#: Maximum number of counters; beyond it, each two adjacent time steps are merged.
+#: Maximum number of counters; beyond it, each pair of adjacent time steps is merged.
 MAX_COUNTS = 50_000
 #: Maximum number of instances whose earlier lines are remembered.
 MAX_INSTANCES = 2_000
@@ -50,6 +50,11 @@
     Args:
         step: initial length of a time step, in seconds; it is doubled when there are
             too many counters.
+
+    Attributes:
+        ended: number of requests whose end the log reports.
+        unusable: number of lines that couldn't be parsed.
+        dropped: number of lines that the instances never wrote.
     """
 
     def __init__(self, step: float = 1.0) -> None:
@@ -74,12 +79,12 @@
                 self.dropped += line["count"]
                 return
             time = datetime.fromisoformat(line["time"]).timestamp()
-            memory = self._find_history(line["instance"])
+            history = self._find_history(line["instance"])
         except (msgspec.MsgspecError, ValueError, KeyError, TypeError, AttributeError):
             self.unusable += 1
             return
         self.dropped += line.get("dropped_lines", 0)
-        end = memory.process_line(line, time)
+        end = history.process_line(line, time)
         if end is not None:
             self._count(end)
 
@@ -94,21 +99,21 @@
             return
         if self._start is None:
             self._start = math.floor(end.time)
-        place = math.floor((end.time - self._start) / self.step)
-        self._counts[(place, end.route, end.outcome, end.cause)] += 1
+        step_index = math.floor((end.time - self._start) / self.step)
+        self._counts[(step_index, end.route, end.outcome, end.cause)] += 1
         if len(self._counts) > MAX_COUNTS:
             self._double_step()
 
     def _double_step(self) -> None:
         self.step *= 2
-        joined: Counter[tuple[int, str, Outcome, Cause]] = Counter()
-        for (place, *rest), count in self._counts.items():
-            joined[(place // 2, *rest)] += count
-        self._counts = joined
+        merged: Counter[tuple[int, str, Outcome, Cause]] = Counter()
+        for (step_index, *rest), count in self._counts.items():
+            merged[(step_index // 2, *rest)] += count
+        self._counts = merged
 
     @property
     def lost(self) -> int:
-        """Number of requests with another outcome than good."""
+        """Number of requests whose outcome isn't good."""
         return sum(self._counts.values())
 
     @property
@@ -128,11 +133,11 @@
             by_second: whether each time step has rows of its own.
         """
         counts: Counter[tuple[int, str, Outcome, Cause]] = Counter()
-        for (place, *rest), count in self._counts.items():
-            counts[(place if by_second else 0, *rest)] += count
+        for (step_index, *rest), count in self._counts.items():
+            counts[(step_index if by_second else 0, *rest)] += count
         rows = [
-            LossRow(place * self.step, route, outcome, cause, count)
-            for (place, route, outcome, cause), count in counts.items()
+            LossRow(step_index * self.step, route, outcome, cause, count)
+            for (step_index, route, outcome, cause), count in counts.items()
         ]
         return sorted(rows, key=_rank)
 
--- a/walkcart/cli/losscauses.py
+++ b/walkcart/cli/losscauses.py
@@ -1,8 +1,9 @@
 """Finds out from the log why a request was late, partial, refused or failed.
 
 This module classifies lines; it reads no files and prints nothing. Most lines name the
-cause themselves. Otherwise earlier lines of the same instance tell it: a peer that was
-lost while it gathered, or a leaf that was unreachable or ejected shortly before.
+cause themselves. Otherwise earlier lines of the same instance show the cause: a peer
+that was lost while it gathered, or a leaf that was unreachable or ejected shortly
+before.
 
 See Also:
     `walkcart.cli.losses`, the command.
@@ -22,8 +23,8 @@
 
 #: Maximum number of entries of each kind remembered per instance.
 MAX_REMEMBERED = 10_000
-#: Seconds for which a leaf counts as the cause after it was unreachable or ejected; it
-#: is tried again after some seconds.
+#: Seconds for which a leaf counts as a possible cause after it was unreachable or
+#: ejected; instances try such a leaf again after some seconds.
 UNREACHABLE_TIME = 10.0
 
 
@@ -63,7 +64,7 @@
     UNKNOWN = "not told by the log"
 
 
-#: Cause for each reason that the log can give.
+#: Cause of a loss by the reason in the log line.
 CAUSES = {
     Reason.DEADLINE.value: Cause.SLOW_LEAF,
     Reason.COVERAGE.value: Cause.SLOW_LEAF,
@@ -87,11 +88,11 @@
     Reason.STOPPING.value: Cause.STOPPING,
     Reason.INTERNAL.value: Cause.OWN_FAULT,
 }
-#: Causes that are replaced by an unreachable leaf of the service, if there was one.
+#: Causes that are replaced by `DARK_LEAF` if a leaf of the service was unreachable.
 _MAY_BE_UNREACHABLE = frozenset(
     {Cause.SLOW_LEAF, Cause.NO_CONNECTION, Cause.LEAF_FAILED}
 )
-#: Causes that are replaced by a lost gathering instance, if there was one.
+#: Causes that are replaced by `LOST_INSTANCE` if a gathering instance was lost.
 _MAY_BE_LOST_INSTANCE = frozenset({Cause.NO_CONNECTION, Cause.SLOW_LEAF})
 
 
@@ -113,10 +114,10 @@
 
 
 class InstanceHistory:
-    """What earlier log lines of one instance tell, in bounded memory."""
+    """What earlier log lines of one instance report, in bounded memory."""
 
     def __init__(self) -> None:
-        #: Ids of requests of which a gathering instance was lost.
+        #: Ids of requests that another instance gathered for when it was lost.
         self._lost_requests: OrderedDict[str, None] = OrderedDict()
         #: Service of each leaf, by the leaf's id and by its address.
         self._services: OrderedDict[str, str] = OrderedDict()
@@ -153,7 +154,8 @@
         if outcome is not Outcome.GOOD:
             cause = self._find_cause(line, time, Reason.DEADLINE.value)
         if cause is Cause.CALLER_GONE:
-            # The caller got an answer; the attempt was cancelled when that was sent.
+            # The caller got an answer, so it hadn't left: the instance cancelled the
+            # attempts that were still running when it sent the answer.
             cause = Cause.SLOW_LEAF
         return RequestEnd(time, str(line.get("route")), outcome, cause)
 
@@ -165,12 +167,12 @@
         return RequestEnd(time, route, outcome, cause)
 
     def _find_cause(self, line: Mapping[str, Any], time: float, reason: str) -> Cause:
-        """Return the cause of most of the missing parts, else that of the reason."""
+        """Return the most frequent cause of missing parts, else that of the reason."""
         missing: Mapping[str, str] = line.get("missing") or {}
-        found = [CAUSES.get(item, Cause.UNKNOWN) for item in missing.values()]
+        causes = [CAUSES.get(item, Cause.UNKNOWN) for item in missing.values()]
         cause = CAUSES.get(reason, Cause.UNKNOWN)
-        if found:
-            cause = max(found, key=found.count)
+        if causes:
+            cause = max(causes, key=causes.count)
         if (
             cause in _MAY_BE_LOST_INSTANCE
             and str(line.get("request")) in self._lost_requests
--- a/walkcart/cli/settings.py
+++ b/walkcart/cli/settings.py
@@ -42,7 +42,7 @@
 def read_tool_settings(
     options: Mapping[str, str | None], environment: Mapping[str, str]
 ) -> ToolSettings:
-    """Return the tool's settings: options override variables, these the defaults.
+    """Return the tool's settings: options override variables, which override defaults.
 
     Raises:
         CommandFailed: values are invalid; all are listed.
@@ -63,9 +63,9 @@
 def _find_text(
     name: str, options: Mapping[str, str | None], environment: Mapping[str, str]
 ) -> str:
-    given = options.get(name)
-    if given is not None:
-        return given
+    value = options.get(name)
+    if value is not None:
+        return value
     variable = TOOL_PREFIX + name.upper().replace("-", "_")
     return environment.get(variable, DEFAULTS[name])
 
--- a/walkcart/cli/waiting.py
+++ b/walkcart/cli/waiting.py
@@ -65,19 +65,21 @@
 ) -> list[str]:
     """Return the names of the instances that don't have `revision` yet."""
     behind: list[str] = []
-    limit = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
+    limiter = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
 
-    async def ask(member: dict) -> None:
-        async with limit:
-            asked = replace(settings, instance=parse_host_port(member["address"]))
+    async def check(member: dict) -> None:
+        async with limiter:
+            member_settings = replace(
+                settings, instance=parse_host_port(member["address"])
+            )
             try:
-                found = await fetch_json(asked, "/v1/revision")
+                reply = await fetch_json(member_settings, "/v1/revision")
             except CommandFailed:
-                found = {"revision": -1}
-            if found["revision"] < revision:
+                reply = {"revision": -1}
+            if reply["revision"] < revision:
                 behind.append(member["name"])
 
     async with trio.open_nursery() as nursery:
         for member in members:
-            nursery.start_soon(ask, member)
+            nursery.start_soon(check, member)
     return sorted(behind)
--- a/walkcart/daemon/assembly.py
+++ b/walkcart/daemon/assembly.py
@@ -1,8 +1,8 @@
 """Assembles the services of an instance.
 
 Services start in the order in which they are added; each uses only those added before.
-Everything that touches the outside (network, peer transport, clock, random numbers) is
-passed in, so that tests and simulations can replace it.
+All outside resources (network, peer transport, clock, random numbers) are passed in, so
+that tests and simulations can replace them.
 """
 
 from __future__ import annotations
@@ -49,8 +49,9 @@
 from walkcart.wire.messages import MemberRecord
 from walkcart.wire.peers import PeerListener
 
-#: Calls per second that one instance may make to the store, and the burst on top. Seven
-#: instances at this rate stay below half of what the service can handle.
+#: Calls per second that one instance may make to the store, and the calls that it may
+#: make at once beyond the rate. Seven instances at this rate stay below half of what
+#: the store can handle.
 STORE_RATE = 100.0
 STORE_BURST = 200.0
 
--- a/walkcart/daemon/deferred.py
+++ b/walkcart/daemon/deferred.py
@@ -1,7 +1,7 @@
 """Modules that libraries import but an instance on the platform doesn't need.
 
-Loaded modules take most of a small instance's memory. An instance never uses some of
-them, as its connections aren't encrypted and its event loop is trio's.
+Loaded modules take most of a small instance's memory. Some of them are never used, as
+an instance's connections aren't encrypted and its event loop is trio's.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 #: Modules that are loaded only when used. They are for encryption with OpenSSL, other
 #: event loops and host names that aren't ASCII, which an instance doesn't need.
 DEFERRED_MODULES = ("asyncio", "hmac", "idna", "ssl")
-#: Modules whose import fails. This one loads OpenSSL for its hashes; without it,
-#: `hashlib` falls back to the interpreter's own.
+#: Modules whose import is made to fail. `_hashlib` loads OpenSSL; without it, `hashlib`
+#: falls back to the interpreter's own hashes.
 REFUSED = ("_hashlib",)
 
 
--- a/walkcart/daemon/environment.py
+++ b/walkcart/daemon/environment.py
@@ -1,4 +1,4 @@
-"""The outside resources that instances use, and a service that serves one address."""
+"""Outside resources of instances, and a service that serves HTTP at one address."""
 
 from __future__ import annotations
 
--- a/walkcart/daemon/main.py
+++ b/walkcart/daemon/main.py
@@ -39,15 +39,15 @@
     """Run the daemon.
 
     Returns:
-        0 after a graceful stop, 1 if the daemon can't run or its stop ended before all
-        work in progress, 2 for invalid settings.
+        0 after a graceful stop, 1 if the daemon can't run or stopped before all work in
+        progress was done, 2 for invalid settings.
     """
     if any(flag in arguments for flag in HELP_FLAGS):
         _print_help()
         return EXIT_OK
     check = CHECK_FLAG in arguments
     loaded = load_settings(
-        [word for word in arguments if word != CHECK_FLAG], environment
+        [text for text in arguments if text != CHECK_FLAG], environment
     )
     for fault in loaded.faults:
         print(f"walkcartd: {fault}", file=sys.stderr)
@@ -87,8 +87,12 @@
 
 
 async def run_until_signal(instance: Instance) -> int:
-    """Run `instance` until a signal, then stop it; a second signal aborts the stop."""
-    ended = True
+    """Run an instance until a signal, then stop it; a second signal aborts the stop.
+
+    Returns:
+        The exit code: 0 if all work in progress was done, else 1.
+    """
+    work_done = True
     signals = (signal.SIGTERM, signal.SIGINT)
     with trio.open_signal_receiver(*signals) as received:
         async with trio.open_nursery() as nursery:
@@ -96,10 +100,10 @@
             await received.__anext__()
             async with trio.open_nursery() as stopping:
                 stopping.start_soon(_cancel_on_signal, received, stopping.cancel_scope)
-                ended = await instance.stop.stop()
+                work_done = await instance.stop.stop()
                 stopping.cancel_scope.cancel()
             nursery.cancel_scope.cancel()
-    return EXIT_OK if ended else EXIT_FAILED
+    return EXIT_OK if work_done else EXIT_FAILED
 
 
 async def _cancel_on_signal(received, scope: trio.CancelScope) -> None:
--- a/walkcart/daemon/platform.py
+++ b/walkcart/daemon/platform.py
@@ -39,14 +39,15 @@
 from walkcart.wire.network import TcpNetwork
 from walkcart.wire.peers import NngTransport
 
-#: Variable with the port of the metrics page; the deploy file sets the same port.
+#: Environment variable with the port of the metrics page. The deploy file sets it, and
+#: states the same port as that of the metrics.
 METRICS_VARIABLE = "WALKCART_METRICS_PORT"
 MAX_PORT = 65535
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_USAGE = 2
-#: Seconds between two checks whether the settings file has changed, which can happen
-#: without a signal. This is half of the time within which a change must be in force.
+#: Seconds between two checks of whether the settings file has changed, which can happen
+#: without a signal: half of the time within which a change must be in force.
 FILE_CHECK_INTERVAL = 1.0
 
 
@@ -84,9 +85,9 @@
             await nursery.start(tenant.kernel.run)
             nursery.start_soon(_watch_file, tenant, path)
             await _wait_for_stop(received, tenant, path)
-            ended = await tenant.stop.stop()
+            work_done = await tenant.stop.stop()
             nursery.cancel_scope.cancel()
-    return EXIT_OK if ended else EXIT_FAILED
+    return EXIT_OK if work_done else EXIT_FAILED
 
 
 async def _wait_for_stop(received, tenant: Tenant, path: Path) -> None:
@@ -98,25 +99,29 @@
 
 async def _watch_file(tenant: Tenant, path: Path) -> None:
     """Reload the settings whenever the file has changed."""
-    seen = _read_file_state(path)
+    last = _read_file_state(path)
     while True:
         await trio.sleep(FILE_CHECK_INTERVAL)
-        now = _read_file_state(path)
-        if now != seen:
-            seen = now
+        state = _read_file_state(path)
+        if state != last:
+            last = state
             reload_settings(tenant, path)
 
 
 def _read_file_state(path: Path) -> tuple[int, int] | None:
+    """Return modification time and size of a file, or None if it can't be read."""
     try:
-        found = path.stat()
+        status = path.stat()
     except OSError:
         return None
-    return (found.st_mtime_ns, found.st_size)
+    return (status.st_mtime_ns, status.st_size)
 
 
 def reload_settings(tenant: Tenant, path: Path) -> None:
-    """Apply changed settings; if they are invalid, the present ones stay in force."""
+    """Apply the settings that can change at run time: the address of the store.
+
+    Invalid settings are logged, and those in force stay.
+    """
     events = tenant.kernel.find("events", EventLog)
     try:
         settings = read_settings(path)
--- a/walkcart/daemon/tenant.py
+++ b/walkcart/daemon/tenant.py
@@ -1,7 +1,7 @@
 """Assembles an instance that runs as a tenant of the users' platform.
 
-Services that both kinds of instance have are the same as in `walkcart.daemon.assembly`.
-The adapters in `walkcart.platform` implement the interfaces to the platform.
+`walkcart.daemon.assembly` assembles the other kind of instance, partly from the same
+services. The adapters in `walkcart.platform` implement the interfaces to the platform.
 """
 
 from __future__ import annotations
--- a/walkcart/daemon/tenantlimits.py
+++ b/walkcart/daemon/tenantlimits.py
@@ -49,7 +49,7 @@
         return bool(self.limited)
 
     def find(self, team: str) -> tuple[int, RateLimit | None]:
-        """Return the document version in force and a team's limit, None without one."""
+        """Return the version in force and a team's limit, or None without a limit."""
         table = self._keeper.table
         found = table.teams.find_by_name(team)
         return table.document.version, found.limit if found else None
@@ -58,7 +58,7 @@
 def add_cold_shares(
     kernel: Kernel, environment: TenantEnvironment, gatherers: GatheringInstances
 ) -> None:
-    """Add the service that divides the limits of cold leaves among instances."""
+    """Add the service that divides the rate limits of cold leaves among instances."""
     cold = kernel.find("cold", ColdLimiter)
     shares = ColdShares(
         kernel.find("store", PlatformStore),
@@ -100,10 +100,10 @@
         metrics,
     )
     registration.add_prefix_reader(QUOTA_PREFIX, shares.handle_item)
-    answers = QuotaServer(
+    server = QuotaServer(
         links, shares, holders, bounds, in_force.find, environment.clock
     )
-    asks = QuotaClient(
+    client = QuotaClient(
         links,
         registration,
         shares,
@@ -114,7 +114,7 @@
         metrics,
     )
     limits = DistributedRateLimiter(
-        asks,
+        client,
         bounds,
         in_force.find,
         environment.clock,
@@ -129,7 +129,7 @@
 
     keeper.on_change(update_limits)
     kernel.add("quota_shares", shares)
-    kernel.add("quota_answers", answers)
+    kernel.add("quota_answers", server)
     kernel.add("limits", limits)
 
 
--- a/walkcart/daemon/tenantserving.py
+++ b/walkcart/daemon/tenantserving.py
@@ -74,7 +74,7 @@
         try:
             return await transport.listen(HostPort(settings.host, port))
         except OSError:
-            # The other role or the previous process still uses this port.
+            # Another role on this machine, or the previous process, uses this port.
             continue
     return await transport.listen(HostPort(settings.host, last))
 
@@ -90,11 +90,11 @@
     metrics = kernel.find("metrics", Metrics)
     registration = kernel.find("registration", Registration)
     links = PeerLinks(peers, environment.transport, registration, events, metrics)
-    life = environment.random.getrandbits(32)
-    ids = IdSource(settings.instance, life)
-    # Questions to other instances cross regions, so their ids are short: the random
-    # number identifies them as well as it would with the instance's name beside it.
-    question_ids = IdSource("", life)
+    process_id = environment.random.getrandbits(32)
+    ids = IdSource(settings.instance, process_id)
+    # Questions to other instances cross regions, so their ids are kept short: without
+    # the instance's name, the random number identifies them just as well.
+    question_ids = IdSource("", process_id)
     keeper = kernel.find("keeper", RouteKeeper)
     directory = kernel.find("directory", LeafDirectory)
     gatherers = GatheringInstances(
@@ -152,7 +152,7 @@
         times = gathering.pool.times_of(kind, Distance.SAME_DATA_CENTRE)
         return times.high(environment.clock.monotonic())
 
-    carrier = DelegationServer(
+    server = DelegationServer(
         links,
         environment.clock,
         gather,
@@ -164,7 +164,7 @@
     kernel.add("links", links)
     add_relay(kernel, environment, links)
     kernel.add("delegates", delegates)
-    kernel.add("carrier", carrier)
+    kernel.add("carrier", server)
     kernel.add("gathering", gathering)
 
 
@@ -206,7 +206,7 @@
         kernel.find("metrics", Metrics),
     )
     peers = QuarantinePeers(registration, gatherers)
-    spread = QuarantineGossip(
+    gossip = QuarantineGossip(
         quarantine,
         links,
         environment.clock,
@@ -223,9 +223,9 @@
         quarantines.log_news,
     )
     registration.add_prefix_reader(QUARANTINE_PREFIX, keys.merge_item)
-    quarantines.set_listeners(spread.broadcast, keys.enqueue)
+    quarantines.set_listeners(gossip.broadcast, keys.enqueue)
     kernel.add("quarantines", quarantines)
-    kernel.add("quarantine_spread", spread)
+    kernel.add("quarantine_spread", gossip)
     kernel.add("quarantine_keys", keys)
     return quarantines
 
@@ -241,10 +241,10 @@
     metrics = kernel.find("metrics", Metrics)
     keeper = kernel.find("keeper", RouteKeeper)
     directory = kernel.find("directory", LeafDirectory)
-    gate = StartupGate(lambda: keeper.known and directory.known)
-    keeper.on_change(lambda table: gate.recheck())
-    directory.on_change(gate.recheck)
-    room = OverloadGate(
+    startup_gate = StartupGate(lambda: keeper.known and directory.known)
+    keeper.on_change(lambda table: startup_gate.recheck())
+    directory.on_change(startup_gate.recheck)
+    overload_gate = OverloadGate(
         environment.clock,
         environment.random,
         events,
@@ -252,7 +252,7 @@
         lambda team: keeper.table.teams.find_share_weight(team),
         lambda: keeper.table.document.teams is not None,
     )
-    kernel.add("room", room)
+    kernel.add("room", overload_gate)
     protocol = PlatformCallerProtocol()
     handler = RoutedHandler(
         RoutedEntryTools(
@@ -263,10 +263,10 @@
             metrics,
             kernel.find("tracer", Tracer),
             environment.random,
-            gate,
+            startup_gate,
             kernel.find("origins", RequestOrigins),
             kernel.find("configuration", PrefixFollower).find_age,
-            room,
+            overload_gate,
             kernel.find("limits", DistributedRateLimiter),
         )
     )
@@ -289,7 +289,7 @@
     address = HostPort(settings.host, environment.metrics_port)
     listener = await environment.network.listen(address)
 
-    async def answer(request: HttpRequest) -> HttpReply:
+    async def serve_metrics(request: HttpRequest) -> HttpReply:
         # Loaded on the first request, as most instances never get one.
         from walkcart.kernel.exposition import CONTENT_TYPE, render_metrics
 
@@ -297,7 +297,7 @@
         return HttpReply(200, headers, render_metrics(metrics))
 
     server = HttpServer(
-        answer,
+        serve_metrics,
         ServerLimits(),
         PlatformCallerProtocol().render_fault,
         on_error=partial(
--- a/walkcart/daemon/tenantstore.py
+++ b/walkcart/daemon/tenantstore.py
@@ -55,18 +55,20 @@
 #: Share of the store's maximum rate that one instance may use. Seven instances together
 #: leave more than half to the other clients.
 STORE_SHARE = 0.05
-#: Calls that may be made at once after an idle time, as a start reads everything.
+#: Calls that may be made at once after an idle time; a start needs them to read
+#: everything.
 STORE_BURST = 40.0
 #: Time without a reply after which a call to the store has failed. The store answers
 #: within milliseconds; the wait of a watch is added.
 STORE_CALL_TIMEOUT = timedelta(seconds=1)
 #: Pause after a change of leaves' entries. It batches the changes of many leaves that
-#: start together; a change may take three seconds to be in force. The pause is below
-#: 1.3 s, as instances fed by this copy turn to another feeder if it is older than that.
+#: start together; a change may take three seconds to be in force. The pause must be
+#: below 1.3 s: other instances that get their changes from this copy change to another
+#: instance when the copy is older than that.
 LEAF_UPDATE_PAUSE = timedelta(seconds=0.8)
-#: A copy of the configuration that was current longer ago than this is read again, not
-#: watched: with six changes of 32 KB per second, a watch would return more than a small
-#: link carries in 0.15 s.
+#: Age from which the copy of the configuration is read anew instead of being watched
+#: on: with six changes of 32 KB per second, a watch from its revision would return more
+#: than a small link carries in 0.15 s.
 CONFIGURATION_REREAD_AGE = timedelta(seconds=1)
 STORE_MIN_BACKOFF = timedelta(seconds=0.1)
 STORE_MAX_BACKOFF = timedelta(seconds=0.8)
@@ -141,7 +143,7 @@
     evacuations = Evacuations(events, metrics, frozenset(settings.regions))
 
     def apply_update(update: Update) -> None:
-        # First, as listeners of the routes must know where nothing may be sent.
+        # Before the routes, whose listeners must know the evacuated data centres.
         evacuations.update(read_evacuated(update.items), update.origin)
         item = update.items.get(CONFIGURATION_KEY)
         if item is None or CONFIGURATION_KEY not in update.changed:
@@ -175,20 +177,20 @@
     calls = kernel.find("calls", StoreCalls)
     clock = environment.clock
 
-    def find_return() -> float:
+    def find_reachable_since() -> float:
         return calls.reachable_since if calls.reachable else clock.monotonic()
 
-    directory = LeafDirectory(clock, events, find_return)
+    directory = LeafDirectory(clock, events, find_reachable_since)
     evacuations = kernel.find("evacuations", Evacuations)
     cold = ColdLimiter(
         directory, kernel.find("keeper", RouteKeeper), settings.cold_bound, clock
     )
 
-    def evacuate(names: frozenset[str], ended: frozenset[str]) -> None:
-        directory.set_evacuated(names)
+    def apply_evacuations(evacuated: frozenset[str], ended: frozenset[str]) -> None:
+        directory.set_evacuated(evacuated)
         cold.mark_cold(ended)
 
-    evacuations.on_change(evacuate)
+    evacuations.on_change(apply_evacuations)
     entries = LeafEntries(settings.regions, events)
 
     def apply_update(update: Update) -> None:
--- a/walkcart/lazyimport.py
+++ b/walkcart/lazyimport.py
@@ -1,8 +1,8 @@
 """Lazy loading of names and modules.
 
 An instance on the platform must start fast and uses only a part of walkcart and of its
-libraries. So importing a subpackage mustn't load every module that defines one of its
-public names, and importing a library mustn't load modules that an instance never uses.
+libraries. So importing a subpackage whose public names come from ten modules mustn't
+load all ten, and importing a library mustn't load modules that an instance never uses.
 
 References:
     PEP 562, module ``__getattr__``.
--- a/walkcart/platform/callerprotocol.py
+++ b/walkcart/platform/callerprotocol.py
@@ -87,7 +87,7 @@
         return HttpRequest(request.method, request.target, headers, request.body)
 
     def render_merged(self, answer: RoutedAnswer, top: int) -> HttpReply:
-        """Render a merged answer: the `top` greatest records and the stamps of all parts."""
+        """Render a merged answer: the `top` greatest records and all stamps."""
         merged = merge_parts(answer, top)
         headers = [_CONTENT_TYPE, (PART_STAMPS, b", ".join(merged.proofs))]
         if merged.missing:
--- a/walkcart/platform/documents.py
+++ b/walkcart/platform/documents.py
@@ -26,9 +26,9 @@
 from walkcart.platform.teamdocuments import StoredTeam, read_regions, read_teams
 from walkcart.store.items import Item
 
-#: Prefix of all keys that operators store. All of them are followed as one copy, so that
-#: an instance that starts, or is fed by another instance, gets the evacuations together
-#: with the configuration.
+#: Prefix of all keys that operators store. All of them are followed as one copy, so
+#: that an instance that starts, or is fed by another instance, gets the evacuations
+#: together with the configuration.
 OPERATOR_PREFIX = "op/"
 #: Key of the configuration.
 CONFIGURATION_KEY = "op/config"
@@ -208,8 +208,8 @@
     """Return whether a leaf's new entry differs in anything that instances act on.
 
     Leaves rewrite their entries all the time, to show that they are alive and how much
-    of their cold time remains. A reader that has the previous entry doesn't act on that.
-    It does act on a cold time that starts anew.
+    of their cold time remains. A reader that has the previous entry doesn't act on
+    that. It does act on a cold time that starts anew.
     """
     before, after = _decode_leaf_entry(old), _decode_leaf_entry(new)
     if before is None or after is None:
--- a/walkcart/platform/leafprotocol.py
+++ b/walkcart/platform/leafprotocol.py
@@ -63,7 +63,7 @@
         )
 
     def read_status(self, found: HeaderMap) -> LeafStatus:
-        """Read a leaf's load, its pace and its remaining cold time from reply headers."""
+        """Read a leaf's load, its pace and its remaining cold time from a reply."""
         figures = [
             read_number(part.strip()) for part in found.get(LOAD, b"").split(b",")
         ]
@@ -118,7 +118,7 @@
         return None
 
     def make_status_request(self) -> HttpRequest | None:
-        """Return None: leaves report their load on replies, so requests for it are waste."""
+        """Return None: leaves report their load on replies, so none is needed."""
         return None
 
     def make_cancel_request(self, attempt_id: str) -> HttpRequest | None:
@@ -127,7 +127,7 @@
 
 
 def _read_retry_after(found: HeaderMap) -> timedelta | None:
-    """Return how long to wait before a retry, or None if the leaf gave no valid time."""
+    """Return the time to wait before a retry, or None if the leaf gave none."""
     try:
         wait = timedelta(seconds=float(found[RETRY_AFTER]))
     except (KeyError, ValueError, OverflowError):
--- a/walkcart/platform/store.py
+++ b/walkcart/platform/store.py
@@ -43,7 +43,7 @@
 
 
 class _Item(msgspec.Struct, rename="camel"):
-    # Key of the item. It has nothing to do with TLS; the platform uses this wire name.
+    # Key of the item, which isn't about TLS: the platform reuses a wire name.
     tls_key: str
     revision: int
     # Standard base64 on the wire, decoded by msgspec.
@@ -166,8 +166,8 @@
         if reply.status == _NOT_FOUND:
             return LeaseNotFound()
         if reply.status == _CONDITION_FAILED:
-            items = self._decode(reply, _Items).items
-            return Rejected(tuple(_read_item(item) for item in items))
+            rows = self._decode(reply, _Items).items
+            return Rejected(tuple(_read_item(item) for item in rows))
         return Committed(self._decode_success(reply, _Revision).revision)
 
     async def grant_lease(self, time_to_live: timedelta) -> Lease:
--- a/walkcart/standins/balancer.py
+++ b/walkcart/standins/balancer.py
@@ -14,7 +14,7 @@
 
 #: Timeout of one readiness check, in seconds.
 CHECK_TIMEOUT = 1.0
-#: Maximum size of the reply to a check, in bytes.
+#: Maximum size of the body of the reply to a check, in bytes.
 BODY_LIMIT = 65536
 
 
@@ -34,14 +34,14 @@
         self.instances = instances
         self._interval = interval
         self._ready: list[HostPort] = []
-        self._turn = 0
+        self._choices = 0
 
     def choose(self) -> HostPort | None:
-        """Return the address of the next ready instance, or None without one."""
+        """Return the address of the next ready instance, or None if none is ready."""
         if not self._ready:
             return None
-        self._turn += 1
-        return self._ready[self._turn % len(self._ready)]
+        self._choices += 1
+        return self._ready[self._choices % len(self._ready)]
 
     async def watch(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -54,13 +54,14 @@
             await self._check_all()
 
     async def _check_all(self) -> None:
-        found: dict[HostPort, bool] = {}
+        ready: dict[HostPort, bool] = {}
         async with trio.open_nursery() as nursery:
             for address in list(self.instances):
-                nursery.start_soon(self._check, address, found)
-        self._ready = [address for address in self.instances if found.get(address)]
+                nursery.start_soon(self._check, address, ready)
+        self._ready = [address for address in self.instances if ready.get(address)]
 
-    async def _check(self, address: HostPort, found: dict[HostPort, bool]) -> None:
+    async def _check(self, address: HostPort, ready: dict[HostPort, bool]) -> None:
+        """Store in `ready` whether an instance is ready, if it replies at all."""
         with trio.move_on_after(CHECK_TIMEOUT):
             try:
                 stream = await self._network.connect(address)
@@ -71,10 +72,10 @@
                     await connection.close()
             except (OSError, ExchangeFailed):
                 return
-            found[address] = reply.status == 200
+            ready[address] = reply.status == 200
 
     async def forward(self, client: trio.abc.Stream) -> None:
-        """Forward one connection to a ready instance, or close it without one."""
+        """Forward one connection to a ready instance, or close it if none is ready."""
         address = self.choose()
         if address is None:
             await trio.aclose_forcefully(client)
--- a/walkcart/standins/faulty.py
+++ b/walkcart/standins/faulty.py
@@ -24,7 +24,7 @@
         self._corrupt = corrupt
 
     async def send_all(self, data: bytes) -> None:
-        """Send `data` after its corruption."""
+        """Send the corrupted form of `data`."""
         sent, close = self._corrupt(bytes(data))
         if sent:
             await self._stream.send_all(sent)
--- a/walkcart/standins/leaf.py
+++ b/walkcart/standins/leaf.py
@@ -1,7 +1,7 @@
 """Stand-in of a leaf, with slots, a queue, index versions and injected faults.
 
-Each row of a reply holds its shard, layout, version and scope, so that a check can tell
-from the rows alone where they come from. The leaf records every request that it ran.
+Each row of a reply states the leaf, shard, layout, version and scope that it comes
+from, so that a check needs the rows only. The leaf records every request that it ran.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
     Args:
         attempt: id of the attempt.
         once_key: once-key of a non-repeatable request; empty for others.
-        at: when the request began, in seconds of trio's clock.
+        at: when the request began to run, in seconds of trio's clock.
         scope: scope of the request.
         body: body of the request.
     """
@@ -107,8 +107,8 @@
     ) -> None:
         self.spec = spec
         self.faults = LeafFaults()
-        #: Called with the body of each request as it begins. Returns whether the
-        #: request ends the leaf, and ends the leaf if so.
+        #: Called with the body of each request when it begins to run. If the request
+        #: crashes the leaf, the function stops the leaf and returns True.
         self.crashes_on: Callable[[bytes], bool] | None = None
         self.versions = versions
         self.incarnation = incarnation
@@ -198,8 +198,10 @@
 
     def _refuse(self, status: int, headers: dict[bytes, bytes]) -> HttpReply:
         self.refused += 1
-        ran = (protocol.RAN, b"no")
-        return HttpReply(status, (*self._echo(headers), *self._status_headers(), ran))
+        not_run = (protocol.RAN, b"no")
+        return HttpReply(
+            status, (*self._echo(headers), *self._status_headers(), not_run)
+        )
 
     async def _run(
         self, headers: dict[bytes, bytes], body: bytes, deadline: float
@@ -219,13 +221,14 @@
                 await trio.sleep_forever()
             await trio.sleep(self._service_time())
             if self.faults.hang:
-                # Longer than every deadline; then the slot is free again.
+                # Longer than every deadline. The slot is free again afterwards.
                 await trio.sleep(HANG_TIME)
         return 200
 
     def _service_time(self) -> float:
-        normal = self._random.gauss(0.0, self.spec.spread)
-        time = self.spec.median * math.exp(normal) * self.faults.slow
+        """Return a random, log-normal service time in seconds."""
+        log_factor = self._random.gauss(0.0, self.spec.spread)
+        time = self.spec.median * math.exp(log_factor) * self.faults.slow
         if self._random.random() < self.faults.stall_share:
             time += self.faults.stall_time
         return time
@@ -250,6 +253,7 @@
         return HttpReply(200, (*echo, *self._status_headers(), snapshot, partial), body)
 
     def _version_for(self, headers: dict[bytes, bytes]) -> int:
+        """Return the index version from which a query is answered."""
         pin = parse_snapshot(headers.get(protocol.PIN, b"0:0").decode())
         if pin.version and not self.faults.no_pin:
             return pin.version
@@ -268,16 +272,17 @@
 
     def _status_headers(self) -> tuple[tuple[bytes, bytes], ...]:
         load = self._load if self.faults.lie_load is None else self.faults.lie_load
-        told = self.faults.leaving and not self.faults.mute_leaving
+        states_leaving = self.faults.leaving and not self.faults.mute_leaving
         held = ",".join(str(version) for version in self.versions)
         return (
             (protocol.HELD, held.encode()),
             (protocol.LOAD, b"%d" % load),
             (protocol.INCARNATION, b"%d" % self.incarnation),
-            (protocol.STATE, b"leaving" if told else b"live"),
+            (protocol.STATE, b"leaving" if states_leaving else b"live"),
         )
 
     def _draw(self, share: float) -> bool:
+        """Return at random whether a fault with this probability occurs."""
         return share > 0 and self._random.random() < share
 
     def corrupt(self, data: bytes) -> tuple[bytes, bool]:
--- a/walkcart/standins/leaf_faults.py
+++ b/walkcart/standins/leaf_faults.py
@@ -13,7 +13,7 @@
         slow: factor of the service time.
         stall_share: share of requests that stall.
         stall_time: seconds that a stall adds.
-        hang: whether requests are accepted, but answered long after their deadlines.
+        hang: whether requests are accepted but answered long after their deadlines.
         shed: whether every request is refused because of load.
         leaving: whether the leaf states that it is leaving, and refuses new requests.
         mute_leaving: whether a leaving leaf refuses requests without stating why.
@@ -21,13 +21,13 @@
         late_version: whether the leaf answers from the version before its newest.
         partial: whether the leaf states that it sees only a part of its shard.
         lie_load: the load that the leaf states; None for the true one.
-        drop_reply: share of requests that run, but get no reply.
+        drop_reply: share of requests that run but get no reply.
         garbage: share of replies that aren't HTTP.
         cut_body: share of replies that end in the middle.
         repeat_reply: share of replies that are sent twice.
         wrong_attempt: share of replies that echo another attempt.
         wrong_scope: share of replies that echo another scope.
-        endless: share of replies that end before the stated length of their body.
+        endless: share of replies that state a longer body than they send.
         bad_rows: share of replies whose body isn't JSON.
     """
 
--- a/walkcart/standins/listing.py
+++ b/walkcart/standins/listing.py
@@ -1,4 +1,4 @@
-"""Stand-in of the instance list: rows with a revision, whose changes show up late."""
+"""Stand-in of the instance list, in which changes can become visible late."""
 
 from __future__ import annotations
 
@@ -63,19 +63,20 @@
         return self._render(after)
 
     def _render(self, after: int) -> HttpReply:
+        """Return the changes after a revision; all rows if `after` is 0 or unknown."""
         now = trio.current_time()
-        shown = 0
+        visible = 0
         for due, _ in self._changes:
             if due > now:
                 break
-            shown += 1
-        if shown == after:
+            visible += 1
+        if visible == after:
             return HttpReply(304)
-        full = after == 0 or after > shown
+        full = after == 0 or after > visible
         rows: dict[str, ListedInstance] = {}
-        for _, row in self._changes[0 if full else after : shown]:
+        for _, row in self._changes[0 if full else after : visible]:
             rows[row.name] = row
         if full:
             rows = {key: row for key, row in rows.items() if row.state != STATE_GONE}
-        content = {"revision": shown, "full": full, "instances": list(rows.values())}
+        content = {"revision": visible, "full": full, "instances": list(rows.values())}
         return reply_json(content)
--- a/walkcart/standins/machinelinks.py
+++ b/walkcart/standins/machinelinks.py
@@ -1,4 +1,4 @@
-"""The network link of one machine, which carries bytes one after the other at a rate.
+"""Simulates the network link of one machine, which has a limited bandwidth.
 
 See Also:
     `walkcart.standins.memory.MemoryNetwork`, whose sites may stand for a machine.
@@ -8,11 +8,11 @@
 
 import trio
 
-#: Maximum number of bytes that one sender puts on the link at once, so that senders
-#: share it.
+#: Maximum number of bytes that one sender puts on the link at once, so that several
+#: senders share the link.
 CHUNK_SIZE = 16_384
-#: Number of bytes that wait in the machine before senders are blocked, as in the
-#: buffers of the operating system's kernel.
+#: Number of bytes that may wait in the machine before senders block, as in the send
+#: buffers of an operating system.
 BUFFER_SIZE = 65_536
 
 
@@ -20,8 +20,8 @@
     """One direction of a machine's link.
 
     Args:
-        rate: its rate, in bytes a second.
-        lag: additional delay by the machine, in seconds, as with a busy processor.
+        rate: bandwidth, in bytes per second.
+        lag: additional delay, in seconds, as on a machine with a busy processor.
     """
 
     def __init__(self, rate: float, lag: float = 0.0) -> None:
@@ -31,23 +31,30 @@
         self._free_at = float("-inf")
 
     def schedule(self, size: int, at: float) -> float:
-        """Queue bytes that arrive at a time; return when the last one is through."""
+        """Queue bytes that reach the link at a time.
+
+        Returns:
+            When the last byte leaves the link, in seconds of trio's clock.
+        """
         self._free_at = max(at, self._free_at) + size / self.rate
         self.total_bytes += size
         return self._free_at + self.lag
 
     async def transmit(self, size: int) -> float:
-        """Wait until the link has accepted `size` bytes; return when all are through.
+        """Wait until the link has accepted `size` bytes.
 
         A sender that is cancelled meanwhile has already put some of them on the link.
+
+        Returns:
+            When the last byte leaves the link, in seconds of trio's clock.
         """
-        left = size
+        remaining = size
         sent_at = trio.current_time()
-        while left > 0:
+        while remaining > 0:
             await trio.sleep_until(self._free_at - BUFFER_SIZE / self.rate)
-            chunk = min(left, CHUNK_SIZE)
+            chunk = min(remaining, CHUNK_SIZE)
             sent_at = self.schedule(chunk, trio.current_time())
-            left -= chunk
+            remaining -= chunk
         return sent_at
 
 
@@ -55,8 +62,8 @@
     """Both directions of a machine's link.
 
     Args:
-        rate: rate of each direction, in bytes a second.
-        lag: additional delay of incoming bytes by the machine, in seconds.
+        rate: bandwidth of each direction, in bytes per second.
+        lag: additional delay of incoming bytes, in seconds.
     """
 
     def __init__(self, rate: float, lag: float = 0.0) -> None:
--- a/walkcart/standins/main.py
+++ b/walkcart/standins/main.py
@@ -76,14 +76,14 @@
     return parser
 
 
-def list_leaves(words: str) -> list[tuple[LeafSpec, HostPort]]:
+def list_leaves(text: str) -> list[tuple[LeafSpec, HostPort]]:
     """Return the leaves that ``GROUP:SHARDS:REPLICAS:IP:PORT`` describes.
 
     Raises:
         BadValue: the text isn't of that form.
     """
-    parts = words.split(":")
-    expected = f"expected GROUP:SHARDS:REPLICAS:IP:PORT, got {words!r}"
+    parts = text.split(":")
+    expected = f"expected GROUP:SHARDS:REPLICAS:IP:PORT, got {text!r}"
     if len(parts) != 5 or not all(part.isdigit() for part in (*parts[1:3], parts[4])):
         raise BadValue(expected)
     group, shards, replicas = parts[0], int(parts[1]), int(parts[2])
@@ -98,7 +98,7 @@
 
 
 def choose_leaves(options: argparse.Namespace) -> list[tuple[LeafSpec, HostPort]]:
-    """Return the leaves that this process has to serve.
+    """Return the leaves that this process serves.
 
     Raises:
         BadValue: ``--only`` or ``--without`` names an unknown leaf.
@@ -122,8 +122,8 @@
 
 async def _run_list(options: argparse.Namespace) -> None:
     listing = ListStandin()
-    for words in options.leaves:
-        for spec, address in list_leaves(words):
+    for text in options.leaves:
+        for spec, address in list_leaves(text):
             row = ListedInstance(
                 spec.name,
                 ROLE_LEAF,
@@ -132,10 +132,10 @@
                 labels=spec.all_labels(),
             )
             listing.put(row)
-    for words in options.instance:
-        parts = words.split(",")
+    for text in options.instance:
+        parts = text.split(",")
         if len(parts) != 3:
-            raise BadValue(f"expected NAME,ADDRESS,PEER_ADDRESS, got {words!r}")
+            raise BadValue(f"expected NAME,ADDRESS,PEER_ADDRESS, got {text!r}")
         listing.put(ListedInstance(parts[0], ROLE_INSTANCE, parts[1], parts[2]))
     listing.lag = options.lag
     await listing.make_server().run(TcpNetwork(), parse_host_port(options.listen))
--- a/walkcart/standins/memory.py
+++ b/walkcart/standins/memory.py
@@ -30,7 +30,7 @@
         network: the network.
         address: the address to listen at.
         site: site of the listener.
-        link: link of the listener's machine; None for one without a rate limit.
+        link: link of the listener's machine; None for unlimited bandwidth.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         self._next_port = 20_000
         #: Called for each envelope; returns whether the envelope is lost.
         self.lose: Callable[[], bool] = lambda: False
-        #: Envelopes of senders that were dialled up to this time are silently lost.
+        #: Envelopes on connections that were dialled up to this time are silently lost.
         self.silent_until = float("-inf")
         #: Bytes on streams that were opened up to this time are silently lost.
         self.streams_silent_until = float("-inf")
@@ -131,11 +131,11 @@
         Raises:
             OSError: the address is in use.
         """
-        taken = self.assign_port(address)
-        if taken in self._listeners:
-            raise OSError(f"{taken} is in use")
-        listener = MemoryListener(self, taken, site, link)
-        self._listeners[taken] = listener
+        assigned = self.assign_port(address)
+        if assigned in self._listeners:
+            raise OSError(f"{assigned} is in use")
+        listener = MemoryListener(self, assigned, site, link)
+        self._listeners[assigned] = listener
         return listener
 
     def drop_listener(self, listener: MemoryListener) -> None:
@@ -155,7 +155,7 @@
         Args:
             address: address of the listener.
             site: site of the caller.
-            link: link of the caller's machine, if it has one.
+            link: link of the caller's machine; None for unlimited bandwidth.
             probe_interval: interval of the caller's probes, which detect a connection
                 that went silent; None for no probes.
 
@@ -187,11 +187,11 @@
         Raises:
             OSError: the address is in use.
         """
-        taken = self.assign_port(address)
-        if taken in self._peers:
-            raise OSError(f"{taken} is in use")
-        self._peers[taken] = MemoryPeerListener(self, taken, site, link)
-        return self._peers[taken]
+        assigned = self.assign_port(address)
+        if assigned in self._peers:
+            raise OSError(f"{assigned} is in use")
+        self._peers[assigned] = MemoryPeerListener(self, assigned, site, link)
+        return self._peers[assigned]
 
     def drop_peer_listener(self, listener: MemoryPeerListener) -> None:
         """Lose all envelopes to the listener's address from now on."""
@@ -223,7 +223,8 @@
             site: site of the sender.
             address: address of the receiver.
             data: the bytes of the envelope.
-            left_at: when its last byte leaves the machine, if that is later than now.
+            left_at: when its last byte leaves the sender's machine, if that is later
+                than now.
         """
         listener = self._peers.get(address)
         if listener is None or self.is_cut(site, listener.site) or self.lose():
@@ -239,7 +240,7 @@
     Args:
         network: the network.
         site: name of the site.
-        link: link of the machine at the site; None for one without a rate limit.
+        link: link of the machine at the site; None for unlimited bandwidth.
     """
 
     network: MemoryNetwork
--- a/walkcart/standins/memorypeers.py
+++ b/walkcart/standins/memorypeers.py
@@ -20,8 +20,8 @@
     from walkcart.standins.memory import MemoryNetwork
 
 
-#: Number of one-way trips until a connection is up: TCP's handshake, and the greeting
-#: of both ends.
+#: Number of one-way trips until a connection is up: those of TCP's handshake and of the
+#: greetings that both ends send.
 CONNECT_TRIPS = 3
 #: Seconds between two attempts to connect to an address where nobody listens.
 RECONNECT_INTERVAL = 0.05
@@ -60,7 +60,7 @@
         address: address of the receiver.
         site: site of the sender.
         dialled_at: when the connection was requested.
-        link: link of the sender's machine; None for one without a rate limit.
+        link: link of the sender's machine; None for unlimited bandwidth.
     """
 
     network: MemoryNetwork
@@ -111,7 +111,7 @@
     Args:
         network: the network that carries the envelopes.
         site: name of the site.
-        link: link of the machine at the site; None for one without a rate limit.
+        link: link of the machine at the site; None for unlimited bandwidth.
     """
 
     network: MemoryNetwork
--- a/walkcart/standins/pipes.py
+++ b/walkcart/standins/pipes.py
@@ -24,8 +24,8 @@
         network: the network between writer and reader.
         source: site of the writer.
         target: site of the reader.
-        writer_link: link of the writer's machine, if it has one.
-        reader_link: link of the reader's machine, if it has one.
+        writer_link: link of the writer's machine; None for unlimited bandwidth.
+        reader_link: link of the reader's machine; None for unlimited bandwidth.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._opened_at = trio.current_time()
         self._silent = False
         self._dead_at = float("inf")
-        #: Seconds after which the reader's probes show that the pipe went silent.
+        #: Seconds after which the reader's keep-alive probes detect a silent pipe.
         self.probe_timeout = float("inf")
         #: Time of the last write.
         self.last_sent_at = self._opened_at
@@ -65,13 +65,13 @@
         self.add_arrival(left_at + self._latency(), data)
 
     def add_arrival(self, arrival: float, data: bytes) -> None:
-        """Let bytes arrive at a time; bytes of several writers are ordered by it."""
+        """Queue bytes by the time at which they reach the reader's machine."""
         if self._reader_link is not None:
             arrival = self._reader_link.incoming.schedule(len(data), arrival)
-        place = len(self._chunks)
-        while place and self._chunks[place - 1][0] > arrival:
-            place -= 1
-        self._chunks.insert(place, (arrival, data))
+        index = len(self._chunks)
+        while index and self._chunks[index - 1][0] > arrival:
+            index -= 1
+        self._chunks.insert(index, (arrival, data))
         self._wakeup.set()
 
     def _is_silent(self) -> bool:
@@ -84,7 +84,7 @@
         self._wakeup.set()
 
     def close(self) -> None:
-        """Close the writer's end; bytes that are already sent arrive before the end."""
+        """Close the writer's end; bytes that were sent before still arrive."""
         if self._end_at is None:
             self._end_at = trio.current_time() + self._latency()
             if self._chunks:
@@ -171,7 +171,7 @@
         return max(self._incoming.last_sent_at, self._outgoing.last_sent_at)
 
     def go_silent(self) -> None:
-        """Lose everything that is sent from now on, silently and in both directions."""
+        """Lose everything sent from now on in both directions, without an error."""
         self._incoming.go_silent()
         self._outgoing.go_silent()
 
--- a/walkcart/standins/serving.py
+++ b/walkcart/standins/serving.py
@@ -12,6 +12,7 @@
 from walkcart.wire.network import Network
 from walkcart.wire.server import Fault, Handler, HttpServer, ServerLimits
 
+#: Limits of the stand-ins' servers; the body of a request may have 8 MiB.
 LIMITS = ServerLimits(body=8 << 20)
 
 
@@ -22,7 +23,7 @@
 
 
 def reply_fault(fault: Fault) -> HttpReply:
-    """Return the reply to bytes that aren't a valid request."""
+    """Return the reply to a client whose bytes aren't a valid request."""
     return HttpReply(fault.value)
 
 
@@ -72,7 +73,7 @@
             self._streams.discard(stream)
 
     def drop_connections_silently(self) -> None:
-        """Drop all connections silently: the next send of each other end fails."""
+        """Drop all connections silently; clients notice when they send again."""
         for stream in tuple(self._streams):
             stream.drop_silently()
 
--- a/walkcart/standins/store.py
+++ b/walkcart/standins/store.py
@@ -12,7 +12,9 @@
 from walkcart.standins.serving import StandinServer
 from walkcart.wire.http import HttpReply, HttpRequest
 
+#: Maximum size of a value, in bytes.
 VALUE_LIMIT = 1 << 20
+#: Start of the paths of all keys.
 PREFIX = "/kv/"
 
 
@@ -25,9 +27,9 @@
         delay: seconds added to each call.
         lose_reply: share of writes whose reply is lost after they took effect.
         late_write: share of writes that fail now and take effect later.
-        late_by: seconds until such a late write takes effect.
+        late_by: seconds until a late write takes effect.
         stale_read: share of reads that return the value before the current one.
-        garbage: share of replies that are garbage.
+        garbage: share of replies whose revision and value are meaningless.
         mute_watches: whether watches never see a change.
         repeat_watches: whether a watch may return an entry that it returned before.
     """
