--- a/walkcart/cli/clients.py
+++ b/walkcart/cli/clients.py
@@ -92,11 +92,11 @@
     Raises:
         CommandFailed: the instance gave no reply.
     """
-    common_headers = (
+    own = (
         (b"authorization", f"Bearer {token}".encode()),
         (b"content-type", b"application/json"),
     )
-    request = HttpRequest(method, target, (*common_headers, *headers), body)
+    request = HttpRequest(method, target, (*own, *headers), body)
     try:
         with trio.fail_after(CALL_TIMEOUT):
             stream = await TcpNetwork().connect(settings.instance)
--- a/walkcart/cli/edits.py
+++ b/walkcart/cli/edits.py
@@ -42,8 +42,8 @@
     """Return an edit that changes the labels of one object."""
 
     def edit(base: Configuration) -> Configuration:
-        field = KINDS[kind][1]
-        items = getattr(base, field)
+        place = KINDS[kind][1]
+        items = getattr(base, place)
         if all(item.name != name for item in items):
             raise CommandFailed(Exit.FAILED, f"no {kind} is named {name!r}")
         changed = tuple(
@@ -52,7 +52,7 @@
             else item
             for item in items
         )
-        return replace(base, **{field: changed})
+        return replace(base, **{place: changed})
 
     return edit
 
@@ -62,14 +62,14 @@
     name = make_object_name("labels", selector)
 
     def edit(base: Configuration) -> Configuration:
-        objects = {item.name: item for item in base.label_rules}
-        before = objects[name].labels if name in objects else {}
+        held = {item.name: item for item in base.label_rules}
+        before = held[name].labels if name in held else {}
         labels = _change_labels(before, added, removed)
         if labels:
-            objects[name] = LabelRule(name, selector, labels)
+            held[name] = LabelRule(name, selector, labels)
         else:
-            objects.pop(name, None)
-        return replace(base, label_rules=_sort_by_name(objects))
+            held.pop(name, None)
+        return replace(base, label_rules=_sort_by_name(held))
 
     return edit
 
@@ -81,9 +81,9 @@
     )
 
     def edit(base: Configuration) -> Configuration:
-        objects = {item.name: item for item in base.routing_intents}
-        objects[intent.name] = intent
-        return replace(base, routing_intents=_sort_by_name(objects))
+        held = {item.name: item for item in base.routing_intents}
+        held[intent.name] = intent
+        return replace(base, routing_intents=_sort_by_name(held))
 
     return edit
 
@@ -93,11 +93,11 @@
     name = make_object_name("drain", selector)
 
     def edit(base: Configuration) -> Configuration:
-        objects = {item.name: item for item in base.routing_intents}
-        if name not in objects:
+        held = {item.name: item for item in base.routing_intents}
+        if name not in held:
             raise CommandFailed(Exit.FAILED, f"nothing is drained by {selector!r}")
-        del objects[name]
-        return replace(base, routing_intents=_sort_by_name(objects))
+        del held[name]
+        return replace(base, routing_intents=_sort_by_name(held))
 
     return edit
 
@@ -115,5 +115,5 @@
     return {key: value for key, value in merged.items() if key not in removed}
 
 
-def _sort_by_name(objects: dict) -> tuple:
-    return tuple(objects[name] for name in sorted(objects))
+def _sort_by_name(held: dict) -> tuple:
+    return tuple(held[name] for name in sorted(held))
--- a/walkcart/cli/lossaccount.py
+++ b/walkcart/cli/lossaccount.py
@@ -79,12 +79,12 @@
                 self.dropped += line["count"]
                 return
             time = datetime.fromisoformat(line["time"]).timestamp()
-            history = self._find_history(line["instance"])
+            memory = self._find_history(line["instance"])
         except (msgspec.MsgspecError, ValueError, KeyError, TypeError, AttributeError):
             self.unusable += 1
             return
         self.dropped += line.get("dropped_lines", 0)
-        end = history.process_line(line, time)
+        end = memory.process_line(line, time)
         if end is not None:
             self._count(end)
 
@@ -99,16 +99,16 @@
             return
         if self._start is None:
             self._start = math.floor(end.time)
-        step_index = math.floor((end.time - self._start) / self.step)
-        self._counts[(step_index, end.route, end.outcome, end.cause)] += 1
+        place = math.floor((end.time - self._start) / self.step)
+        self._counts[(place, end.route, end.outcome, end.cause)] += 1
         if len(self._counts) > MAX_COUNTS:
             self._double_step()
 
     def _double_step(self) -> None:
         self.step *= 2
         merged: Counter[tuple[int, str, Outcome, Cause]] = Counter()
-        for (step_index, *rest), count in self._counts.items():
-            merged[(step_index // 2, *rest)] += count
+        for (place, *rest), count in self._counts.items():
+            merged[(place // 2, *rest)] += count
         self._counts = merged
 
     @property
@@ -133,11 +133,11 @@
             by_second: whether each time step has rows of its own.
         """
         counts: Counter[tuple[int, str, Outcome, Cause]] = Counter()
-        for (step_index, *rest), count in self._counts.items():
-            counts[(step_index if by_second else 0, *rest)] += count
+        for (place, *rest), count in self._counts.items():
+            counts[(place if by_second else 0, *rest)] += count
         rows = [
-            LossRow(step_index * self.step, route, outcome, cause, count)
-            for (step_index, route, outcome, cause), count in counts.items()
+            LossRow(place * self.step, route, outcome, cause, count)
+            for (place, route, outcome, cause), count in counts.items()
         ]
         return sorted(rows, key=_rank)
 
--- a/walkcart/cli/waiting.py
+++ b/walkcart/cli/waiting.py
@@ -65,15 +65,13 @@
 ) -> list[str]:
     """Return the names of the instances that don't have `revision` yet."""
     behind: list[str] = []
-    limiter = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
+    limit = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
 
     async def check(member: dict) -> None:
-        async with limiter:
-            member_settings = replace(
-                settings, instance=parse_host_port(member["address"])
-            )
+        async with limit:
+            asked = replace(settings, instance=parse_host_port(member["address"]))
             try:
-                reply = await fetch_json(member_settings, "/v1/revision")
+                reply = await fetch_json(asked, "/v1/revision")
             except CommandFailed:
                 reply = {"revision": -1}
             if reply["revision"] < revision:
--- a/walkcart/daemon/instanceleaves.py
+++ b/walkcart/daemon/instanceleaves.py
@@ -100,7 +100,7 @@
         kernel.find("events", EventLog),
         kernel.find("metrics", Metrics),
     )
-    gossip = QuarantineGossip(
+    spread = QuarantineGossip(
         quarantine,
         kernel.find("links", PeerLinks),
         environment.clock,
@@ -108,6 +108,6 @@
         lambda: False,
         quarantines.log_news,
     )
-    quarantines.set_listeners(gossip.broadcast, lambda fingerprint: None)
-    kernel.add("quarantine_spread", gossip)
+    quarantines.set_listeners(spread.broadcast, lambda fingerprint: None)
+    kernel.add("quarantine_spread", spread)
     return quarantines
--- a/walkcart/daemon/main.py
+++ b/walkcart/daemon/main.py
@@ -92,7 +92,7 @@
     Returns:
         The exit code: 0 if all work in progress was done, else 1.
     """
-    work_done = True
+    ended = True
     signals = (signal.SIGTERM, signal.SIGINT)
     with trio.open_signal_receiver(*signals) as received:
         async with trio.open_nursery() as nursery:
@@ -100,10 +100,10 @@
             await received.__anext__()
             async with trio.open_nursery() as stopping:
                 stopping.start_soon(_cancel_on_signal, received, stopping.cancel_scope)
-                work_done = await instance.stop.stop()
+                ended = await instance.stop.stop()
                 stopping.cancel_scope.cancel()
             nursery.cancel_scope.cancel()
-    return EXIT_OK if work_done else EXIT_FAILED
+    return EXIT_OK if ended else EXIT_FAILED
 
 
 async def _cancel_on_signal(received, scope: trio.CancelScope) -> None:
--- a/walkcart/daemon/platform.py
+++ b/walkcart/daemon/platform.py
@@ -85,9 +85,9 @@
             await nursery.start(tenant.kernel.run)
             nursery.start_soon(_watch_file, tenant, path)
             await _wait_for_stop(received, tenant, path)
-            work_done = await tenant.stop.stop()
+            ended = await tenant.stop.stop()
             nursery.cancel_scope.cancel()
-    return EXIT_OK if work_done else EXIT_FAILED
+    return EXIT_OK if ended else EXIT_FAILED
 
 
 async def _wait_for_stop(received, tenant: Tenant, path: Path) -> None:
@@ -99,12 +99,12 @@
 
 async def _watch_file(tenant: Tenant, path: Path) -> None:
     """Reload the settings whenever the file has changed."""
-    last = _read_file_state(path)
+    seen = _read_file_state(path)
     while True:
         await trio.sleep(FILE_CHECK_INTERVAL)
         state = _read_file_state(path)
-        if state != last:
-            last = state
+        if state != seen:
+            seen = state
             reload_settings(tenant, path)
 
 
--- a/walkcart/daemon/tenantlimits.py
+++ b/walkcart/daemon/tenantlimits.py
@@ -100,10 +100,10 @@
         metrics,
     )
     registration.add_prefix_reader(QUOTA_PREFIX, shares.handle_item)
-    server = QuotaServer(
+    answers = QuotaServer(
         links, shares, holders, bounds, in_force.find, environment.clock
     )
-    client = QuotaClient(
+    asks = QuotaClient(
         links,
         registration,
         shares,
@@ -114,7 +114,7 @@
         metrics,
     )
     limits = DistributedRateLimiter(
-        client,
+        asks,
         bounds,
         in_force.find,
         environment.clock,
@@ -129,7 +129,7 @@
 
     keeper.on_change(update_limits)
     kernel.add("quota_shares", shares)
-    kernel.add("quota_answers", server)
+    kernel.add("quota_answers", answers)
     kernel.add("limits", limits)
 
 
--- a/walkcart/daemon/tenantserving.py
+++ b/walkcart/daemon/tenantserving.py
@@ -90,11 +90,12 @@
     metrics = kernel.find("metrics", Metrics)
     registration = kernel.find("registration", Registration)
     links = PeerLinks(peers, environment.transport, registration, events, metrics)
-    process_id = environment.random.getrandbits(32)
-    ids = IdSource(settings.instance, process_id)
+    # Identifies this process among those of the same instance.
+    life = environment.random.getrandbits(32)
+    ids = IdSource(settings.instance, life)
     # Questions to other instances cross regions, so their ids are kept short: without
     # the instance's name, the random number identifies them just as well.
-    question_ids = IdSource("", process_id)
+    question_ids = IdSource("", life)
     keeper = kernel.find("keeper", RouteKeeper)
     directory = kernel.find("directory", LeafDirectory)
     gatherers = GatheringInstances(
@@ -152,7 +153,7 @@
         times = gathering.pool.times_of(kind, Distance.SAME_DATA_CENTRE)
         return times.high(environment.clock.monotonic())
 
-    server = DelegationServer(
+    carrier = DelegationServer(
         links,
         environment.clock,
         gather,
@@ -164,7 +165,7 @@
     kernel.add("links", links)
     add_relay(kernel, environment, links)
     kernel.add("delegates", delegates)
-    kernel.add("carrier", server)
+    kernel.add("carrier", carrier)
     kernel.add("gathering", gathering)
 
 
@@ -206,7 +207,7 @@
         kernel.find("metrics", Metrics),
     )
     peers = QuarantinePeers(registration, gatherers)
-    gossip = QuarantineGossip(
+    spread = QuarantineGossip(
         quarantine,
         links,
         environment.clock,
@@ -223,9 +224,9 @@
         quarantines.log_news,
     )
     registration.add_prefix_reader(QUARANTINE_PREFIX, keys.merge_item)
-    quarantines.set_listeners(gossip.broadcast, keys.enqueue)
+    quarantines.set_listeners(spread.broadcast, keys.enqueue)
     kernel.add("quarantines", quarantines)
-    kernel.add("quarantine_spread", gossip)
+    kernel.add("quarantine_spread", spread)
     kernel.add("quarantine_keys", keys)
     return quarantines
 
@@ -244,7 +245,7 @@
     startup_gate = StartupGate(lambda: keeper.known and directory.known)
     keeper.on_change(lambda table: startup_gate.recheck())
     directory.on_change(startup_gate.recheck)
-    overload_gate = OverloadGate(
+    room = OverloadGate(
         environment.clock,
         environment.random,
         events,
@@ -252,7 +253,7 @@
         lambda team: keeper.table.teams.find_share_weight(team),
         lambda: keeper.table.document.teams is not None,
     )
-    kernel.add("room", overload_gate)
+    kernel.add("room", room)
     protocol = PlatformCallerProtocol()
     handler = RoutedHandler(
         RoutedEntryTools(
@@ -266,7 +267,7 @@
             startup_gate,
             kernel.find("origins", RequestOrigins),
             kernel.find("configuration", PrefixFollower).find_age,
-            overload_gate,
+            room,
             kernel.find("limits", DistributedRateLimiter),
         )
     )
@@ -289,7 +290,7 @@
     address = HostPort(settings.host, environment.metrics_port)
     listener = await environment.network.listen(address)
 
-    async def serve_metrics(request: HttpRequest) -> HttpReply:
+    async def answer(request: HttpRequest) -> HttpReply:
         # Loaded on the first request, as most instances never get one.
         from walkcart.kernel.exposition import CONTENT_TYPE, render_metrics
 
@@ -297,7 +298,7 @@
         return HttpReply(200, headers, render_metrics(metrics))
 
     server = HttpServer(
-        serve_metrics,
+        answer,
         ServerLimits(),
         PlatformCallerProtocol().render_fault,
         on_error=partial(
--- a/walkcart/standins/leaf.py
+++ b/walkcart/standins/leaf.py
@@ -198,10 +198,8 @@
 
     def _refuse(self, status: int, headers: dict[bytes, bytes]) -> HttpReply:
         self.refused += 1
-        not_run = (protocol.RAN, b"no")
-        return HttpReply(
-            status, (*self._echo(headers), *self._status_headers(), not_run)
-        )
+        ran = (protocol.RAN, b"no")
+        return HttpReply(status, (*self._echo(headers), *self._status_headers(), ran))
 
     async def _run(
         self, headers: dict[bytes, bytes], body: bytes, deadline: float
@@ -272,13 +270,13 @@
 
     def _status_headers(self) -> tuple[tuple[bytes, bytes], ...]:
         load = self._load if self.faults.lie_load is None else self.faults.lie_load
-        states_leaving = self.faults.leaving and not self.faults.mute_leaving
+        told = self.faults.leaving and not self.faults.mute_leaving
         held = ",".join(str(version) for version in self.versions)
         return (
             (protocol.HELD, held.encode()),
             (protocol.LOAD, b"%d" % load),
             (protocol.INCARNATION, b"%d" % self.incarnation),
-            (protocol.STATE, b"leaving" if states_leaving else b"live"),
+            (protocol.STATE, b"leaving" if told else b"live"),
         )
 
     def _draw(self, share: float) -> bool:
--- a/walkcart/standins/memory.py
+++ b/walkcart/standins/memory.py
@@ -131,11 +131,11 @@
         Raises:
             OSError: the address is in use.
         """
-        assigned = self.assign_port(address)
-        if assigned in self._listeners:
-            raise OSError(f"{assigned} is in use")
-        listener = MemoryListener(self, assigned, site, link)
-        self._listeners[assigned] = listener
+        taken = self.assign_port(address)
+        if taken in self._listeners:
+            raise OSError(f"{taken} is in use")
+        listener = MemoryListener(self, taken, site, link)
+        self._listeners[taken] = listener
         return listener
 
     def drop_listener(self, listener: MemoryListener) -> None:
@@ -187,11 +187,11 @@
         Raises:
             OSError: the address is in use.
         """
-        assigned = self.assign_port(address)
-        if assigned in self._peers:
-            raise OSError(f"{assigned} is in use")
-        self._peers[assigned] = MemoryPeerListener(self, assigned, site, link)
-        return self._peers[assigned]
+        taken = self.assign_port(address)
+        if taken in self._peers:
+            raise OSError(f"{taken} is in use")
+        self._peers[taken] = MemoryPeerListener(self, taken, site, link)
+        return self._peers[taken]
 
     def drop_peer_listener(self, listener: MemoryPeerListener) -> None:
         """Lose all envelopes to the listener's address from now on."""
--- a/walkcart/standins/pipes.py
+++ b/walkcart/standins/pipes.py
@@ -68,10 +68,10 @@
         """Queue bytes by the time at which they reach the reader's machine."""
         if self._reader_link is not None:
             arrival = self._reader_link.incoming.schedule(len(data), arrival)
-        index = len(self._chunks)
-        while index and self._chunks[index - 1][0] > arrival:
-            index -= 1
-        self._chunks.insert(index, (arrival, data))
+        place = len(self._chunks)
+        while place and self._chunks[place - 1][0] > arrival:
+            place -= 1
+        self._chunks.insert(place, (arrival, data))
         self._wakeup.set()
 
     def _is_silent(self) -> bool:
