--- a/walkcart/cli/tests/running.py
+++ b/walkcart/cli/tests/running.py
@@ -4,10 +4,10 @@
 import sys
 
 
-def run_alone(*words):
+def run_alone(*arguments):
     """Run the tool with arguments; return the completed process with its output."""
     return subprocess.run(
-        [sys.executable, "-m", "walkcart.cli.main", *words],
+        [sys.executable, "-m", "walkcart.cli.main", *arguments],
         capture_output=True,
         text=True,
     )
--- a/walkcart/daemon/tests/test_deferred_modules.py
+++ b/walkcart/daemon/tests/test_deferred_modules.py
@@ -12,17 +12,17 @@
 from walkcart.platform.tests.test_documents import SETTINGS
 
 #: Seconds between two attempts to reach a program that is starting.
-PAUSE = 0.02
+RETRY_INTERVAL = 0.02
 #: Runs the program as ``python3 -m`` does and prints the loaded modules at its end.
 PROGRAM = """
 import atexit, runpy, sys
 
-def tell():
+def print_loaded():
     # An entry without a module is one whose import fails.
     loaded = [name for name, module in sys.modules.items() if module is not None]
     print("loaded", *loaded, sep="\\n")
 
-atexit.register(tell)
+atexit.register(print_loaded)
 runpy.run_module("walkcart.daemon.platform", run_name="__main__", alter_sys=True)
 """
 #: Modules that an instance must not load, and why it doesn't need them.
@@ -88,7 +88,7 @@
         try:
             connection = socket.create_connection(("127.0.0.1", port))
         except ConnectionRefusedError:
-            sleep(PAUSE)
+            sleep(RETRY_INTERVAL)
             continue
         with connection:
             connection.sendall(b"GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n")
--- a/walkcart/platform/tests/changedelays.py
+++ b/walkcart/platform/tests/changedelays.py
@@ -31,8 +31,8 @@
 STORE = "store"
 #: Delay before a stopped instance is started again, in seconds.
 RESTART_TIME = 0.5
-#: Lag of a slowed machine's incoming traffic, in seconds: its calls to the store just
-#: meet their timeout of a second.
+#: Lag of a slowed machine's incoming traffic, in seconds: with it, calls to the store
+#: just meet their timeout of a second.
 SLOW_LAG = 0.4
 #: Seconds after which an unused connection to the store can't be the one that renews
 #: the lease.
@@ -79,7 +79,7 @@
         keeper.on_change(record)
 
     async def start_many(self, count: int, data_centres: tuple[str, ...]) -> None:
-        """Configure, start instances in the data centres in turn, let them settle."""
+        """Configure, start instances in the data centres in turn, and let them settle."""
         self.change()
         for number in range(count):
             place = data_centres[number % len(data_centres)]
@@ -89,15 +89,15 @@
     def change(self) -> None:
         """Add a route; the store's reply is the acknowledgement."""
         shards = [f"shard-{number:03}" for number in range(SHARDS)]
-        later = [f"later-{number:03}" for number in range(LATER_SHARDS)]
+        later_shards = [f"later-{number:03}" for number in range(LATER_SHARDS)]
         more = [
             make_route(f"added-{number}", f"/added-{number}/", backend="plain")
             for number in range(self._added)
         ]
-        gather = {"topK": 50, "minCoverage": 0.95}
+        fields = {"topK": 50, "minCoverage": 0.95}
         version = self.world.configure(
-            make_route("all", "/all/", fanoutServices=shards, **gather),
-            make_route("later", "/later/", fanoutServices=later, **gather),
+            make_route("all", "/all/", fanoutServices=shards, **fields),
+            make_route("later", "/later/", fanoutServices=later_shards, **fields),
             *more,
         )
         self._added += 1
--- a/walkcart/platform/tests/crashingworld.py
+++ b/walkcart/platform/tests/crashingworld.py
@@ -11,12 +11,12 @@
 from walkcart.platform.tests.leafstandin import PlatformLeafStandin
 from walkcart.platform.tests.platformworld import PlatformWorld, make_route
 
-#: Time for which a leaf runs such a request before it crashes, in seconds.
+#: Time for which a leaf runs a crashing request before it crashes, in seconds.
 CRASH_TIME = 0.01
-#: Time until a crashed leaf is back, in seconds.
+#: Time from a leaf's crash until it runs again, in seconds.
 RESTART_DELAY = 3.0
-#: Time until the entry of a crashed leaf has expired, in seconds.
-LAPSE_TIME = 3.6
+#: Time from a leaf's crash until its stored entry expires, in seconds.
+EXPIRY_TIME = 3.6
 #: Time within which all instances know of a quarantine, in seconds: the platform's
 #: bound for its smallest sites.
 SPREAD_TIME = 4.0
@@ -41,7 +41,7 @@
         targets: targets of the requests that crash the leaf that runs them.
         ended: the crashes so far.
         arrivals: the requests that reached leaves so far.
-        restart_delay: time until a crashed leaf is back, in seconds.
+        restart_delay: time from a leaf's crash until it runs again, in seconds.
     """
 
     world: PlatformWorld
@@ -81,7 +81,7 @@
         self.world.nursery.start_soon(self._restart, id)
 
     async def _expire_entry(self, id: str) -> None:
-        await trio.sleep(LAPSE_TIME)
+        await trio.sleep(EXPIRY_TIME)
         self.world.store.remove(f"servers/{id}")
 
     async def _restart(self, id: str) -> None:
--- a/walkcart/platform/tests/garbledlinks.py
+++ b/walkcart/platform/tests/garbledlinks.py
@@ -1,4 +1,4 @@
-"""Envelopes between instances that are duplicated, late, garbled or forged.
+"""Runs instances while envelopes between them are repeated late, garbled or forged.
 
 python -m walkcart.platform.tests.garbledlinks --seed 1 --seeds 50
 """
@@ -21,7 +21,7 @@
 DATA_CENTRES = ("north-a", "south-a", "east-a")
 INSTANCES = ("one", "two", "three")
 SHARDS = 9
-#: Leaves of a shard that may run a request, by the route.
+#: Maximum number of leaves of a shard that may run a request, as the route states.
 MAX_ATTEMPTS = 2
 #: Duration of a run, in seconds.
 SECONDS = 6.0
--- a/walkcart/platform/tests/leafstandin.py
+++ b/walkcart/platform/tests/leafstandin.py
@@ -20,7 +20,7 @@
         refuse: refuse every request without running it.
         refuse_tenths: number of requests in ten to refuse, spread evenly.
         status: status of every reply, if not 0.
-        fail_first: status of every reply, sent without running the request, if not 0.
+        fail_before_run: status of every reply, if not 0; no request is run then.
         drop: run every request, then close the connection without a reply.
         drop_rate: fraction of the requests, chosen at random, to drop in this way.
         other_id: echo the id of another request.
@@ -31,7 +31,7 @@
     refuse: bool = False
     refuse_tenths: int = 0
     status: int = 0
-    fail_first: int = 0
+    fail_before_run: int = 0
     drop: bool = False
     drop_rate: float = 0.0
     other_id: bool = False
@@ -43,7 +43,7 @@
     """Serves requests and records which of them arrived, ran and finished.
 
     Args:
-        id: id of the leaf's process life.
+        id: id of the leaf process.
         work: time that a request takes, in seconds.
         records: body of every reply; 16 bytes per record.
         faults: faults to inject.
@@ -91,9 +91,9 @@
             return HttpReply(421, (echo, (b"x-instance-id", self.id.encode())))
         if self.faults.refuse or self._is_refused():
             return HttpReply(503, (echo, (b"x-not-executed", b"1")))
-        if self.faults.fail_first:
+        if self.faults.fail_before_run:
             stamp = (b"x-response-stamp", f"stamp-{self.id}-{id}".encode())
-            return HttpReply(self.faults.fail_first, (echo, stamp))
+            return HttpReply(self.faults.fail_before_run, (echo, stamp))
         self.ran.append(id)
         self.running += 1
         try:
--- a/walkcart/platform/tests/platformworld.py
+++ b/walkcart/platform/tests/platformworld.py
@@ -32,6 +32,7 @@
     "east-b": "east",
 }
 HOST = "shop.example"
+#: Maximum size of the body of a reply to a caller, in bytes.
 BODY_LIMIT = 1 << 20
 
 
@@ -120,7 +121,7 @@
 
         Args:
             id: id of the leaf.
-            born: start of the new process life, in Unix milliseconds.
+            born: start of the new process, in Unix milliseconds.
             details: further arguments of the new `PlatformLeafStandin`.
         """
         entry = self.entries[id]
@@ -255,7 +256,7 @@
     """
     cold = ("warmupS", "warmupPerS")
     details = {name: limits.pop(name) for name in cold if name in limits}
-    names = {name for route in routes for name in _services_of(route)}
+    names = {name for route in routes for name in _list_services(route)}
     return {
         "version": version,
         "routes": routes,
@@ -322,7 +323,7 @@
             task_status.started(scope)
 
 
-def _services_of(route: dict[str, Any]) -> list[str]:
+def _list_services(route: dict[str, Any]) -> list[str]:
     if "fanoutServices" in route:
         return route["fanoutServices"]
     if "trafficSplit" in route:
--- a/walkcart/platform/tests/soak.py
+++ b/walkcart/platform/tests/soak.py
@@ -109,7 +109,7 @@
 
     def __init__(self, seed: int, folder: Path, nursery: trio.Nursery) -> None:
         self._random = Random(seed)
-        # Half of the seeds have teams; without teams, nothing else may differ.
+        # Even seeds have teams. Runs without teams must not differ in anything else.
         teams = SoakTeams(self._random) if seed % 2 == 0 else None
         self.environment = SoakEnvironment(nursery, self._random, teams)
         self.daemons = Daemons(folder, self.environment)
@@ -165,7 +165,7 @@
                 self.daemons.start(name)
             case "stop" if name in self.daemons.running:
                 code = await self.daemons.end(name, signal.SIGTERM)
-                # Until a daemon serves requests, the signal may kill it as any process.
+                # SIGTERM may kill a daemon that has not begun to serve requests.
                 early = code == -signal.SIGTERM and not self.daemons.has_started(name)
                 if code not in (0, -signal.SIGKILL) and not early:
                     self.broken.append(f"{name} ended a planned stop with {code}")
@@ -214,7 +214,7 @@
                 self.daemons.start(name)
 
     async def _check_end(self, names: list[str]) -> None:
-        """Check that each daemon serves requests by the newest configuration."""
+        """Check that each daemon serves requests of the newest configuration."""
         self.environment.configure(make_route("last", "/last/", backend="plain"))
         await trio.sleep(3)
         for name in names:
--- a/walkcart/platform/tests/soakcalls.py
+++ b/walkcart/platform/tests/soakcalls.py
@@ -30,13 +30,14 @@
 CALLERS = 6
 #: Time between two requests of a caller, in seconds.
 INTERVAL = 0.03
+#: Maximum size of the body of a reply, in bytes.
 BODY_LIMIT = 1 << 20
 #: Deadline of each request, in milliseconds.
 DEADLINE_MS = 2000
 #: Time after which a caller gives up, in seconds. It is longer than the deadline, as a
 #: daemon may be paused.
 CALL_TIMEOUT = 6.0
-#: Statuses that promise that the request has not run.
+#: Statuses that promise the caller that its request has not run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
--- a/walkcart/platform/tests/soakenvironment.py
+++ b/walkcart/platform/tests/soakenvironment.py
@@ -35,7 +35,7 @@
 LOOPBACK = HostPort("127.0.0.1", 0)
 #: The only region in which requests of the route "home" may be served.
 HOME_REGION = "south"
-#: Requests per second that a cold leaf can serve; callers send each leaf some 40.
+#: Requests per second that a cold leaf can serve; callers send each leaf about 40.
 COLD_RATE = 5
 #: The daemons' listening ports are a block of consecutive ports, four for each daemon.
 #: These are the first port, the number of blocks that fit below the ephemeral ports of
@@ -56,7 +56,7 @@
     for start in starts:
         if all(_is_free(port) for port in range(start, start + BLOCK_PORTS)):
             return start
-    raise OSError("no run of free ports")
+    raise OSError("no block of free ports was found")
 
 
 def _is_free(port: int) -> bool:
--- a/walkcart/platform/tests/teamworld.py
+++ b/walkcart/platform/tests/teamworld.py
@@ -13,10 +13,11 @@
 
 DATA_CENTRES = ("north-a", "south-a", "east-a")
 SHARDS = [f"shard-{number}" for number in range(6)]
-#: Shards without a leaf in the first region: other instances gather them for it.
+#: Shards without a leaf in the first region. Instances there delegate these shards to
+#: instances of other regions.
 FAR = [f"far-{number}" for number in range(8)]
-#: Maximum time until a change of the configuration is in force, in seconds.
-IN_FORCE = 1.0
+#: Maximum time until a change of the configuration is in force everywhere, in seconds.
+IN_FORCE_TIME = 1.0
 RIDERS, FITTERS = "riders-secret-key", "fitters-secret-key"
 TEAMS = [make_team("riders", RIDERS), make_team("fitters", FITTERS)]
 ROUTES = [
@@ -62,7 +63,7 @@
     return run_mocked(run)
 
 
-def list_arrived(world):
+def list_arrived_requests(world):
     return [request for leaf in world.leafs.values() for request in leaf.arrived]
 
 
--- a/walkcart/platform/tests/test_cold_leafs.py
+++ b/walkcart/platform/tests/test_cold_leafs.py
@@ -1,4 +1,4 @@
-"""Cold leaves get no more requests in any second than they bear, from all instances."""
+"""All instances together send a cold leaf no more requests than it can serve."""
 
 import trio
 
@@ -10,9 +10,11 @@
 DATA_CENTRES = ("north-a", "south-a", "east-a")
 INSTANCES = [f"{dc}{n}" for dc in DATA_CENTRES for n in ("", "-2", "-3")]
 SHARDS = [f"shard-{number}" for number in range(3)]
-#: Requests a second that a cold leaf bears, and the resulting bound for any second.
+#: Requests per second that a cold leaf can serve, and the maximum number that it may
+#: get in any second: the rate times the settings' tolerance, plus their slack.
 RATE = 4
 MAX_PER_SECOND = RATE * 1.5 + 5
+#: Seconds for which a leaf is cold after its start.
 COLD_SECONDS = 3
 
 
@@ -26,7 +28,7 @@
 
 
 def find_peak_rate(leaf, since=0.0):
-    """Return the most requests that arrived at a leaf in any second after `since`."""
+    """Return the maximum number of requests in any second after `since` at a leaf."""
     times = [at for at in getattr(leaf, "times", []) if at >= since]
     return max((sum(a <= b <= a + 1.0 for b in times) for a in times), default=0)
 
@@ -92,7 +94,7 @@
     world.store.put(f"servers/{id}", entry)
 
 
-def test_leaf_that_becomes_cold_again_gets_no_more_than_it_bears():
+def test_leaf_that_becomes_cold_again_gets_no_more_than_it_can_serve():
     async def scenario(world):
         await send_load(world, 2)
         ids = [f"{service}-south-a" for service in (*SHARDS, "single")]
--- a/walkcart/platform/tests/test_crowded_leafs.py
+++ b/walkcart/platform/tests/test_crowded_leafs.py
@@ -10,9 +10,11 @@
     open_platform,
 )
 
+#: Time that the slow leaf adds to each request, in seconds.
 SLOW_DELAY = 0.3
 #: The request limits at leaves apply only where teams are configured.
 KEY = make_key_headers("key")
+#: Number of long requests that are sent at once.
 LONG_REQUESTS = 10
 
 
--- a/walkcart/platform/tests/test_delegation.py
+++ b/walkcart/platform/tests/test_delegation.py
@@ -106,7 +106,7 @@
     assert with_two_regions(scenario) == 0
 
 
-def test_failure_at_the_peer_tells_whether_it_may_have_run():
+def test_failure_at_the_peer_states_whether_requests_may_have_run():
     async def scenario(world):
         for leaf in world.leafs.values():
             leaf.faults.drop = True
--- a/walkcart/platform/tests/test_evacuations.py
+++ b/walkcart/platform/tests/test_evacuations.py
@@ -152,8 +152,8 @@
     assert len(finished) == 1
 
 
-@pytest.mark.parametrize("trouble", ["history lost", "store turns it away"])
-def test_evacuation_reaches_instances_that_the_store_does_not_tell(trouble):
+@pytest.mark.parametrize("trouble", ["history lost", "store unreachable"])
+def test_evacuation_reaches_instances_that_miss_the_stored_change(trouble):
     async def scenario(world):
         await start_all(world)
         if trouble == "history lost":
--- a/walkcart/platform/tests/test_key_changes.py
+++ b/walkcart/platform/tests/test_key_changes.py
@@ -31,13 +31,15 @@
 
 #: Seconds until a change is in force while feeds are established.
 MAX_DELAY = 1.0
-#: The same bound for a change just as the store begins to refuse instances, which takes
-#: until other instances feed them.
+#: The same bound for a change that comes just when the store begins to refuse
+#: instances. They get it only once other instances feed them.
 MAX_REFUSED_DELAY = 3.0
 #: Seconds for which a starting fleet is left to settle.
 SETTLE_TIME = 30
+#: Size of the configuration: number of teams, and of keys of each team.
 TEAMS = 78
 KEYS_PER_TEAM = 30
+#: Number of changes in a series.
 CHANGES = 8
 #: Seconds between two checks of the ages of the copies.
 CHECK_INTERVAL = 0.25
@@ -62,6 +64,7 @@
     changes: int = 0
 
     async def start(self, name: str, data_centre: str) -> None:
+        """Start an instance and record when each version is in force there."""
         running = await self.world.start_instance(name, data_centre)
         seen = self.seen[name] = {}
         keeper = running.tenant.kernel.find("keeper", RouteKeeper)
@@ -72,6 +75,7 @@
         keeper.on_change(record)
 
     async def start_many(self, count: int) -> None:
+        """Configure, start instances in the data centres in turn, and let them settle."""
         self.change()
         places = tuple(REGIONS)
         for number in range(count):
@@ -125,7 +129,7 @@
         return new is not None and old is None
 
     def find_max_delay(self) -> float:
-        """Return the longest time from acknowledgement until in force, in seconds."""
+        """Return the maximum delay of any change at any instance, in seconds."""
         delays = []
         for seen in self.seen.values():
             for version, at in self.acknowledged.items():
--- a/walkcart/platform/tests/test_lost_answers.py
+++ b/walkcart/platform/tests/test_lost_answers.py
@@ -21,11 +21,13 @@
 #: Duration of the load in seconds, and questions a second.
 DURATION = 4.0
 RATE = 16
+#: Latency objective of the route, in seconds.
 OBJECTIVE = 0.3
 MAX_ATTEMPTS = 2
 #: Repeats of all instances together beside a fifth of the requests: for each question a
 #: third of what a larger fleet has under the same load.
 ALLOWANCE = 108
+#: Repeats that a service may get per request, beside the allowance.
 RATIO = 0.2
 
 
--- a/walkcart/platform/tests/test_quarantined_requests.py
+++ b/walkcart/platform/tests/test_quarantined_requests.py
@@ -238,10 +238,10 @@
         await world.ask("/one/bad", "one")
         await trio.sleep(4)
         for leaf in world.leafs.values():
-            leaf.faults.fail_first = 500
+            leaf.faults.fail_before_run = 500
         await world.ask("/one/bad", "two")
         for leaf in world.leafs.values():
-            leaf.faults.fail_first = 0
+            leaf.faults.fail_before_run = 0
         ended = len(crashing.ended)
         await trio.sleep(1)
         for name in ("one", "two", "three"):
--- a/walkcart/platform/tests/test_reborn_leafs.py
+++ b/walkcart/platform/tests/test_reborn_leafs.py
@@ -1,4 +1,4 @@
-"""Leaves that restart under the same id with no memory of their former life."""
+"""Leaves that restart under the same id and know nothing of their former process."""
 
 import trio
 
@@ -7,6 +7,7 @@
 from walkcart.leaves.pool import LeafPool
 from walkcart.platform.tests.platformworld import make_route, open_platform
 
+#: Start of the new process, in Unix milliseconds.
 BORN = 1_790_000_000_000
 
 
@@ -42,7 +43,7 @@
     assert with_one_service(scenario) == ([200] * 5, 5)
 
 
-def test_statistics_of_the_former_life_are_dropped():
+def test_statistics_of_the_former_process_are_dropped():
     async def scenario(world):
         directory = find(world, "directory", LeafDirectory)
         before = directory.find("i-0")
@@ -55,7 +56,7 @@
     assert with_one_service(scenario) == (False, 1.0)
 
 
-def test_connections_to_the_former_life_are_dropped():
+def test_connections_to_the_former_process_are_dropped():
     async def scenario(world):
         for _ in range(6):
             await world.ask("/one/x")
@@ -69,7 +70,7 @@
 
 
 def test_replaced_leaf_is_used_again_after_its_restart():
-    """A 421 from the former life doesn't apply to the restarted leaf."""
+    """A 421 about the former process doesn't apply to the restarted leaf."""
 
     async def scenario(world):
         directory = find(world, "directory", LeafDirectory)
--- a/walkcart/platform/tests/test_relay.py
+++ b/walkcart/platform/tests/test_relay.py
@@ -46,7 +46,7 @@
     assert with_instances(scenario, 2, ("north-a", "south-a")) == 200
 
 
-def test_log_and_metrics_tell_the_source_and_delay_of_a_version():
+def test_log_and_metrics_show_the_source_and_delay_of_a_version():
     async def scenario(world):
         world.network.cut("store", "south-a")
         await trio.sleep(4)
--- a/walkcart/platform/tests/test_second_attempts.py
+++ b/walkcart/platform/tests/test_second_attempts.py
@@ -5,6 +5,7 @@
 from walkcart.bench.harness import run_mocked
 from walkcart.platform.tests.platformworld import make_route, open_platform
 
+#: Number of shards with a leaf in the asking instance's region, and of those without.
 OWN_SHARDS = 8
 FAR_SHARDS = 7
 
--- a/walkcart/platform/tests/test_silent_connections.py
+++ b/walkcart/platform/tests/test_silent_connections.py
@@ -11,12 +11,12 @@
 SHARDS = 6
 #: Latency objective of the route, in seconds.
 OBJECTIVE = 0.2
-#: Time after which requests use no silent connection any longer, in seconds: the first
-#: request on each detects the silence, and is treated as one at a stalled leaf.
-LEAF_BOUND = 0.25
+#: Time after which no request uses a silent connection any longer, in seconds. The
+#: first request on each detects the silence and is handled like one at a stalled leaf.
+MAX_SILENT_LEAF_TIME = 0.25
 #: Maximum time until a change is in force after the watch of the store went silent, in
 #: seconds: the lease renewals, one per second, detect the silence and end the watch.
-STORE_BOUND = 3.0
+MAX_CHANGE_DELAY = 3.0
 
 
 def after_silence(action):
@@ -62,7 +62,7 @@
         return silent_at, found
 
     silent_at, found = after_silence(act)
-    later = [item for item in found if item[0] > silent_at + LEAF_BOUND]
+    later = [item for item in found if item[0] > silent_at + MAX_SILENT_LEAF_TIME]
     assert all(parts == SHARDS for _, _, parts in later)
     assert all(elapsed < OBJECTIVE for _, elapsed, _ in later)
     # One request may have sent everything before: both attempts at each leaf are lost.
@@ -77,4 +77,4 @@
             await trio.sleep(0.1)
         return trio.current_time() - start
 
-    assert after_silence(act) < STORE_BOUND
+    assert after_silence(act) < MAX_CHANGE_DELAY
--- a/walkcart/platform/tests/test_stale_questions.py
+++ b/walkcart/platform/tests/test_stale_questions.py
@@ -14,8 +14,9 @@
     DelegatedRenewal,
 )
 
-#: Time after a caller left from which no leaf may get a request for it, in seconds.
-GONE_BOUND = 0.5
+#: Maximum time after a caller left at which a leaf may still get a request for it, in
+#: seconds.
+MAX_ARRIVAL_DELAY = 0.5
 #: Delays of envelopes in seconds: mostly usual ones, some as caused by a cut.
 DELAYS = (0.001, 0.008, 0.02, 0.1, 0.3, 0.7, 1.6)
 
@@ -66,7 +67,7 @@
         delay_envelopes(monkeypatch, (DelegatedQuestion, DelegatedCancel), lambda: 2.0)
         left = await ask_and_leave(world, 0.02)
         await trio.sleep(4)
-        late = [time for time in times if time > left + GONE_BOUND]
+        late = [time for time in times if time > left + MAX_ARRIVAL_DELAY]
         return late, count_lines(world, "question_stale")
 
     late, told = with_two_regions(act)
@@ -94,7 +95,7 @@
         await trio.sleep(0.1)
         world.tenants["asker"].scope.cancel()
         before = sum(leaf.running for leaf in world.leafs.values())
-        await trio.sleep(GONE_BOUND)
+        await trio.sleep(MAX_ARRIVAL_DELAY)
         after = sum(leaf.running for leaf in world.leafs.values())
         return before, after, count_lines(world, "question_abandoned")
 
@@ -142,7 +143,7 @@
 
     status, elapsed = with_two_regions(act, targetLatencyMs=1500)
     assert status == 502
-    assert elapsed < GONE_BOUND
+    assert elapsed < MAX_ARRIVAL_DELAY
 
 
 def test_restarted_instance_starts_no_question_sent_to_its_former_process(monkeypatch):
@@ -155,7 +156,7 @@
         await trio.sleep(0.3)
         await world.start_instance("helper", "south-a")
         await trio.sleep(3)
-        return [time for time in times if time > left + GONE_BOUND]
+        return [time for time in times if time > left + MAX_ARRIVAL_DELAY]
 
     assert with_two_regions(act) == []
 
@@ -177,7 +178,9 @@
                 before = len(times)
                 left = await ask_and_leave(world, random.uniform(0.005, 0.3))
                 await trio.sleep(3)
-                late += [time for time in times[before:] if time > left + GONE_BOUND]
+                late += [
+                    time for time in times[before:] if time > left + MAX_ARRIVAL_DELAY
+                ]
             return late
 
         result = with_two_regions(act)
--- a/walkcart/platform/tests/test_start_calls.py
+++ b/walkcart/platform/tests/test_start_calls.py
@@ -14,7 +14,7 @@
 
 ALL_DATA_CENTRES = ("north-a", "south-a", "north-b", "south-b", "east-a", "east-b")
 SHARDS = [f"shard-{number}" for number in range(6)]
-#: Cost of a read that may be seconds old, or of a lease renewal; other calls cost 1.
+#: Cost of a read that may be stale, or of a lease renewal; other calls cost 1.
 CHEAP_CALL_COST = 0.1
 
 
@@ -27,6 +27,7 @@
 
 
 async def start_fleet(world, count):
+    """Start a leaf of each shard, and instances in all data centres in turn."""
     for number, shard in enumerate(SHARDS):
         await world.start_leaf(f"i-{number}", shard, ALL_DATA_CENTRES[number])
     world.configure(make_route("all", "/all/", fanoutServices=SHARDS, topK=3))
--- a/walkcart/platform/tests/test_stopping_gatherers.py
+++ b/walkcart/platform/tests/test_stopping_gatherers.py
@@ -9,9 +9,9 @@
 from walkcart.membership.registration import Registration
 from walkcart.platform.tests.test_delegation import with_two_regions
 
-#: Maximum duration of a stop while questions keep coming, in seconds: the balancer's
-#: time, the questions in progress, and a margin.
-STOP_BOUND = 3.5
+#: Maximum duration of a stop while questions keep coming, in seconds: the time that the
+#: balancer needs to notice, the questions in progress, and a margin.
+MAX_STOP_TIME = 3.5
 
 
 def restart_helpers_in_turn(monkeypatch):
@@ -62,4 +62,4 @@
     statuses, times = restart_helpers_in_turn(monkeypatch)
     assert len(statuses) > 300
     assert set(statuses) == {200}
-    assert max(times) < STOP_BOUND
+    assert max(times) < MAX_STOP_TIME
--- a/walkcart/platform/tests/test_store_calls.py
+++ b/walkcart/platform/tests/test_store_calls.py
@@ -23,21 +23,21 @@
 )
 
 #: Number of instances of the fleet.
-COUNT = 60
-#: Number of instances in one data centre; a few of them feed the others.
-FED = 20
+FLEET_SIZE = 60
+#: Number of instances in one data centre, of which a few feed the others.
+DATA_CENTRE_SIZE = 20
 #: Maximum time from the acknowledgement of a change until it is in force everywhere, in
 #: seconds.
-BOUND = 3.0
+MAX_DELAY = 3.0
 #: Maximum cost of the calls of a restarted instance: its key, a fresh read of the
 #: configuration and one more call, plus renewals and reads that may be stale. A newly
 #: granted lease would cost two more.
-RESTART_CALLS = 3.5
-#: Time until a started fleet is quiet, in seconds: the watches of the start have ended.
+MAX_RESTART_COST = 3.5
+#: Time until a started fleet has settled, in seconds; the first watches end before.
 SETTLE_TIME = 25
 
 
-def with_fleet(action, count=COUNT):
+def with_fleet(action, count=FLEET_SIZE):
     """Run `action(world)` with a fleet that has settled."""
 
     async def run():
@@ -87,7 +87,7 @@
     await trio.sleep(3)
     versions = find_versions(world)
     await trio.sleep(3)
-    return sum_costs(world.store.targets[before:]) / COUNT, versions == {version}
+    return sum_costs(world.store.targets[before:]) / FLEET_SIZE, versions == {version}
 
 
 def test_store_that_refuses_all_calls_costs_little_and_changes_arrive_after():
@@ -159,11 +159,11 @@
             name: find_service(world, name, "registration", Registration).lease.id
             for name in world.tenants
         }
-        return sum_costs(world.store.targets[before:]) / COUNT, found == leases
+        return sum_costs(world.store.targets[before:]) / FLEET_SIZE, found == leases
 
     cost, kept = with_fleet(act)
     assert kept
-    assert cost <= RESTART_CALLS
+    assert cost <= MAX_RESTART_COST
 
 
 def with_restart(action):
@@ -241,7 +241,7 @@
     async def run():
         async with open_platform() as world:
             fleet = Fleet(world)
-            await fleet.start_many(FED, DATA_CENTRES[:1])
+            await fleet.start_many(DATA_CENTRE_SIZE, DATA_CENTRES[:1])
             before = len(world.store.targets)
             async with trio.open_nursery() as nursery:
                 for name in fleet.find_feeders():
@@ -253,8 +253,8 @@
             return sum_costs(world.store.targets[before:]), fleet.find_max_delay()
 
     cost, max_delay = run_mocked(run)
-    assert max_delay <= BOUND
-    assert cost <= 6.5 * FED
+    assert max_delay <= MAX_DELAY
+    assert cost <= 6.5 * DATA_CENTRE_SIZE
 
 
 def test_feed_stays_up_while_leaves_change_without_effect():
@@ -269,7 +269,7 @@
             await trio.sleep(0.1)
         lines = [json.loads(line) for line in world.log.getvalue().splitlines()]
         ended = [line for line in lines if line["event"] == "feed" and not line["fed"]]
-        return sum_costs(world.store.targets[before:]) / COUNT, ended
+        return sum_costs(world.store.targets[before:]) / FLEET_SIZE, ended
 
     cost, ended = with_fleet(act)
     assert ended == []
--- a/walkcart/platform/tests/test_suspended_instances.py
+++ b/walkcart/platform/tests/test_suspended_instances.py
@@ -1,7 +1,7 @@
 """An instance whose machine is suspended for some seconds.
 
-Meanwhile its monotonic clock stops, while the boot clock and the time of day go on.
-Data that waited in its sockets and work in progress have aged by that time.
+The monotonic clock stops during a suspension, while the boot clock and the time of day
+go on. Work in progress and data in the sockets age by the duration of the suspension.
 """
 
 import socket
@@ -57,19 +57,19 @@
     """A machine that can be suspended.
 
     Args:
-        counts: whether its clock goes on during a suspension.
-        wanted: duration of the suspension to begin, in seconds, or 0.
-        missed: total duration of suspensions, in seconds.
-        woken: time of the last wake-up, or 0.
+        clock_goes_on: whether its clock goes on during a suspension.
+        wanted: duration of the suspension that is requested, in seconds, or 0.
+        suspended_time: total duration of suspensions, in seconds.
+        woken_at: time of the last wake-up by the monotonic clock, or 0.
     """
 
-    counts: bool = True
+    clock_goes_on: bool = True
     wanted: float = 0.0
-    missed: float = 0.0
-    woken: float = 0.0
+    suspended_time: float = 0.0
+    woken_at: float = 0.0
 
     def read(self):
-        return time.monotonic() - (0.0 if self.counts else self.missed)
+        return time.monotonic() - (0.0 if self.clock_goes_on else self.suspended_time)
 
     async def suspend_on_request(self):
         """Block the event loop and all its tasks when a suspension is requested."""
@@ -78,11 +78,11 @@
             if self.wanted:
                 wanted, self.wanted = self.wanted, 0.0
                 time.sleep(wanted)
-                self.missed += wanted
-                self.woken = time.monotonic()
+                self.suspended_time += wanted
+                self.woken_at = time.monotonic()
 
 
-def find_port():
+def find_free_port():
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
@@ -92,11 +92,11 @@
     """An instance with its own thread and event loop."""
 
     def __init__(self, world, machine):
-        peer = find_port()
+        peer = find_free_port()
         self.settings = replace(
             make_settings("one", "north-a", world.store_address),
-            callers=HostPort("127.0.0.1", find_port()),
-            readiness=HostPort("127.0.0.1", find_port()),
+            callers=HostPort("127.0.0.1", find_free_port()),
+            readiness=HostPort("127.0.0.1", find_free_port()),
             peer_ports=(peer, peer),
         )
         self.machine = machine
@@ -120,12 +120,12 @@
             nursery.cancel_scope.cancel()
 
 
-def run_with_instance(act, counts=True):
+def run_with_instance(act, clock_goes_on=True):
     """Run `act(world, instance)` with an instance and one service of two leaves.
 
     Args:
         act: async function to run.
-        counts: whether the clock of the machine goes on during a suspension.
+        clock_goes_on: whether the clock of the machine goes on during a suspension.
     """
 
     async def run():
@@ -135,7 +135,7 @@
             for id in ("i-0", "i-1"):
                 await world.start_leaf(id, "service")
             world.configure(make_route("one", "/one/", backend="service"))
-            instance = SuspendableInstance(world, Machine(counts))
+            instance = SuspendableInstance(world, Machine(clock_goes_on))
             world.tenants["one"] = SimpleNamespace(settings=instance.settings)
             nursery.start_soon(trio.to_thread.run_sync, instance.run)
             await wait_ready(world)
@@ -167,12 +167,12 @@
 
 
 async def wait_until_woken(instance):
-    while not instance.machine.woken:
+    while not instance.machine.woken_at:
         await trio.sleep(0.01)
 
 
 class AskingPeer:
-    """A stand-in for another instance that has links only."""
+    """A stand-in for another instance; it only sends and receives messages."""
 
     def __init__(self, instance):
         self.heard = []
@@ -180,7 +180,7 @@
 
     async def start(self, nursery):
         transport = NngTransport()
-        listener = await transport.listen(HostPort("127.0.0.1", find_port()))
+        listener = await transport.listen(HostPort("127.0.0.1", find_free_port()))
         own = SimpleNamespace(
             name="asker", incarnation=0, peer_address=str(listener.address)
         )
@@ -188,12 +188,12 @@
         other = SimpleNamespace(
             name="one", incarnation=0, peer_address=f"127.0.0.1:{port}"
         )
-        book = SimpleNamespace(
+        peers = SimpleNamespace(
             own=own, find=lambda name: other if name == "one" else None
         )
         events = EventLog("asker", TrioClock(), StringIO())
         self.links = PeerLinks(
-            listener, transport, book, events, Metrics(None, "asker")
+            listener, transport, peers, events, Metrics(None, "asker")
         )
         for kind in (Greeting, DelegatedTaken, DelegatedFailure):
             self.links.on(kind, lambda sender, message: self.heard.append(message))
@@ -207,7 +207,7 @@
             await trio.sleep(0.01)
 
 
-def delegate_while_suspended(counts):
+def delegate_while_suspended(clock_goes_on):
     """Delegate a question to the instance while it is suspended.
 
     Returns:
@@ -221,7 +221,7 @@
             await asker.start(nursery)
             asker.links.send("one", Greeting())
             await asker.wait_for(Greeting)
-            # The second envelope tells the instance that its own envelopes arrive.
+            # The second envelope shows the instance that its own envelopes arrive.
             asker.links.send("one", Greeting())
             await trio.sleep(0.2)
             await suspend(instance)
@@ -235,11 +235,11 @@
         ran = sum(len(leaf.ran) for leaf in world.leafs.values())
         return [type(item) for item in asker.heard], ran
 
-    return run_with_instance(act, counts)
+    return run_with_instance(act, clock_goes_on)
 
 
 def test_question_that_waited_during_a_suspension_is_not_started():
-    heard, ran = delegate_while_suspended(counts=True)
+    heard, ran = delegate_while_suspended(clock_goes_on=True)
     assert DelegatedTaken not in heard
     assert heard[-1] is DelegatedFailure
     assert ran == 0
@@ -247,7 +247,7 @@
 
 def test_question_would_be_started_by_a_clock_that_stops():
     """Show that the test above can fail: with the clock that trio uses by default."""
-    heard, ran = delegate_while_suspended(counts=False)
+    heard, ran = delegate_while_suspended(clock_goes_on=False)
     assert DelegatedTaken in heard
     assert ran == 1
 
--- a/walkcart/platform/tests/test_team_changes.py
+++ b/walkcart/platform/tests/test_team_changes.py
@@ -7,12 +7,12 @@
 from walkcart.platform.tests.teamworld import (
     DATA_CENTRES,
     FITTERS,
-    IN_FORCE,
+    IN_FORCE_TIME,
     RIDERS,
     ROUTES,
     TEAMS,
     ask_all,
-    list_arrived,
+    list_arrived_requests,
     list_team_headers,
     with_teams,
 )
@@ -35,7 +35,7 @@
         seen = []
         for teams, key in steps:
             world.configure(*ROUTES, teams=teams)
-            await trio.sleep(IN_FORCE)
+            await trio.sleep(IN_FORCE_TIME)
             seen.append(await ask_all(world, key))
         return seen
 
@@ -46,9 +46,9 @@
 def test_moved_key_belongs_to_its_new_team():
     async def act(world):
         world.configure(*ROUTES, teams=[make_team("fitters", RIDERS, FITTERS)])
-        await trio.sleep(IN_FORCE)
+        await trio.sleep(IN_FORCE_TIME)
         assert await ask_all(world, RIDERS, "/all/x") == [200] * 3
-        return list_arrived(world)
+        return list_arrived_requests(world)
 
     assert list_team_headers(with_teams(act)) == {((b"fitters",), False)}
 
@@ -78,10 +78,10 @@
                 nursery.start_soon(ask, name)
             await trio.sleep(0.05)
             world.configure(*ROUTES, teams=teams)
-            await trio.sleep(IN_FORCE)
-            before = len(list_arrived(world))
+            await trio.sleep(IN_FORCE_TIME)
+            before = len(list_arrived_requests(world))
             lost_at = trio.current_time() + 0.5
-        return before, len(list_arrived(world)), lost_at, replies
+        return before, len(list_arrived_requests(world)), lost_at, replies
 
     before, after, lost_at, replies = with_teams(act)
     assert before == after > 0
@@ -90,7 +90,7 @@
     assert all(at < lost_at + 0.5 for _, at in replies)
 
 
-def test_instance_with_an_old_configuration_tells_a_new_key_to_retry():
+def test_new_key_is_asked_to_retry_at_an_instance_with_an_old_configuration():
     async def act(world):
         world.store.faults.refusal = 503
         await trio.sleep(5)
--- a/walkcart/platform/tests/test_teams.py
+++ b/walkcart/platform/tests/test_teams.py
@@ -11,13 +11,13 @@
     DATA_CENTRES,
     FITTERS,
     FORGED_TEAM_HEADERS,
-    IN_FORCE,
+    IN_FORCE_TIME,
     PATHS,
     RIDERS,
     ROUTES,
     TEAMS,
     inject_leaf_faults,
-    list_arrived,
+    list_arrived_requests,
     list_team_headers,
     record_messages,
     with_teams,
@@ -42,7 +42,7 @@
                         name,
                         headers=FORGED_TEAM_HEADERS + make_key_headers(RIDERS),
                     )
-        return list_arrived(world)
+        return list_arrived_requests(world)
 
     arrived = with_teams(act)
     assert len(arrived) > 150
@@ -110,7 +110,7 @@
             for name in DATA_CENTRES:
                 reply = await world.ask(path, name, headers=headers)
                 assert reply.status == 200
-        return list_arrived(world)
+        return list_arrived_requests(world)
 
     arrived = with_teams(act, teams=None)
     questions = [item for item in sent if isinstance(item, DelegatedQuestion)]
@@ -151,7 +151,7 @@
             running.tenant.kernel.find("metrics", Metrics).read("query.unauthenticated")
             for running in world.tenants.values()
         ]
-        return refused, elapsed, missing.status, list_arrived(world), counts
+        return refused, elapsed, missing.status, list_arrived_requests(world), counts
 
     refused, elapsed, missing, arrived, counts = with_teams(act)
     assert {reply.status for reply in refused} == {401}
@@ -175,7 +175,7 @@
         replies = [
             await world.ask("/open/x", name, headers=headers) for name in DATA_CENTRES
         ]
-        return {reply.status for reply in replies}, list_arrived(world)
+        return {reply.status for reply in replies}, list_arrived_requests(world)
 
     statuses, arrived = with_teams(act)
     assert statuses == {200}
@@ -220,7 +220,7 @@
         refused = await world.ask("/one/x", "north-a", headers=make_key_headers(RIDERS))
         served = await world.ask("/one/x", "north-a", headers=make_key_headers(FITTERS))
         world.configure(*ROUTES, teams=lost)
-        await trio.sleep(IN_FORCE)
+        await trio.sleep(IN_FORCE_TIME)
         lines = [
             msgspec.json.decode(line) for line in world.log.getvalue().splitlines()
         ]
--- a/walkcart/platform/tests/test_where_requests_go.py
+++ b/walkcart/platform/tests/test_where_requests_go.py
@@ -20,7 +20,7 @@
 DATA_CENTRES = ("north-a", "south-a", "east-a")
 SHARDS = [f"shard-{number}" for number in range(3)]
 #: Maximum time until a change by operators is in force everywhere, in seconds.
-IN_FORCE = 1.0
+IN_FORCE_TIME = 1.0
 #: Duration of a run, in seconds.
 SECONDS = 12.0
 
@@ -37,8 +37,8 @@
     def record_regions(self, route, names):
         self.regions.setdefault(route, []).append((trio.current_time(), names))
 
-    def record_evacuation(self, data_centre, stands):
-        self.evacuated[data_centre].append((trio.current_time(), stands))
+    def record_evacuation(self, data_centre, begins):
+        self.evacuated[data_centre].append((trio.current_time(), begins))
 
     def allows(self, route, region):
         """Return whether any recent configuration allowed the region for the route."""
@@ -48,17 +48,17 @@
         recent = [
             names
             for (_, names), end in zip(held, ends, strict=True)
-            if end >= now - IN_FORCE
+            if end >= now - IN_FORCE_TIME
         ]
         return any(not names or region in names for names in recent)
 
     def is_evacuated(self, data_centre):
-        """Return whether an evacuation has been in place for longer than `IN_FORCE`."""
+        """Return whether an evacuation is older than `IN_FORCE_TIME`."""
         held = self.evacuated[data_centre]
         return (
             bool(held)
             and held[-1][1]
-            and (trio.current_time() - held[-1][0] > IN_FORCE)
+            and (trio.current_time() - held[-1][0] > IN_FORCE_TIME)
         )
 
     def record_arrival(self, route, data_centre):
@@ -111,11 +111,11 @@
             case "evacuate":
                 name = random.choice(DATA_CENTRES)
                 key = f"op/evacuate/{name}"
-                if stands := key not in world.store.rows:
+                if begins := key not in world.store.rows:
                     world.store.put(key, {})
                 else:
                     world.store.remove(key)
-                history.record_evacuation(name, stands)
+                history.record_evacuation(name, begins)
             case "leaf":
                 leaf.faults.delay = random.choice([0.0, 0.15, 0.6])
                 leaf.faults.drop = random.random() < 0.3
