--- a/walkcart/platform/tests/changedelays.py
+++ b/walkcart/platform/tests/changedelays.py
@@ -79,7 +79,7 @@
         keeper.on_change(record)
 
     async def start_many(self, count: int, data_centres: tuple[str, ...]) -> None:
-        """Configure, start instances in the data centres in turn, and let them settle."""
+        """Configure, start instances in data centres in turn, and let them settle."""
         self.change()
         for number in range(count):
             place = data_centres[number % len(data_centres)]
--- a/walkcart/platform/tests/soak.py
+++ b/walkcart/platform/tests/soak.py
@@ -109,7 +109,7 @@
 
     def __init__(self, seed: int, folder: Path, nursery: trio.Nursery) -> None:
         self._random = Random(seed)
-        # Even seeds have teams. Runs without teams must not differ in anything else.
+        # Half of the seeds, the even ones, have teams. Nothing else may differ.
         teams = SoakTeams(self._random) if seed % 2 == 0 else None
         self.environment = SoakEnvironment(nursery, self._random, teams)
         self.daemons = Daemons(folder, self.environment)
--- a/walkcart/platform/tests/soakenvironment.py
+++ b/walkcart/platform/tests/soakenvironment.py
@@ -56,7 +56,7 @@
     for start in starts:
         if all(_is_free(port) for port in range(start, start + BLOCK_PORTS)):
             return start
-    raise OSError("no block of free ports was found")
+    raise OSError("no run of free ports")
 
 
 def _is_free(port: int) -> bool:
--- a/walkcart/platform/tests/test_key_changes.py
+++ b/walkcart/platform/tests/test_key_changes.py
@@ -75,7 +75,7 @@
         keeper.on_change(record)
 
     async def start_many(self, count: int) -> None:
-        """Configure, start instances in the data centres in turn, and let them settle."""
+        """Configure, start instances in data centres in turn, and let them settle."""
         self.change()
         places = tuple(REGIONS)
         for number in range(count):
