--- a/walkcart/daemon/platform.py
+++ b/walkcart/daemon/platform.py
@@ -40,7 +40,7 @@
 from walkcart.wire.peers import NngTransport
 
 #: Environment variable with the port of the metrics page. The deploy file sets it, and
-#: states the same port as that of the metrics.
+#: its `metrics` entry states the same port to the platform.
 METRICS_VARIABLE = "WALKCART_METRICS_PORT"
 MAX_PORT = 65535
 EXIT_OK = 0
--- a/walkcart/daemon/tenantstore.py
+++ b/walkcart/daemon/tenantstore.py
@@ -63,12 +63,12 @@
 STORE_CALL_TIMEOUT = timedelta(seconds=1)
 #: Pause after a change of leaves' entries. It batches the changes of many leaves that
 #: start together; a change may take three seconds to be in force. The pause must be
-#: below 1.3 s: other instances that get their changes from this copy change to another
-#: instance when the copy is older than that.
+#: below 1.3 s: instances that are fed from this copy switch to another feeder when it
+#: is older than that.
 LEAF_UPDATE_PAUSE = timedelta(seconds=0.8)
-#: Age from which the copy of the configuration is read anew instead of being watched
-#: on: with six changes of 32 KB per second, a watch from its revision would return more
-#: than a small link carries in 0.15 s.
+#: A copy of the configuration that was last current longer ago than this is read in
+#: full, not watched from its revision: with six changes of 32 KB per second, such a
+#: watch would return more than a small link carries in 0.15 s.
 CONFIGURATION_REREAD_AGE = timedelta(seconds=1)
 STORE_MIN_BACKOFF = timedelta(seconds=0.1)
 STORE_MAX_BACKOFF = timedelta(seconds=0.8)
--- a/walkcart/platform/tests/test_barred_attempts.py
+++ b/walkcart/platform/tests/test_barred_attempts.py
@@ -10,6 +10,7 @@
 from walkcart.platform.tests.platformworld import make_route, open_platform
 from walkcart.routing.eligibility import Obstacle
 
+#: Id of the leaf that becomes ineligible.
 BARRED = "plain-0"
 
 
--- a/walkcart/platform/tests/test_changes_in_force.py
+++ b/walkcart/platform/tests/test_changes_in_force.py
@@ -7,11 +7,11 @@
 How it comes about: two instances of each data centre watch the store and relay each
 version whole (24 KB) to the eight to ten others, which is more than the link of a small
 machine carries. Without a limit on the data in flight, versions queue behind ones that
-they replace, the feeder's own watch queues behind its feed, and the feeder falls six
-seconds behind. Its messages still arrive, so the others take it for up to date. An
-instance that receives nothing any more watches the store itself from the revision that
-it has; the store then sends all versions since, a megabyte at a time, and so an old
-version again.
+they replace, the replies to the feeder's own watch queue behind what it relays, and the
+feeder falls six seconds behind. Its messages still arrive, so the others consider it up
+to date. An instance that receives nothing any more watches the store itself from the
+revision that it has; the store then sends all versions since, a megabyte at a time, and
+so an old version again.
 
 The cause is state relayed as a log, at the rate of the changes instead of that of the
 link, and messages that count as fresh by their arrival instead of by the time at which
--- a/walkcart/platform/tests/test_cut_data_centres.py
+++ b/walkcart/platform/tests/test_cut_data_centres.py
@@ -7,6 +7,7 @@
 from walkcart.bench.harness import run_mocked
 from walkcart.platform.tests.platformworld import make_route, open_platform
 
+#: Part of the log lines that report that a peer failed to gather an answer.
 LOST = '"event": "delegate_lost"'
 SHARDS = [f"shard-{number}" for number in range(4)]
 
--- a/walkcart/platform/tests/test_failing_leafs.py
+++ b/walkcart/platform/tests/test_failing_leafs.py
@@ -6,7 +6,7 @@
 from walkcart.platform.tests.platformworld import make_route, open_platform
 
 SHARDS = 10
-#: Seconds between two questions: 50 a second, for two seconds.
+#: Seconds between two questions, and their number: 50 per second for two seconds.
 QUESTION_INTERVAL = 0.02
 QUESTIONS = 100
 #: Repeats that all instances together may send to one service under the load: a fifth
