--- a/walkcart/cli/clients.py
+++ b/walkcart/cli/clients.py
@@ -29,6 +29,7 @@
 T = TypeVar("T")
 #: Timeout of a request to an instance, in seconds.
 CALL_TIMEOUT = 15.0
+#: Maximum size of the body of an instance's reply.
 MAX_BODY_BYTES = 16 << 20
 #: Time after which the tool gives up on a store that is unavailable.
 OUTAGE_TIMEOUT = timedelta(seconds=10)
--- a/walkcart/cli/edits.py
+++ b/walkcart/cli/edits.py
@@ -11,28 +11,28 @@
 from walkcart.intent.selectors import KEY_PATTERN, VALUE_PATTERN
 
 Edit = Callable[[Configuration], Configuration]
-#: Priority of the intents that drain leaves.
+#: Priority of the routing intents that drain leaves.
 DRAIN_PRIORITY = 1000
 #: Kinds of objects whose labels can be changed.
 LABELLED_KINDS = ("service", "partner", "shard_group")
 
 
-def read_labels(words: list[str]) -> tuple[dict[str, str], list[str]]:
+def read_labels(texts: list[str]) -> tuple[dict[str, str], list[str]]:
     """Return the labels to set, given as ``key=value``, and to remove, as ``key-``.
 
     Raises:
-        CommandFailed: a word has neither form.
+        CommandFailed: a text has neither form.
     """
     added: dict[str, str] = {}
     removed: list[str] = []
-    for word in words:
-        key, separator, value = word.partition("=")
+    for text in texts:
+        key, separator, value = text.partition("=")
         if separator and KEY_PATTERN.fullmatch(key) and VALUE_PATTERN.fullmatch(value):
             added[key] = value
-        elif not separator and word.endswith("-") and KEY_PATTERN.fullmatch(word[:-1]):
-            removed.append(word[:-1])
+        elif not separator and text.endswith("-") and KEY_PATTERN.fullmatch(text[:-1]):
+            removed.append(text[:-1])
         else:
-            raise CommandFailed(Exit.USAGE, f"{word!r}: expected key=value or key-")
+            raise CommandFailed(Exit.USAGE, f"{text!r}: expected key=value or key-")
     return added, removed
 
 
--- a/walkcart/cli/lossaccount.py
+++ b/walkcart/cli/lossaccount.py
@@ -17,7 +17,7 @@
 
 from walkcart.cli.losscauses import Cause, InstanceHistory, Outcome, RequestEnd
 
-#: Maximum number of counters; beyond it, each two adjacent time steps are merged.
+#: Maximum number of counters; beyond it, each pair of adjacent time steps is merged.
 MAX_COUNTS = 50_000
 #: Maximum number of instances whose earlier lines are remembered.
 MAX_INSTANCES = 2_000
@@ -50,6 +50,11 @@
     Args:
         step: initial length of a time step, in seconds; it is doubled when there are
             too many counters.
+
+    Attributes:
+        ended: number of requests whose end the log reports.
+        unusable: number of lines that couldn't be parsed.
+        dropped: number of lines that the instances never wrote.
     """
 
     def __init__(self, step: float = 1.0) -> None:
@@ -101,14 +106,14 @@
 
     def _double_step(self) -> None:
         self.step *= 2
-        joined: Counter[tuple[int, str, Outcome, Cause]] = Counter()
+        merged: Counter[tuple[int, str, Outcome, Cause]] = Counter()
         for (place, *rest), count in self._counts.items():
-            joined[(place // 2, *rest)] += count
-        self._counts = joined
+            merged[(place // 2, *rest)] += count
+        self._counts = merged
 
     @property
     def lost(self) -> int:
-        """Number of requests with another outcome than good."""
+        """Number of requests whose outcome isn't good."""
         return sum(self._counts.values())
 
     @property
--- a/walkcart/daemon/platform.py
+++ b/walkcart/daemon/platform.py
@@ -39,14 +39,15 @@
 from walkcart.wire.network import TcpNetwork
 from walkcart.wire.peers import NngTransport
 
-#: Variable with the port of the metrics page; the deploy file sets the same port.
+#: Environment variable with the port of the metrics page. The deploy file sets it, and
+#: its `metrics` entry states the same port to the platform.
 METRICS_VARIABLE = "WALKCART_METRICS_PORT"
 MAX_PORT = 65535
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_USAGE = 2
-#: Seconds between two checks whether the settings file has changed, which can happen
-#: without a signal. This is half of the time within which a change must be in force.
+#: Seconds between two checks of whether the settings file has changed, which can happen
+#: without a signal: half of the time within which a change must be in force.
 FILE_CHECK_INTERVAL = 1.0
 
 
@@ -101,22 +102,26 @@
     seen = _read_file_state(path)
     while True:
         await trio.sleep(FILE_CHECK_INTERVAL)
-        now = _read_file_state(path)
-        if now != seen:
-            seen = now
+        state = _read_file_state(path)
+        if state != seen:
+            seen = state
             reload_settings(tenant, path)
 
 
 def _read_file_state(path: Path) -> tuple[int, int] | None:
+    """Return modification time and size of a file, or None if it can't be read."""
     try:
-        found = path.stat()
+        status = path.stat()
     except OSError:
         return None
-    return (found.st_mtime_ns, found.st_size)
+    return (status.st_mtime_ns, status.st_size)
 
 
 def reload_settings(tenant: Tenant, path: Path) -> None:
-    """Apply changed settings; if they are invalid, the present ones stay in force."""
+    """Apply the settings that can change at run time: the address of the store.
+
+    Invalid settings are logged, and those in force stay.
+    """
     events = tenant.kernel.find("events", EventLog)
     try:
         settings = read_settings(path)
--- a/walkcart/daemon/tenantlimits.py
+++ b/walkcart/daemon/tenantlimits.py
@@ -49,7 +49,7 @@
         return bool(self.limited)
 
     def find(self, team: str) -> tuple[int, RateLimit | None]:
-        """Return the document version in force and a team's limit, None without one."""
+        """Return the version in force and a team's limit, or None without a limit."""
         table = self._keeper.table
         found = table.teams.find_by_name(team)
         return table.document.version, found.limit if found else None
@@ -58,7 +58,7 @@
 def add_cold_shares(
     kernel: Kernel, environment: TenantEnvironment, gatherers: GatheringInstances
 ) -> None:
-    """Add the service that divides the limits of cold leaves among instances."""
+    """Add the service that divides the rate limits of cold leaves among instances."""
     cold = kernel.find("cold", ColdLimiter)
     shares = ColdShares(
         kernel.find("store", PlatformStore),
--- a/walkcart/daemon/tenantserving.py
+++ b/walkcart/daemon/tenantserving.py
@@ -74,7 +74,7 @@
         try:
             return await transport.listen(HostPort(settings.host, port))
         except OSError:
-            # The other role or the previous process still uses this port.
+            # Another role on this machine, or the previous process, uses this port.
             continue
     return await transport.listen(HostPort(settings.host, last))
 
@@ -90,10 +90,11 @@
     metrics = kernel.find("metrics", Metrics)
     registration = kernel.find("registration", Registration)
     links = PeerLinks(peers, environment.transport, registration, events, metrics)
+    # Identifies this process among those of the same instance.
     life = environment.random.getrandbits(32)
     ids = IdSource(settings.instance, life)
-    # Questions to other instances cross regions, so their ids are short: the random
-    # number identifies them as well as it would with the instance's name beside it.
+    # Questions to other instances cross regions, so their ids are kept short: without
+    # the instance's name, the random number identifies them just as well.
     question_ids = IdSource("", life)
     keeper = kernel.find("keeper", RouteKeeper)
     directory = kernel.find("directory", LeafDirectory)
@@ -241,9 +242,9 @@
     metrics = kernel.find("metrics", Metrics)
     keeper = kernel.find("keeper", RouteKeeper)
     directory = kernel.find("directory", LeafDirectory)
-    gate = StartupGate(lambda: keeper.known and directory.known)
-    keeper.on_change(lambda table: gate.recheck())
-    directory.on_change(gate.recheck)
+    startup_gate = StartupGate(lambda: keeper.known and directory.known)
+    keeper.on_change(lambda table: startup_gate.recheck())
+    directory.on_change(startup_gate.recheck)
     room = OverloadGate(
         environment.clock,
         environment.random,
@@ -263,7 +264,7 @@
             metrics,
             kernel.find("tracer", Tracer),
             environment.random,
-            gate,
+            startup_gate,
             kernel.find("origins", RequestOrigins),
             kernel.find("configuration", PrefixFollower).find_age,
             room,
--- a/walkcart/platform/tests/soakenvironment.py
+++ b/walkcart/platform/tests/soakenvironment.py
@@ -35,7 +35,7 @@
 LOOPBACK = HostPort("127.0.0.1", 0)
 #: The only region in which requests of the route "home" may be served.
 HOME_REGION = "south"
-#: Requests per second that a cold leaf can serve; callers send each leaf some 40.
+#: Requests per second that a cold leaf can serve; callers send each leaf about 40.
 COLD_RATE = 5
 #: The daemons' listening ports are a block of consecutive ports, four for each daemon.
 #: These are the first port, the number of blocks that fit below the ephemeral ports of
