--- a/walkcart/bench/caller.py
+++ b/walkcart/bench/caller.py
@@ -1,4 +1,7 @@
-"""A caller that sends requests, and checks of answers by their marked rows."""
+"""A caller that sends requests, and checks of the rows in its answers.
+
+Leaf stand-ins mark each row with its shard, layout, index version, scope and query.
+"""
 
 from __future__ import annotations
 
@@ -132,7 +135,7 @@
 
 
 def find_violations(asked: RequestResult, scope: str, query: Any) -> list[str]:
-    """Return the promises that an answer breaks, judged by its marked rows.
+    """Return the promises that an answer breaks, judged by the marks in its rows.
 
     Args:
         asked: the result of the request.
--- a/walkcart/bench/capacity.py
+++ b/walkcart/bench/capacity.py
@@ -13,7 +13,7 @@
 import msgspec
 
 DOCS = Path(__file__).resolve().parents[2] / "docs"
-#: Size of the fleet in the users' letter.
+#: Numbers of instances and leaves of the fleet that the users state.
 INSTANCES = 620
 LEAVES = 4000
 #: Questions per second.
@@ -94,15 +94,15 @@
 
 
 def control_costs(slopes: Slopes) -> list[Cost]:
-    """Return the control costs of an instance at the size in the users' letter."""
+    """Return the control costs of an instance at the size that the users state."""
     fleet_cpu = slopes.at("fleet", "CPU s/s for each instance, mean", INSTANCES)
     fleet_bytes = slopes.at("fleet", "bytes/s for each instance, mean", INSTANCES)
     fleet_memory = slopes.slope("fleet", "resident MB, mean") * INSTANCES
     stored = slopes.at("configuration", "stored KB", OBJECTS) * 1000
     read = slopes.at("configuration", "CPU ms to read", OBJECTS) / 1000
-    kept = slopes.at("configuration", "memory MB", OBJECTS)
+    configuration_memory = slopes.at("configuration", "memory MB", OBJECTS)
     resolve = slopes.at("leaves_as_data", "CPU ms to resolve", LEAVES) / 1000
-    table = slopes.at("leaves_as_data", "memory MB", LEAVES)
+    leaves_memory = slopes.at("leaves_as_data", "memory MB", LEAVES)
     scale = LEAVES / HELD_LEAVES_MEASURED
     turn = (
         slopes.last("holding", "CPU ms for one instance to go and come") / 1000 * scale
@@ -110,7 +110,7 @@
     holders = slopes.last("holding", "memory MB") * scale
     leaf_changes = (RESTARTS_A_DAY + FAILURES_A_DAY) * LEAVES / INSTANCES * 2
     departures = RESTARTS_A_DAY + FAILURES_A_DAY
-    mark = slopes.at("marks", "CPU us a message", 1) / 1e6
+    mark_cpu = slopes.at("marks", "CPU us a message", 1) / 1e6
     mark_bytes = slopes.slope("marks", "bytes a message")
     return [
         Cost(
@@ -132,7 +132,7 @@
             # A push to three peers, a pull and a document, each sent and answered.
             CHANGES_A_DAY * 10 / DAY,
             CHANGES_A_DAY * (read + resolve) / DAY,
-            kept,
+            configuration_memory,
             CHANGES_A_DAY * 2 * stored / DAY,
             "watchers, pushes, pulls (`intent/distribution.py`)",
         ),
@@ -143,7 +143,7 @@
             f"{1000 * resolve:.1f} ms each",
             2.0,
             leaf_changes * resolve / DAY,
-            table,
+            leaves_memory,
             leaf_changes * 250 / DAY + 200,
             "only what changed is fetched (`membership/listing.py`)",
         ),
@@ -163,7 +163,7 @@
             "two numbers for each leaf",
             f"{leaf_changes / 2:,.0f} a day, each on some 30 messages",
             0.0,
-            leaf_changes / 2 * 30 * mark / DAY,
+            leaf_changes / 2 * 30 * mark_cpu / DAY,
             LEAVES * 300 / 1e6,
             leaf_changes / 2 * 30 * mark_bytes / DAY,
             "heartbeats and pushes (`membership/gossip.py`)",
@@ -254,15 +254,15 @@
     each_node = QUESTIONS / INSTANCES
     requests = each_node * SHARDS
     leaf_ms = slopes.last("leaf_requests", "CPU ms a leaf request")
-    alone = slopes.at("forwarding", "CPU us a message, both ends", 1)
+    single_us = slopes.at("forwarding", "CPU us a message, both ends", 1)
     slope = slopes.slope("forwarding", "CPU us a message, both ends")
-    fixed = alone - slope
-    pair = requests / INSTANCES
+    fixed_us = single_us - slope
+    per_peer = requests / INSTANCES
     # The request and the reply each cost CPU time at both ends, on some instance.
-    unbatched = requests * 2 * alone / 1e6
+    unbatched = requests * 2 * single_us / 1e6
     messages = each_node * 8
-    batched = (messages * 2 * fixed + requests * 2 * slope) / 1e6
-    stores = slopes.slope("fleet", "store calls/s of the whole fleet")
+    batched = (messages * 2 * fixed_us + requests * 2 * slope) / 1e6
+    store_slope = slopes.slope("fleet", "store calls/s of the whole fleet")
     base = slopes.at("fleet", "store calls/s of the whole fleet", 0)
     claims = slopes.last("claims", "store writes/s")
     return {
@@ -272,16 +272,16 @@
         "leaf_cores": f"{requests * leaf_ms / 1000:.1f}",
         "per_leaf": f"{QUESTIONS * SHARDS / LEAVES:,.0f}",
         "slot_ms": f"{2 / (QUESTIONS * SHARDS / LEAVES) * 1000:.2f}",
-        "message_us": f"{alone:.0f}",
+        "message_us": f"{single_us:.0f}",
         "attempt_us": f"{slope:.1f}",
-        "pair": f"{pair:.0f}",
+        "pair": f"{per_peer:.0f}",
         "unbatched_cores": f"{unbatched:.1f}",
         "batched_cores": f"{batched:.1f}",
         "mb_ms": f"{slopes.last('document', 'CPU ms to read'):.0f}",
         "mb_memory": f"{slopes.last('document', 'memory MB'):.0f}",
         "mb_bytes": f"{CHANGES_A_DAY * 2 * 1e6 / DAY:,.0f}",
         "store_watch": f"{base * DATA_CENTRES:.1f}",
-        "store_slope": f"{stores:.2g}",
+        "store_slope": f"{store_slope:.2g}",
         "store_claims": f"{claims:.0f}",
         "change_seconds": (f"{slopes.last('fleet', _CHANGE_QUANTITY):.2f}"),
         "kill_seconds": f"{slopes.last('fleet', _KILL_QUANTITY):.1f}",
--- a/walkcart/bench/demo.py
+++ b/walkcart/bench/demo.py
@@ -204,8 +204,8 @@
     for promise, meaning in PROMISES.items():
         kept = "broken" if record.broken.get(promise) else "kept"
         _print_progress(f"{kept}: {promise} ({meaning})")
-    for complaint in judgement.problems:
-        _print_progress(f"failed: {complaint}")
+    for problem in judgement.problems:
+        _print_progress(f"failed: {problem}")
     _print_progress(
         "next: README.md, 'Each in a process of its own', starts the same by hand"
     )
--- a/walkcart/bench/faults.py
+++ b/walkcart/bench/faults.py
@@ -1,4 +1,7 @@
-"""The faults of experiments as data, and their injection."""
+"""The faults of experiments as data, and their injection.
+
+The field `at` of a fault is the delay in seconds from the call of `bring_about`.
+"""
 
 from __future__ import annotations
 
@@ -110,6 +113,7 @@
     await trio.sleep(fault.at)
     leaves = [item for item in world.leaves.values() if item.leaf.spec.group == group]
     match fault:
+        # The name of a leaf ends in the number of its replica.
         case SlowLeaf(_, factor, shards):
             for item in leaves:
                 if item.leaf.spec.shard in shards and item.leaf.spec.name[-1] == "0":
--- a/walkcart/bench/fleet.py
+++ b/walkcart/bench/fleet.py
@@ -1,7 +1,7 @@
 """Stand-ins and daemons as real processes on free ports of this machine.
 
-Used by the tests of whole processes and by the measurement of slopes. The
-programs themselves start no processes.
+Used by the tests of whole processes, the demo, the soak run over processes and the
+measurement of slopes. The programs themselves start no processes.
 """
 
 from __future__ import annotations
@@ -29,7 +29,9 @@
 MAX_TRIES = 600
 #: Seconds between two polls.
 POLL_INTERVAL = 0.1
+#: Ticks per second, the unit of processor time in ``/proc``.
 CLOCK_TICK = os.sysconf("SC_CLK_TCK")
+#: Bytes per page, the unit of memory in ``/proc``.
 PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
 
 
@@ -47,11 +49,7 @@
         self._next = self.FIRST + os.getpid() * 97 % (self.LAST - self.FIRST)
 
     def allocate(self, count: int) -> list[int]:
-        """Return a run of `count` free ports.
-
-        Raises:
-            OSError: no such run was found.
-        """
+        """Return a run of `count` free ports; raise `OSError` if none is found."""
         for _ in range(MAX_TRIES):
             if self._next + count > self.LAST:
                 self._next = self.FIRST
@@ -59,7 +57,7 @@
             self._next += count
             if all(is_free(port) for port in ports):
                 return ports
-        raise OSError(f"found no run of {count} free ports")
+        raise OSError(f"found no run of {count} consecutive free ports")
 
 
 _PORTS = _Ports()
@@ -88,13 +86,15 @@
     """Poll until `condition` returns true.
 
     Raises:
-        TimeoutError: it was still false after `MAX_TRIES` polls.
+        TimeoutError: it was still false after `MAX_TRIES` polls, a minute or more.
     """
     for _ in range(MAX_TRIES):
         if condition():
             return
         time.sleep(POLL_INTERVAL)
-    raise TimeoutError("the condition never held")
+    raise TimeoutError(
+        f"the condition held in none of {MAX_TRIES} polls, {POLL_INTERVAL} s apart"
+    )
 
 
 def fetch(
@@ -173,7 +173,7 @@
         self.running.clear()
 
     def cpu_seconds(self, name: str) -> float:
-        """Return the processor time that a process has used."""
+        """Return the processor time that a process has used, in seconds."""
         stat = Path(f"/proc/{self.running[name].pid}/stat").read_text()
         parts = stat.rpartition(")")[2].split()
         return (int(parts[11]) + int(parts[12])) / CLOCK_TICK
--- a/walkcart/bench/injection.py
+++ b/walkcart/bench/injection.py
@@ -39,6 +39,10 @@
         random: draws the faults, their times and their targets.
         balancer: gets the addresses of instances that are restarted.
         group: the group whose index version and layout change.
+
+    Attributes:
+        fault_counts: number of injected faults by name.
+        broken: broken promises, one line each.
     """
 
     def __init__(
@@ -264,10 +268,10 @@
         memory.lose = lambda: False
 
     async def _race_operators(self) -> None:
-        """Let two operators change the same intent and a third one another."""
+        """Let two operators change one intent and a third another, at the same time."""
         async with trio.open_nursery() as nursery:
-            for name, field in (("all", 10), ("all", 11), ("other", 12)):
-                nursery.start_soon(self._change, name, field)
+            for name, priority in (("all", 10), ("all", 11), ("other", 12)):
+                nursery.start_soon(self._change, name, priority)
 
     async def _change(self, name: str, priority: int) -> None:
         value = self._random.randint(100, 200) / 100
--- a/walkcart/bench/load.py
+++ b/walkcart/bench/load.py
@@ -13,6 +13,7 @@
 from walkcart.kernel.settings import HostPort
 from walkcart.standins.balancer import BalancerStandin
 
+#: Microseconds per second.
 MICROSECONDS = 1_000_000
 #: Largest latency that the histogram records, in microseconds.
 MAX_LATENCY = 60 * MICROSECONDS
@@ -73,7 +74,7 @@
         return self.shards_answered / self.shards_asked if self.shards_asked else 0.0
 
     def add(self, asked: RequestResult, partner: str, query: object, at: float) -> None:
-        """Add the result of one question."""
+        """Add the result of the question sent `at` seconds after the start."""
         name = classify_outcome(asked)
         self.outcomes[name] += 1
         self.timeline.append((at, asked.elapsed, name))
--- a/walkcart/bench/replay.py
+++ b/walkcart/bench/replay.py
@@ -181,7 +181,10 @@
                 fault = FAULTS[name](at=0.0, **values)
                 await faults.bring_about(fault, self._world, group)
             case _:
-                raise BadTrace(f"can't be read: {line}")
+                raise BadTrace(
+                    f"can't be read: {line}; "
+                    "expected a question, execution, change, store or fault"
+                )
 
     async def _send_question(self, question: dict[str, Any]) -> None:
         self._counts["questions"] += 1
--- a/walkcart/bench/routed/callers.py
+++ b/walkcart/bench/routed/callers.py
@@ -88,7 +88,7 @@
 
 
 class PlainProtocol:
-    """The callers' protocol of a trial, whose messages aren't encoded."""
+    """The protocol between callers and instances in a trial; bodies are empty."""
 
     def read_request(self, request: HttpRequest) -> CallerRequest:
         """Read the id and the timeout from the headers."""
--- a/walkcart/bench/routed/instances.py
+++ b/walkcart/bench/routed/instances.py
@@ -54,13 +54,13 @@
 from walkcart.standins.memory import MemoryNetwork
 from walkcart.store.updates import Origin
 
-#: One-way latency in seconds by distance, as on the users' smaller deployments.
+#: One-way latency in seconds by distance, as the users state for smaller deployments.
 ONE_WAY_LATENCIES = {
     Distance.SAME_DATA_CENTRE: 0.0002,
     Distance.SAME_REGION: 0.0005,
     Distance.OTHER_REGION: 0.008,
 }
-#: Limits on repeats over all instances, as on the users' smaller deployments.
+#: Limits on repeats over all instances, as the users state for smaller deployments.
 REPEAT_LIMITS = RepeatLimits(0.2, 10.0, 54.0)
 NO_REPEATS = RepeatLimits(0.0, 10.0, 0.0)
 
@@ -141,7 +141,13 @@
 
 
 class TrialInstance:
-    """One instance of a trial; `start` runs its services."""
+    """One instance of a trial; `start` runs its services.
+
+    Args:
+        record: the record of this instance, with its name and place.
+        environment: what the instances share.
+        random: draws all random decisions of the instance.
+    """
 
     def __init__(
         self, record: InstanceRecord, environment: TrialEnvironment, random: Random
@@ -157,7 +163,7 @@
         self.directory = LeafDirectory(clock, self.events, lambda: float("-inf"))
         registration = FixedRegistration(record, environment.records)
         tracer = Tracer(record.name, OUTPUT_NONE, 0.0)
-        link = LinkTools(
+        link_tools = LinkTools(
             environment.network.at(record.data_centre),
             clock,
             self.events,
@@ -168,7 +174,7 @@
         pool_tools = PoolTools(
             self.directory,
             self.keeper,
-            link,
+            link_tools,
             registration.count,
             self.place,
             random,
--- a/walkcart/bench/routed/trials.py
+++ b/walkcart/bench/routed/trials.py
@@ -35,7 +35,9 @@
 #: Seconds of requests before results count; instances have learned latencies by then.
 WARM_UP_TIME = 6.0
 SINGLE_SERVICE = "single"
+#: Maximum number of leaves of one shard that may run the same request.
 MAX_ATTEMPTS = 2
+#: Peer port of the first instance; the ports are on a network in memory.
 FIRST_PORT = 30_000
 #: Seconds until the instances know of leaves that have started or stopped.
 DISCOVERY_DELAY = 0.5
@@ -86,7 +88,13 @@
 
 
 class Trial:
-    """A deployment with its callers during a scenario."""
+    """A deployment with its callers during a scenario.
+
+    Args:
+        shape: the size and properties of the deployment.
+        policy: the mechanisms that the instances use.
+        random: draws the affected leaves and the seeds of all other generators.
+    """
 
     def __init__(self, shape: Shape, policy: Policy, random: Random) -> None:
         self.shape = shape
@@ -127,7 +135,7 @@
         return self.random.sample(leafs, round(share * len(leafs)))
 
     def replace_leaves(self, share: float) -> None:
-        """Replace a fraction of the leaves; old ones stop when the new are known."""
+        """Replace a fraction of the leaves; old ones stop once new ones are known."""
         ending = [leaf for leaf in self.sample_leaves(share) if not leaf.faults.gone]
         for leaf in ending:
             self._start_leaf(leaf.service, leaf.place)
@@ -192,10 +200,12 @@
             instance.update_directory()
 
     def _work_of(self, attempt: Attempt) -> float:
+        """Return the mean work time of an attempt in seconds."""
         assert attempt.caller_request is not None
         return self._kinds[attempt.caller_request.target.strip("/")].work
 
     def _read_counters(self) -> tuple[int, float, float]:
+        """Return arrived leaf requests, seconds in queues, and bytes between peers."""
         leafs = self.leafs.values()
         return (
             sum(leaf.arrived for leaf in leafs),
@@ -263,6 +273,7 @@
 
 
 def _find_latency(one: str, other: str) -> float:
+    """Return the one-way latency between two data centres, in seconds."""
     places = {place.data_centre: place for place in LOCATIONS}
     return ONE_WAY_LATENCIES[measure_distance(places[one], places[other])]
 
--- a/walkcart/bench/shapes.py
+++ b/walkcart/bench/shapes.py
@@ -1,4 +1,4 @@
-"""The users' deployments: groups, sites and latencies as their brief states them."""
+"""The users' deployments: groups, sites and latencies as the users state them."""
 
 from __future__ import annotations
 
--- a/walkcart/bench/slopes_data.py
+++ b/walkcart/bench/slopes_data.py
@@ -58,11 +58,14 @@
 BATCH_SIZES = (1, 4, 16, 64)
 #: Requests per second.
 CLAIM_RATES = (50, 100, 250, 500)
+#: Seconds for which requests are sent at each rate.
 CLAIM_SECONDS = 4
 HELD_LEAVES = 400
 FLEET_COUNTS = (10, 50, 100, 200, 400, 620)
 WAITING_COUNTS = (0, 16, 64, 256)
+#: Number of runs of a measured action, the fastest of which counts.
 REPEATS = 5
+#: Number of messages over which the time for one is averaged.
 ENVELOPES = 400
 
 Measured = dict[str, list[Point]]
@@ -236,6 +239,7 @@
 
 
 async def _time_envelopes(envelope: Envelope) -> float:
+    """Return the CPU seconds to send and receive one message."""
     transport = NngTransport()
     listener = await transport.listen(HostPort("127.0.0.1", 0))
     sender = await transport.dial(listener.address)
@@ -255,12 +259,12 @@
     """Measure store writes for non-repeatable requests, with 7 instances."""
     found: Measured = {}
     for rate in CLAIM_RATES:
-        for quantity, value in run_mocked(_claim_at_rate, rate).items():
+        for quantity, value in run_mocked(_measure_claims_at, rate).items():
             found.setdefault(quantity, []).append((rate, value))
     return found
 
 
-async def _claim_at_rate(rate: int) -> dict[str, float]:
+async def _measure_claims_at(rate: int) -> dict[str, float]:
     async with open_estate(instances=7) as world:
         for item in world.leaves.values():
             item.leaf.faults.slow = 0.1
@@ -329,11 +333,14 @@
 
 def measure_admission(folder: Path) -> Measured:
     """Measure the admission and release of requests while others wait."""
-    points = [(count, trio.run(_admit, count) * 1e6) for count in WAITING_COUNTS]
+    points = [
+        (count, trio.run(_time_admission, count) * 1e6) for count in WAITING_COUNTS
+    ]
     return {"CPU us a request": points}
 
 
-async def _admit(waiting: int) -> float:
+async def _time_admission(waiting: int) -> float:
+    """Return the CPU seconds to release and admit a request while `waiting` wait."""
     admission = Admission(TrioClock(datetime(2026, 1, 1, tzinfo=UTC)))
     async with trio.open_nursery() as nursery:
         admitted = [await admission.admit("a", 1.0, 8, 60.0) for _ in range(8)]
--- a/walkcart/bench/slopes_fleet.py
+++ b/walkcart/bench/slopes_fleet.py
@@ -22,9 +22,11 @@
 SETTLE_TIME = 8.0
 #: Further seconds per instance until all instances know of each other.
 SETTLE_TIME_PER_INSTANCE = 0.5
+#: Number of changes, the slowest of which counts.
 CHANGES = 5
 LEAF_COUNTS = (40, 100, 200, 400)
 SHARD_COUNTS = (5, 20, 50, 100)
+#: Number of questions over which the CPU time of one is averaged.
 QUESTIONS = 200
 QUESTION_RATES = (10, 20, 40, 80)
 #: Seconds for which questions are sent at each rate.
--- a/walkcart/bench/soak.py
+++ b/walkcart/bench/soak.py
@@ -1,9 +1,10 @@
 """Long randomised runs that check the promises under all kinds of faults.
 
 A run uses one process, a mocked clock and a network in memory; runs with the same
-seed are identical. Instances run with fatal invariants. The answers to callers are
-checked against the stand-ins' marked rows and records. After the faults end, the
-whole deployment must recover.
+seed are identical. Instances run with fatal invariants. Answers to callers are checked
+by the marks that leaf stand-ins put into each row (see `walkcart.bench.caller`), and
+against the leaves' records of what ran. After the faults end, the whole deployment
+must recover.
 """
 
 from __future__ import annotations
@@ -84,6 +85,7 @@
 
 
 def _find_latency(one: str, other: str) -> float:
+    """Return the one-way latency between two sites, in seconds."""
     if one == other:
         return 0.0001
     return 0.008 if "south-a" in (one, other) else 0.0005
--- a/walkcart/bench/sun.py
+++ b/walkcart/bench/sun.py
@@ -44,7 +44,7 @@
 
 
 def describe_following(samples: list[Sample], number: int, region: str) -> str:
-    """Return the final share of load in a phase's region, and when it was reached."""
+    """Return a region's share at the end of its phase, and when it had 0.9 of that."""
     phase = [
         item
         for item in samples
@@ -101,13 +101,13 @@
     before: dict[str, int] = {}
     while True:
         await trio.sleep(0.5)
-        now: dict[str, int] = {}
+        totals: dict[str, int] = {}
         for item in world.leaves.values():
             region = item.leaf.spec.labels["region"]
-            now[region] = now.get(region, 0) + item.leaf.requests
-        counts = {region: now[region] - before.get(region, 0) for region in now}
+            totals[region] = totals.get(region, 0) + item.leaf.requests
+        counts = {region: totals[region] - before.get(region, 0) for region in totals}
         samples.append((trio.current_time() - start - 0.5, counts))
-        before = now
+        before = totals
 
 
 def plot_samples(path: Path, samples: list[Sample]) -> None:
--- a/walkcart/bench/world.py
+++ b/walkcart/bench/world.py
@@ -115,7 +115,7 @@
         self._store_address = ANY_ADDRESS
         self._list_address = ANY_ADDRESS
         self._proposals = 0
-        self._lives = 0
+        self._instance_starts = 0
 
     def network(self, site: str) -> Network:
         """Return the network as seen from `site`."""
@@ -209,7 +209,7 @@
         self, name: str, region: str = "local", site: str = "local", **changes: Any
     ) -> RunningInstance:
         """Start a walkcart instance and add it to the instance list."""
-        self._lives += 1
+        self._instance_starts += 1
         values = {
             "instance": name,
             "region": region,
